--- a/sim/experiment/experiment_router.cc
+++ b/sim/experiment/experiment_router.cc
@@ -195,7 +195,7 @@
   const auto cached = static_cast<std::uint32_t>(reused_blocks * kTokensPerBlock);
   const std::uint32_t uncached =
       request->placement.prompt_tokens - std::min(cached, request->placement.prompt_tokens);
-  index_->notePlaced(decision.engine, decision.incarnation, request->blocks, queue_.now());
+  index_->recordPlacement(decision.engine, decision.incarnation, request->blocks, queue_.now());
   sent_.add(decision.engine, request->dispatch, uncached, queue_.now());
   WorkLedger& ledger = fleet_.ledger(decision.engine);
   const std::uint32_t planned = ledger.plannedPrefix(
--- a/src/prefix_index/prefix_index.cc
+++ b/src/prefix_index/prefix_index.cc
@@ -33,8 +33,8 @@
 
   void setIncarnation(EngineSlot engine, std::uint64_t incarnation) override;
   void forgetEngine(EngineSlot engine) override;
-  void notePlaced(EngineSlot engine, std::uint64_t incarnation, std::span<const BlockHash> blocks,
-                  TimePoint now) override;
+  void recordPlacement(EngineSlot engine, std::uint64_t incarnation, std::span<const BlockHash> blocks,
+                       TimePoint now) override;
   bool applyEvent(EngineSlot engine, std::uint64_t incarnation, const CacheEvent& event,
                   TimePoint now) override;
   void applyDigest(EngineSlot engine, std::uint64_t incarnation, std::uint64_t sequence,
@@ -165,8 +165,8 @@
   table_.erase(place);
 }
 
-void TablePrefixIndex::notePlaced(EngineSlot engine, std::uint64_t incarnation,
-                                  std::span<const BlockHash> blocks, TimePoint now) {
+void TablePrefixIndex::recordPlacement(EngineSlot engine, std::uint64_t incarnation,
+                                       std::span<const BlockHash> blocks, TimePoint now) {
   if (present(engine, incarnation) == nullptr) return;
   if (epoch_ == TimePoint::min()) epoch_ = now;
   for (const BlockHash hash : blocks) store(engine, hash, true, tick(now));
--- a/src/prefix_index/prefix_index.h
+++ b/src/prefix_index/prefix_index.h
@@ -44,8 +44,8 @@
   virtual void forgetEngine(EngineSlot engine) = 0;
   /// Notes blocks that a placement is about to create. Believed for `kOptimisticLifetime` unless an event or
   /// an answer confirms them. Ignored unless `incarnation` is the present one.
-  virtual void notePlaced(EngineSlot engine, std::uint64_t incarnation, std::span<const BlockHash> blocks,
-                          TimePoint now) = 0;
+  virtual void recordPlacement(EngineSlot engine, std::uint64_t incarnation,
+                               std::span<const BlockHash> blocks, TimePoint now) = 0;
   /// Applies an event.
   /// @return false when a sequence gap was found, so that a digest should be fetched.
   virtual bool applyEvent(EngineSlot engine, std::uint64_t incarnation, const CacheEvent& event,
--- a/src/router/completion_flow.cc
+++ b/src/router/completion_flow.cc
@@ -111,7 +111,7 @@
   dispatch.dispatched_at = now;
   ++entry.dispatches;
   sent_work_.add(decision.engine, dispatch.id, uncachedTokens(entry, decision), now);
-  options_.index->notePlaced(decision.engine, decision.incarnation, entry.blocks, now);
+  options_.index->recordPlacement(decision.engine, decision.incarnation, entry.blocks, now);
   if (entry.dispatches > 1) {
     log(EventId::AttemptMoved, entry,
         {{"backend", engine->name}, {"offset", entry.tokens}, {"resume", false}});
--- a/tests/unit/placement/placement_test.cc
+++ b/tests/unit/placement/placement_test.cc
@@ -182,7 +182,7 @@
           "[placement]") {
   Fleet fleet(4);
   const auto policy = makeCostPlacement();
-  fleet.index->notePlaced(0, 100, fleet.blocks, kStart);
+  fleet.index->recordPlacement(0, 100, fleet.blocks, kStart);
   fleet.work.pending[0] = 100'000;
   SECTION("though it holds less") {
     fleet.index->correct(2, 102, std::span(fleet.blocks).first(90), 0, kStart);
--- a/tests/unit/prefix_index/prefix_index_test.cc
+++ b/tests/unit/prefix_index/prefix_index_test.cc
@@ -43,7 +43,7 @@
   CHECK(index->size() == 0);
 
   SECTION("late facts about the dead incarnation change nothing") {
-    index->notePlaced(3, 7, blocks, kStart);
+    index->recordPlacement(3, 7, blocks, kStart);
     index->applyEvent(3, 7, {2, blocks, {}}, kStart);
     index->applyDigest(3, 7, 9, blocks, kStart);
     index->correct(3, 7, blocks, 4, kStart);
@@ -117,7 +117,7 @@
   auto index = makePrefixIndex(1000);
   const auto blocks = promptOf(kScope, 3);
   index->setIncarnation(0, 1);
-  index->notePlaced(0, 1, blocks, kStart);
+  index->recordPlacement(0, 1, blocks, kStart);
   CHECK(blocksAt(*index, blocks, 0, kStart + kOptimisticLifetime - 1s) == 3);
   CHECK(blocksAt(*index, blocks, 0, kStart + kOptimisticLifetime) == 0);
 
@@ -129,7 +129,7 @@
   auto index = makePrefixIndex(1000);
   const auto blocks = promptOf(kScope, 3);
   index->setIncarnation(0, 1);
-  index->notePlaced(0, 1, blocks, kStart);
+  index->recordPlacement(0, 1, blocks, kStart);
   index->applyEvent(0, 1, {1, {}, blocks}, kStart);
   CHECK(blocksAt(*index, blocks, 0, kStart) == 3);
   index->correct(0, 1, blocks, 0, kStart);
--- a/tests/unit/prefix_index/prefix_match_test.cc
+++ b/tests/unit/prefix_index/prefix_match_test.cc
@@ -110,7 +110,7 @@
     sequence_[engine] = 0;
   }
   void place(EngineSlot engine, std::span<const BlockHash> blocks) {
-    index_->notePlaced(engine, incarnation_[engine], blocks, now_);
+    index_->recordPlacement(engine, incarnation_[engine], blocks, now_);
     plain_.store(engine, blocks, true, now_);
   }
   void answer(EngineSlot engine, std::span<const BlockHash> blocks) {
