--- a/src/placement/cost_placement.cc
+++ b/src/placement/cost_placement.cc
@@ -1,5 +1,5 @@
-/// @file The product's placement: the engine with the least estimated time to the first token, plus what the
-/// choice costs later requests by eviction.
+/// @file The production placement policy: chooses the engine with the lowest estimated time to the first
+/// token plus the cost to later requests of the cache blocks that the choice evicts.
 
 #include <algorithm>
 #include <optional>
@@ -11,27 +11,27 @@
 namespace crankspur {
 namespace {
 
-/// All engines are weighed when there are at most this many.
-constexpr std::size_t kWeighAllBelow = 32;
-/// Holders of the longest prefixes that are weighed otherwise.
-constexpr std::size_t kPrefixCandidates = 16;
-/// Engines drawn at random for each one wanted, since some may not serve the request.
-constexpr std::size_t kDrawsPerCandidate = 4;
-/// Candidates kept in the decision record.
-constexpr std::size_t kRecordedCandidates = 8;
-/// Fixed cost of an import, seconds, and its speed in tokens per second.
-constexpr double kImportBase = 0.008;
-constexpr double kImportRate = 100'000;
-/// Least first-token target that utilization is measured by, seconds.
-constexpr double kLeastTarget = 0.001;
-/// Least time that an import must save, seconds.
-constexpr double kImportGain = 0.010;
+/// Every eligible engine is evaluated in fleets of up to this many engines; larger fleets are sampled.
+constexpr std::size_t kFullEvaluationMaxEngines = 32;
+/// Holders of the longest cached prefixes that are evaluated in larger fleets.
+constexpr std::size_t kMaxPrefixCandidates = 16;
+/// Limit on random draws per wanted candidate; a drawn engine may be ineligible or already evaluated.
+constexpr std::size_t kMaxDrawsPerCandidate = 4;
+/// Number of lowest-cost candidates kept in the decision record.
+constexpr std::size_t kMaxRecordedCandidates = 8;
+/// Fixed cost of an import, in seconds, and its throughput in tokens per second.
+constexpr double kImportFixedCost = 0.008;
+constexpr double kImportTokensPerSecond = 100'000;
+/// Lower bound of the first-token target when utilization is computed, in seconds.
+constexpr double kMinFirstTokenTarget = 0.001;
+/// Minimum time that an import must save, in seconds.
+constexpr double kMinImportSaving = 0.010;
 
 Duration toDuration(double seconds) {
   return Duration(static_cast<std::int64_t>(seconds * 1e6));
 }
 
-/// The engine whose blocks others may import.
+/// An engine from which other engines may import blocks, and how many leading blocks it holds.
 struct ImportSource {
   const EngineView* engine = nullptr;
   std::uint32_t blocks = 0;
@@ -49,35 +49,36 @@
   ImportSource source;
 };
 
-/// A candidate with what the decision needs of it.
+/// A candidate engine and the values that the decision needs.
 struct Candidate {
   CandidateEstimate estimate;
   const EngineView* engine = nullptr;
-  std::uint32_t import_blocks = 0;  ///< Leading blocks held after the import; 0: none.
+  std::uint32_t import_blocks = 0;  ///< Leading blocks held after the import; 0: no import.
 };
 
-bool canSend(const EngineView& engine) {
+bool canExport(const EngineView& engine) {
   const bool up = engine.state == EngineState::Live || engine.state == EngineState::Leaving;
   return up && !engine.address.empty();
 }
 
-/// @return the first holder of the longest confirmed prefix that can send its blocks, or of the longest one
-/// when none is confirmed: what an engine is yet to compute it may not have when it is asked.
+/// @return the first holder of the longest confirmed prefix that can export its blocks, or of the longest
+/// prefix when none is confirmed. Confirmed prefixes are preferred because an engine that has yet to compute
+/// its blocks may not have them when they are requested.
 ImportSource findSource(const std::vector<PrefixMatch>& matches, const RoutingSnapshot& snapshot) {
   ImportSource confirmed;
   ImportSource longest;
   for (const PrefixMatch& match : matches) {
     if (longest.engine != nullptr && match.confirmed_blocks <= confirmed.blocks) continue;
     const EngineView* engine = snapshot.engine(match.engine);
-    if (engine == nullptr || !canSend(*engine)) continue;
+    if (engine == nullptr || !canExport(*engine)) continue;
     if (longest.engine == nullptr) longest = {engine, match.blocks};
     if (match.confirmed_blocks > confirmed.blocks) confirmed = {engine, match.confirmed_blocks};
   }
   return confirmed.engine != nullptr ? confirmed : longest;
 }
 
-/// @return the first holder of the longest confirmed prefix that could serve the request itself and is not
-/// `chosen`.
+/// @return the first holder, other than `chosen`, of the longest confirmed prefix among the engines that are
+/// eligible for the request.
 ImportSource findSecondHolder(const Inputs& inputs, const EngineView& chosen) {
   ImportSource source;
   for (const PrefixMatch& match : inputs.matches) {
@@ -89,9 +90,9 @@
   return source;
 }
 
-/// @return whether importing `tokens` tokens is worth it, against computing them.
-bool importGains(double tokens, double tokens_per_second) {
-  return tokens / tokens_per_second > kImportBase + tokens / kImportRate + kImportGain;
+/// @return whether importing `tokens` tokens saves at least kMinImportSaving over computing them.
+bool importIsFaster(double tokens, double tokens_per_second) {
+  return tokens / tokens_per_second > kImportFixedCost + tokens / kImportTokensPerSecond + kMinImportSaving;
 }
 
 class CostPlacement : public PlacementPolicy {
@@ -103,8 +104,8 @@
   void observe(const PlacementFeedback& feedback, TimePoint) override { queues_.observe(feedback); }
 
 private:
-  std::vector<Candidate> weigh(const Inputs& inputs, RandomSource& random) const;
-  Candidate weighOne(const EngineView& engine, std::uint32_t cached_blocks, const Inputs& inputs) const;
+  std::vector<Candidate> evaluateCandidates(const Inputs& inputs, RandomSource& random) const;
+  Candidate evaluate(const EngineView& engine, std::uint32_t cached_blocks, const Inputs& inputs) const;
   static void chooseImport(const Candidate& best, const Inputs& inputs, PlacementDecision& decision);
   static PlacementDecision decide(const std::vector<Candidate>& candidates, const Inputs& inputs);
 
@@ -120,7 +121,7 @@
   if (!inputs.eligibility.allowed()) return {};
   inputs.matches = index.match(request.blocks, now);
   inputs.source = findSource(inputs.matches, snapshot);
-  std::vector<Candidate> candidates = weigh(inputs, random);
+  std::vector<Candidate> candidates = evaluateCandidates(inputs, random);
   if (candidates.empty()) return {};
   std::sort(candidates.begin(), candidates.end(), [](const Candidate& left, const Candidate& right) {
     const bool differ = left.estimate.cost != right.estimate.cost;
@@ -129,35 +130,35 @@
   return decide(candidates, inputs);
 }
 
-std::vector<Candidate> CostPlacement::weigh(const Inputs& inputs, RandomSource& random) const {
+std::vector<Candidate> CostPlacement::evaluateCandidates(const Inputs& inputs, RandomSource& random) const {
   std::vector<Candidate> candidates;
-  std::vector<EngineSlot> weighed;
+  std::vector<EngineSlot> evaluated;
   const auto add = [&](const EngineView& engine, std::uint32_t blocks) {
-    if (std::find(weighed.begin(), weighed.end(), engine.slot) != weighed.end()) return;
-    weighed.push_back(engine.slot);
-    candidates.push_back(weighOne(engine, blocks, inputs));
+    if (std::find(evaluated.begin(), evaluated.end(), engine.slot) != evaluated.end()) return;
+    evaluated.push_back(engine.slot);
+    candidates.push_back(evaluate(engine, blocks, inputs));
   };
   const std::vector<EngineView>& engines = inputs.snapshot.engines;
-  const bool weigh_all = engines.size() <= kWeighAllBelow;
+  const bool evaluate_all = engines.size() <= kFullEvaluationMaxEngines;
   for (const PrefixMatch& match : inputs.matches) {
-    if (!weigh_all && candidates.size() >= kPrefixCandidates) break;
+    if (!evaluate_all && candidates.size() >= kMaxPrefixCandidates) break;
     const EngineView* engine = inputs.snapshot.engine(match.engine);
     if (engine != nullptr && inputs.eligibility.isEligible(*engine)) add(*engine, match.blocks);
   }
   const std::size_t wanted = candidates.size() + std::max<std::size_t>(inputs.knobs.random_candidates, 1);
-  for (std::size_t draw = 0; !weigh_all && draw < kDrawsPerCandidate * wanted; ++draw) {
+  for (std::size_t draw = 0; !evaluate_all && draw < kMaxDrawsPerCandidate * wanted; ++draw) {
     if (candidates.size() >= wanted) break;
     const EngineView& engine = engines[random.uniform(0, engines.size() - 1)];
     if (inputs.eligibility.isEligible(engine)) add(engine, 0);
   }
-  if (!weigh_all && !candidates.empty()) return candidates;
+  if (!evaluate_all && !candidates.empty()) return candidates;
   for (const EngineView& engine : engines) {
     if (inputs.eligibility.isEligible(engine)) add(engine, 0);
   }
   return candidates;
 }
 
-Candidate CostPlacement::weighOne(const EngineView& engine, std::uint32_t cached_blocks,
+Candidate CostPlacement::evaluate(const EngineView& engine, std::uint32_t cached_blocks,
                                   const Inputs& inputs) const {
   Candidate candidate;
   candidate.engine = &engine;
@@ -170,8 +171,8 @@
   const ImportSource& source = inputs.source;
   if (source.engine != nullptr && source.engine != &engine && source.blocks > cached_blocks) {
     const double tokens = static_cast<double>(source.blocks - cached_blocks) * kTokensPerBlock;
-    if (importGains(tokens, rate)) {
-      import = kImportBase + tokens / kImportRate;
+    if (importIsFaster(tokens, rate)) {
+      import = kImportFixedCost + tokens / kImportTokensPerSecond;
       uncached = std::max(1.0, uncached - tokens);
       candidate.import_blocks = source.blocks;
     }
@@ -193,11 +194,12 @@
     decision.import_blocks = best.import_blocks;
     return;
   }
-  // What the engine is believed to hold it may have evicted, or be about to import for another request. It
-  // imports only what it lacks when it begins, so a second holder costs nothing while the belief is right.
+  // The engine may have evicted the blocks that it is assumed to hold, or may still have to import them for
+  // another request. An engine imports only the blocks that it lacks when it starts, so naming a second
+  // holder costs nothing while the assumption is right.
   const ImportSource source = findSecondHolder(inputs, *best.engine);
   const std::uint32_t blocks = std::min(source.blocks, best.estimate.cached_blocks);
-  if (!importGains(static_cast<double>(blocks) * kTokensPerBlock, prefillRate(*best.engine))) return;
+  if (!importIsFaster(static_cast<double>(blocks) * kTokensPerBlock, prefillRate(*best.engine))) return;
   decision.import_from = source.engine->address;
   decision.import_blocks = blocks;
 }
@@ -215,8 +217,8 @@
   double wait = 0;
   for (const Candidate& candidate : candidates) wait += toSeconds(candidate.estimate.queue);
   decision.queue_utilization = wait / static_cast<double>(candidates.size()) /
-                               std::max(toSeconds(inputs.knobs.first_token_target), kLeastTarget);
-  const std::size_t recorded = std::min(candidates.size(), kRecordedCandidates);
+                               std::max(toSeconds(inputs.knobs.first_token_target), kMinFirstTokenTarget);
+  const std::size_t recorded = std::min(candidates.size(), kMaxRecordedCandidates);
   for (std::size_t index = 0; index < recorded; ++index) {
     decision.candidates.push_back(candidates[index].estimate);
   }
--- a/src/placement/eligibility.h
+++ b/src/placement/eligibility.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Which engines may serve a request, shared by all policies.
+/// @file Rules, shared by all policies, that decide which engines may serve a request.
 
 #include <optional>
 #include <string>
@@ -10,20 +10,22 @@
 
 namespace crankspur {
 
-/// What engines must match to serve one request.
+/// Conditions that an engine must meet to serve one request. Keeps a reference to the request.
 class Eligibility {
 public:
-  /// The bundle of the snapshot says which pools serve and at which weights.
+  /// Takes the pools and the weights version from the snapshot's bundle.
   Eligibility(const PlacementRequest& request, const RoutingSnapshot& snapshot);
-  /// The caller says which pools serve, and that the tenant may use them.
-  /// @param request without a model: engines need none loaded; without weights: any will do.
-  /// @param pools outlives this.
+  /// Takes the pools from the caller, who has checked that the tenant may use them.
+  /// @param request without a model, engines need none loaded; without a weights version, any version
+  /// matches.
+  /// @param pools must outlive this object.
   Eligibility(const PlacementRequest& request, const std::vector<std::string>& pools);
 
   /// @return whether the tenant may use the model at all.
   bool allowed() const { return pools_ != nullptr; }
-  /// @return whether the engine is Live, in a pool of the model, holds it at the required weights with the
-  /// adapter, and has not already failed the request.
+  /// @return whether the engine is Live, is not a decode engine, has a known incarnation, is in one of the
+  /// pools, has the model loaded at the required weights version with the adapter, and is not excluded
+  /// because it already failed the request.
   bool isEligible(const EngineView& engine) const;
 
 private:
@@ -31,13 +33,14 @@
 
   const PlacementRequest& request_;
   const std::vector<std::string>* pools_ = nullptr;  ///< Null when the tenant may not use the model.
-  std::optional<std::string> weights_;               ///< Empty: any will do.
+  std::optional<std::string> weights_;               ///< Empty: any version matches.
 };
 
 /// @return eligible engines in slot order.
 std::vector<const EngineView*> findEligible(const PlacementRequest& request, const RoutingSnapshot& snapshot);
 
-/// @return a decision for `engine` with what each policy states alike; `found` is true.
+/// @return a decision for `engine` with `found` set and the fields that are the same for every policy filled
+/// in.
 PlacementDecision decideFor(const EngineView& engine, const PlacementRequest& request,
                             const PrefixIndex& index, TimePoint now);
 
--- a/src/placement/engine_view.cc
+++ b/src/placement/engine_view.cc
@@ -11,12 +11,12 @@
 }
 
 const EngineView* RoutingSnapshot::engine(EngineSlot slot) const {
-  // Slots are dense: as a rule the engine lies at its own number.
+  // Slots are dense, so the engine is usually at the index of its slot.
   if (slot < engines.size() && engines[slot].slot == slot) return &engines[slot];
-  const auto place =
+  const auto found =
       std::lower_bound(engines.begin(), engines.end(), slot,
                        [](const EngineView& view, EngineSlot wanted) { return view.slot < wanted; });
-  return place == engines.end() || place->slot != slot ? nullptr : &*place;
+  return found == engines.end() || found->slot != slot ? nullptr : &*found;
 }
 
 }  // namespace crankspur
--- a/src/placement/engine_view.h
+++ b/src/placement/engine_view.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Immutable view of the fleet's back ends that the control thread publishes to traffic shards.
+/// @file Immutable snapshot of the fleet's back ends, published by the control thread to the traffic shards.
 
 #include <cstdint>
 #include <memory>
@@ -12,15 +12,15 @@
 
 namespace crankspur {
 
-/// Whether a back end may get new work.
+/// Whether a back end may receive new work.
 enum class EngineState {
   Live,
-  Leaving,  ///< Finishes its work; gets nothing new.
-  Ejected,  ///< Slow or failing; gets a probe now and then only.
+  Leaving,  ///< Finishes its work; receives no new work.
+  Ejected,  ///< Slow or failing; receives only occasional probes.
   Dead,
 };
 
-/// What an engine is used for.
+/// The phases of inference that an engine runs.
 enum class EngineRole { Mixed, Prefill, Decode };
 
 /// A model that an engine has loaded.
@@ -30,13 +30,13 @@
   std::vector<std::string> adapters;
 };
 
-/// The engine's own load report, lagging.
+/// Load as reported by the engine; lags behind its actual load.
 struct LoadReport {
-  TimePoint measured_at{};          ///< When the router received it, less the age the engine stated.
-  std::uint32_t queued_tokens = 0;  ///< Prompt tokens waiting for prefill.
+  TimePoint measured_at{};          ///< Time of receipt minus the age stated by the engine.
+  std::uint32_t queued_tokens = 0;  ///< Prompt tokens that wait for prefill.
   std::uint32_t queued_requests = 0;
   std::uint32_t running_requests = 0;
-  std::uint32_t batch_limit = 0;  ///< Requests that run at once.
+  std::uint32_t batch_limit = 0;  ///< Maximum number of requests run concurrently.
   std::uint32_t cache_blocks_total = 0;
   std::uint32_t cache_blocks_used = 0;
   double prefill_tokens_per_second = 8000;  ///< Measured by the engine.
@@ -50,7 +50,7 @@
   std::string zone;
   std::string region;
   std::string pool;
-  std::uint64_t incarnation = 0;  ///< 0 until the engine was first reached.
+  std::uint64_t incarnation = 0;  ///< 0 until the first contact with the engine.
   EngineState state = EngineState::Live;
   EngineRole role = EngineRole::Mixed;
   std::vector<LoadedModel> models;
@@ -60,15 +60,15 @@
   std::string weightsOf(std::string_view model) const;
 };
 
-/// Everything a traffic shard needs to decide. Published whole, never changed.
+/// All input that a traffic shard needs for its decisions. Immutable once published.
 struct RoutingSnapshot {
-  std::shared_ptr<const Bundle> bundle;  ///< Null until the first bundle is held.
+  std::shared_ptr<const Bundle> bundle;  ///< Null until the first bundle has been received.
   std::vector<EngineView> engines;       ///< Sorted by slot; model engines.
   std::vector<EngineView> runners;       ///< Application runners.
   std::string own_zone;
   std::string own_region;
   std::uint32_t router_count = 1;  ///< Live routers, this one included.
-  bool claims_by_group = false;    ///< A claim group decides on work that may not be repeated.
+  bool claims_by_group = false;    ///< A claim group decides claims on work that must not run twice.
 
   /// @return the engine in the slot, or nullptr.
   const EngineView* engine(EngineSlot slot) const;
--- a/src/placement/least_load_placement.cc
+++ b/src/placement/least_load_placement.cc
@@ -3,7 +3,8 @@
 namespace crankspur {
 namespace {
 
-/// Yardstick: the eligible engine with the fewest queued tokens, reported and own; ties at random.
+/// Baseline: the eligible engine with the fewest queued tokens, counting those it reported and those that
+/// this router has pending there. Ties are broken at random.
 class LeastLoadPlacement : public PlacementPolicy {
 public:
   std::string name() const override { return "least_load"; }
--- a/src/placement/outstanding_ledger.h
+++ b/src/placement/outstanding_ledger.h
@@ -1,5 +1,6 @@
 #pragma once
-/// @file What one router has sent to each engine, and when the engine will have prefilled it.
+/// @file Tracks the work that one router has in flight at each engine and estimates when it will be
+/// prefilled.
 
 #include <absl/container/flat_hash_map.h>
 
@@ -9,29 +10,29 @@
 
 namespace crankspur {
 
-/// Own work at one engine.
+/// Work of this router at one engine.
 struct EngineOutstanding {
   EngineSlot engine = 0;
-  std::uint32_t waiting_tokens = 0;  ///< Of dispatches whose first token has not come.
+  std::uint32_t waiting_tokens = 0;  ///< Uncached tokens of dispatches still without a first token.
   std::uint32_t in_flight = 0;
 };
 
 /// Work in flight at each engine, by dispatch.
 class OutstandingLedger : public OutstandingWork {
 public:
-  /// Takes the time at which each engine's load was measured.
+  /// Records when the load report of each engine in the snapshot was measured.
   void onSnapshot(const RoutingSnapshot& snapshot);
   void onLoadMeasured(EngineSlot engine, TimePoint measured_at) {
     engines_[engine].load_measured_at = measured_at;
   }
-  /// Notes a dispatch.
-  /// @param uncached_tokens prompt tokens that the engine has to compute.
+  /// Records a dispatch.
+  /// @param uncached_tokens prompt tokens that the engine is expected to compute.
   void add(EngineSlot engine, std::uint64_t dispatch, std::uint32_t uncached_tokens, TimePoint now);
-  /// The engine said how many tokens it really has to compute.
+  /// Replaces the estimate by the number of tokens that the engine reports it has to compute.
   void correct(EngineSlot engine, std::uint64_t dispatch, std::uint32_t uncached_tokens);
-  /// The first token of the dispatch arrived.
+  /// Records that the first token of the dispatch arrived.
   void prefillDone(EngineSlot engine, std::uint64_t dispatch, TimePoint now);
-  /// Forgets the dispatch.
+  /// Removes the dispatch.
   void remove(EngineSlot engine, std::uint64_t dispatch);
 
   /// @return the engines with work in flight.
@@ -46,16 +47,16 @@
     std::uint64_t dispatch = 0;
     TimePoint sent_at{};
     std::uint32_t tokens = 0;
-    bool waiting = true;  ///< No token has come yet.
+    bool waiting = true;  ///< No token has arrived yet.
   };
-  struct EngineWork {
+  struct EngineEntry {
     TimePoint load_measured_at{};
-    TimePoint prefill_done_at{};  ///< When the newest first token came.
+    TimePoint prefill_done_at{};  ///< When the most recent first token arrived.
     std::vector<Item> items;      ///< In the order of dispatch.
   };
   Item* find(EngineSlot engine, std::uint64_t dispatch);
 
-  absl::flat_hash_map<EngineSlot, EngineWork> engines_;
+  absl::flat_hash_map<EngineSlot, EngineEntry> engines_;
 };
 
 }  // namespace crankspur
--- a/src/placement/prompt_head_hash_placement.cc
+++ b/src/placement/prompt_head_hash_placement.cc
@@ -6,10 +6,10 @@
 namespace crankspur {
 namespace {
 
-/// Blocks that make up the prompt's head.
+/// Number of leading blocks that are hashed.
 constexpr std::size_t kHeadBlocks = 16;
 
-/// Yardstick: rendezvous hash of the prompt's head over the eligible engines.
+/// Baseline: rendezvous hashing of the leading prompt blocks over the eligible engines.
 class PromptHeadHashPlacement : public PlacementPolicy {
 public:
   std::string name() const override { return "prompt_head"; }
--- a/src/placement/queue_estimator.cc
+++ b/src/placement/queue_estimator.cc
@@ -6,20 +6,20 @@
 namespace crankspur {
 namespace {
 
-/// Prompt tokens that engines commonly prefill in one chunk, and the fixed cost of a chunk, seconds.
+/// Prompt tokens that engines commonly prefill in one chunk, and the fixed cost of a chunk in seconds.
 constexpr double kChunkTokens = 512;
-constexpr double kChunkBase = 0.005;
-/// Weight of one answer in the learnt share.
-constexpr double kShareGain = 0.02;
-/// Wait for a place in a full batch, per request above the limit, seconds.
-constexpr double kFullBatchWait = 0.1;
+constexpr double kChunkFixedCost = 0.005;
+/// Weight of one response in the moving average of the uncached share.
+constexpr double kUncachedShareSmoothing = 0.02;
+/// Wait for a full batch, in seconds per request above the batch limit.
+constexpr double kWaitPerRequestAboveLimit = 0.1;
 
 double batchWait(const EngineView& engine, const OutstandingWork& work) {
   if (engine.load.batch_limit == 0) return 0;
   const std::uint32_t held =
       std::max(engine.load.running_requests + engine.load.queued_requests, work.inFlight(engine.slot));
   const double above = static_cast<double>(held) + 1 - engine.load.batch_limit;
-  return std::max(0.0, above) * kFullBatchWait;
+  return std::max(0.0, above) * kWaitPerRequestAboveLimit;
 }
 
 }  // namespace
@@ -30,7 +30,7 @@
 }
 
 Duration prefillTime(double tokens, double tokens_per_second) {
-  const double seconds = tokens / tokens_per_second + std::ceil(tokens / kChunkTokens) * kChunkBase;
+  const double seconds = tokens / tokens_per_second + std::ceil(tokens / kChunkTokens) * kChunkFixedCost;
   return Duration(static_cast<std::int64_t>(seconds * 1e6));
 }
 
@@ -48,7 +48,7 @@
   if (feedback.prompt_tokens == 0) return;
   const std::uint32_t cached = std::min(feedback.cached_tokens, feedback.prompt_tokens);
   const double uncached = static_cast<double>(feedback.prompt_tokens - cached) / feedback.prompt_tokens;
-  uncached_share_ += kShareGain * (uncached - uncached_share_);
+  uncached_share_ += kUncachedShareSmoothing * (uncached - uncached_share_);
 }
 
 }  // namespace crankspur
--- a/src/placement/round_robin_placement.cc
+++ b/src/placement/round_robin_placement.cc
@@ -3,7 +3,7 @@
 namespace crankspur {
 namespace {
 
-/// Yardstick: each eligible engine in turn.
+/// Baseline: each eligible engine in turn.
 class RoundRobinPlacement : public PlacementPolicy {
 public:
   std::string name() const override { return "round_robin"; }
--- a/tests/unit/placement/outstanding_ledger_test.cc
+++ b/tests/unit/placement/outstanding_ledger_test.cc
@@ -14,7 +14,8 @@
 
 }  // namespace
 
-TEST_CASE("the backlog is what was sent, first in first out, less what is done", "[placement]") {
+TEST_CASE("the backlog is the time to prefill the dispatches in order, less the time elapsed",
+          "[placement]") {
   OutstandingLedger ledger;
   ledger.add(1, 10, 800, kStart);
   ledger.add(1, 11, 1600, kStart);
@@ -29,14 +30,14 @@
   CHECK(ledger.inFlight(1) == 1);
 }
 
-TEST_CASE("what the engine found cached shortens the backlog", "[placement]") {
+TEST_CASE("a correction of the uncached tokens shortens the backlog", "[placement]") {
   OutstandingLedger ledger;
   ledger.add(1, 10, 8000, kStart);
   ledger.correct(1, 10, 100);
   CHECK(ledger.backlog(1, kRate, kStart) == prefillTime(100, kRate));
 }
 
-TEST_CASE("only work sent after the report was measured is pending beside it", "[placement]") {
+TEST_CASE("only work sent after the load report was measured counts as pending", "[placement]") {
   OutstandingLedger ledger;
   ledger.add(1, 10, 800, kStart);
   ledger.add(1, 11, 300, kStart + 20ms);
@@ -48,7 +49,7 @@
   CHECK(ledger.pendingTokens(1) == 300);
 }
 
-TEST_CASE("facts about unknown engines and dispatches change nothing", "[placement]") {
+TEST_CASE("updates for unknown engines and dispatches are ignored", "[placement]") {
   OutstandingLedger ledger;
   ledger.correct(7, 1, 5);
   ledger.prefillDone(7, 1, kStart);
--- a/tests/unit/placement/placement_test.cc
+++ b/tests/unit/placement/placement_test.cc
@@ -19,8 +19,8 @@
 
 private:
   static std::uint32_t at(const std::map<EngineSlot, std::uint32_t>& values, EngineSlot engine) {
-    const auto place = values.find(engine);
-    return place == values.end() ? 0 : place->second;
+    const auto found = values.find(engine);
+    return found == values.end() ? 0 : found->second;
   }
 };
 
@@ -108,10 +108,10 @@
 TEST_CASE("no engine is found for a model the tenant may not use, or without a bundle", "[placement]") {
   Fleet fleet(2);
   for (const auto& policy : allPolicies()) {
-    PlacementRequest stranger = fleet.request;
-    stranger.tenant = "stranger";
+    PlacementRequest unknown_tenant = fleet.request;
+    unknown_tenant.tenant = "stranger";
     CHECK_FALSE(
-        policy->choose(stranger, fleet.snapshot, *fleet.index, fleet.work, fleet.random, kStart).found);
+        policy->choose(unknown_tenant, fleet.snapshot, *fleet.index, fleet.work, fleet.random, kStart).found);
     PlacementRequest unknown = fleet.request;
     unknown.model = "unknown";
     CHECK_FALSE(
@@ -128,7 +128,8 @@
   CHECK(eligibleEngines(fleet.request, fleet.snapshot) == std::vector<EngineSlot>{1});
 }
 
-TEST_CASE("cost placement goes to the cached prefix unless the queue costs more", "[placement]") {
+TEST_CASE("cost placement prefers the engine with the cached prefix unless its queue costs more",
+          "[placement]") {
   Fleet fleet(4);
   const auto policy = makeCostPlacement();
   fleet.index->correct(2, 102, fleet.blocks, 0, kStart);
@@ -141,13 +142,13 @@
     fleet.snapshot.engines[2].load.queued_tokens = 100'000;
     CHECK(fleet.choose(*policy).engine != 2);
   }
-  SECTION("own work that no report shows yet") {
+  SECTION("pending work that no load report includes yet") {
     fleet.work.pending[2] = 100'000;
     CHECK(fleet.choose(*policy).engine != 2);
   }
 }
 
-TEST_CASE("cost placement says how long the first token will take", "[placement]") {
+TEST_CASE("cost placement estimates the time to the first token", "[placement]") {
   Fleet fleet(1);
   fleet.snapshot.engines[0].load.queued_tokens = 8000;
   fleet.snapshot.engines[0].load.prefill_tokens_per_second = 8000;
@@ -156,7 +157,7 @@
   CHECK(decision.expected_first_token <= 1400ms);
 }
 
-TEST_CASE("blocks are imported where that is faster than computing them", "[placement]") {
+TEST_CASE("blocks are imported when that is faster than computing them", "[placement]") {
   Fleet fleet(3);
   const auto policy = makeCostPlacement();
   fleet.index->correct(1, 101, fleet.blocks, 0, kStart);
@@ -167,51 +168,53 @@
   CHECK(decision.import_blocks == 100);
   CHECK(decision.cached_blocks == 0);
 
-  SECTION("never from an engine that is dead") {
+  SECTION("not from a dead engine") {
     fleet.snapshot.engines[1].state = EngineState::Dead;
     CHECK(fleet.choose(*policy).import_from.empty());
   }
-  SECTION("not a few blocks") {
+  SECTION("not when only a few blocks are held") {
     fleet.index->setIncarnation(1, 102);
     fleet.index->correct(1, 102, std::span(fleet.blocks).first(2), 0, kStart);
     CHECK(fleet.choose(*policy).import_from.empty());
   }
 }
 
-TEST_CASE("blocks are imported from an engine that has them, not from one that is to compute them",
-          "[placement]") {
+TEST_CASE(
+    "blocks are imported from a confirmed holder rather than from an engine that has yet to compute them",
+    "[placement]") {
   Fleet fleet(4);
   const auto policy = makeCostPlacement();
   fleet.index->recordPlacement(0, 100, fleet.blocks, kStart);
   fleet.work.pending[0] = 100'000;
-  SECTION("though it holds less") {
+  SECTION("even if the confirmed holder has fewer blocks") {
     fleet.index->correct(2, 102, std::span(fleet.blocks).first(90), 0, kStart);
     fleet.work.pending[2] = 100'000;
     const PlacementDecision decision = fleet.choose(*policy);
     CHECK(decision.import_from == fleet.snapshot.engines[2].address);
     CHECK(decision.import_blocks == 90);
   }
-  SECTION("unless there is no other") {
+  SECTION("except when there is no confirmed holder") {
     const PlacementDecision decision = fleet.choose(*policy);
     CHECK(decision.import_from == fleet.snapshot.engines[0].address);
     CHECK(decision.import_blocks == 100);
   }
 }
 
-TEST_CASE("a second holder is named in case the chosen engine has lost its prefix", "[placement]") {
+TEST_CASE("the decision names a second holder in case the chosen engine has evicted its prefix",
+          "[placement]") {
   Fleet fleet(3);
   const auto policy = makeCostPlacement();
   fleet.index->correct(0, 100, fleet.blocks, 0, kStart);
   fleet.work.pending[2] = 100'000;
 
-  SECTION("for what both hold") {
+  SECTION("for the blocks that both hold") {
     fleet.index->correct(2, 102, std::span(fleet.blocks).first(80), 0, kStart);
     const PlacementDecision decision = fleet.choose(*policy);
     REQUIRE(decision.engine == 0);
     CHECK(decision.import_from == fleet.snapshot.engines[2].address);
     CHECK(decision.import_blocks == 80);
   }
-  SECTION("never more than the engine is believed to hold") {
+  SECTION("never more blocks than the chosen engine is assumed to hold") {
     fleet.index->setIncarnation(0, 200);
     fleet.snapshot.engines[0].incarnation = 200;
     fleet.index->correct(0, 200, std::span(fleet.blocks).first(98), 0, kStart);
@@ -221,16 +224,16 @@
     CHECK(decision.import_from == fleet.snapshot.engines[2].address);
     CHECK(decision.import_blocks == 98);
   }
-  SECTION("not when it holds too little") {
+  SECTION("not when the second holder has too few blocks") {
     fleet.index->correct(2, 102, std::span(fleet.blocks).first(4), 0, kStart);
     CHECK(fleet.choose(*policy).import_from.empty());
   }
-  SECTION("not when nobody else holds it") {
+  SECTION("not when no other engine holds the prefix") {
     CHECK(fleet.choose(*policy).import_from.empty());
   }
 }
 
-TEST_CASE("a large fleet is sampled, and its only eligible engine is still found", "[placement]") {
+TEST_CASE("the only eligible engine of a large, sampled fleet is found", "[placement]") {
   Fleet fleet(200);
   for (EngineView& engine : fleet.snapshot.engines) {
     if (engine.slot != 150) engine.state = EngineState::Leaving;
@@ -238,12 +241,12 @@
   CHECK(fleet.choose(*makeCostPlacement()).engine == 150);
 }
 
-TEST_CASE("reports are read by the share of prompt tokens that engines really compute", "[placement]") {
+TEST_CASE("reported queues are scaled by the observed share of uncached prompt tokens", "[placement]") {
   Fleet fleet(2);
   fleet.snapshot.engines[0].load.queued_tokens = 8000;
   fleet.snapshot.engines[1].load.queued_tokens = 8000;
   const auto policy = makeCostPlacement();
   const Duration before = fleet.choose(*policy).expected_first_token;
-  for (int answer = 0; answer < 300; ++answer) policy->observe({0, 1000, 950, 0ms, 0ms}, kStart);
+  for (int response = 0; response < 300; ++response) policy->observe({0, 1000, 950, 0ms, 0ms}, kStart);
   CHECK(fleet.choose(*policy).expected_first_token < before - 300ms);
 }
