--- a/src/prefix_index/block_table.cc
+++ b/src/prefix_index/block_table.cc
@@ -7,12 +7,13 @@
 namespace crankspur {
 namespace {
 
-/// Slots for each entry: a load factor of 0.8 keeps probe runs short.
+/// Slots per entry, as a fraction: a load factor of 0.8 keeps probe sequences short.
 constexpr std::size_t kSlotsNumerator = 5;
 constexpr std::size_t kSlotsDenominator = 4;
-constexpr std::size_t kMinimumSlots = 64;
+constexpr std::size_t kMinSlots = 64;
 
-/// @return a hash of what a match depends on: two sets of holders with the same sum are the same.
+/// @return a hash of the fields that a match depends on. The fingerprint of a set of holders is the sum of
+/// these hashes; sets with equal fingerprints are treated as equal.
 std::uint64_t fingerprintOf(Holder holder) {
   if (holder.optimistic == 0) holder.confirmed_tick = 0;
   return mixBits(std::bit_cast<std::uint64_t>(holder));
@@ -23,7 +24,7 @@
 BlockTable::BlockTable(std::size_t maximum_entries)
     : maximum_entries_(std::max<std::size_t>(maximum_entries, 1)) {
   const std::size_t slots = maximum_entries_ * kSlotsNumerator / kSlotsDenominator + 1;
-  slots_.resize(std::max(slots, kMinimumSlots));
+  slots_.resize(std::max(slots, kMinSlots));
 }
 
 std::size_t BlockTable::locate(BlockHash hash) const {
@@ -33,13 +34,13 @@
 }
 
 BlockTable::Position BlockTable::find(BlockHash hash, EngineSlot engine) const {
-  const std::size_t place = locate(normalize(hash));
-  const Slot& slot = slots_[place];
+  const std::size_t slot_index = locate(normalize(hash));
+  const Slot& slot = slots_[slot_index];
   if (slot.hash == 0) return {};
   const Holder* first = holders(slot);
   const std::uint32_t count = slot.count();
   for (std::uint32_t index = 0; index < count; ++index) {
-    if (first[index].engine == engine) return {place, index, first + index};
+    if (first[index].engine == engine) return {slot_index, index, first + index};
   }
   return {};
 }
@@ -75,7 +76,7 @@
     ++size_;
     return displaced;
   }
-  if (slot.count() < kMaximumHolders) {
+  if (slot.count() < kMaxHolders) {
     append(slot, holder);
     ++size_;
     return displaced;
@@ -120,10 +121,10 @@
   changeFingerprint(slot, fingerprintOf(holder));
 }
 
-void BlockTable::removeHolder(std::size_t place, std::uint32_t index) {
+void BlockTable::removeHolder(std::size_t slot_index, std::uint32_t index) {
   --size_;
-  Slot& slot = slots_[place];
-  if (!slot.isPooled()) return closeGap(place);
+  Slot& slot = slots_[slot_index];
+  if (!slot.isPooled()) return closeGap(slot_index);
   const std::uint32_t left = slot.count() - 1;
   Holder* first = holders(slot);
   changeFingerprint(slot, 0 - fingerprintOf(first[index]));
--- a/src/prefix_index/holder_pool.cc
+++ b/src/prefix_index/holder_pool.cc
@@ -11,11 +11,11 @@
     reusable.pop_back();
     return number;
   }
-  if (chunk_used_ + capacity > kLargestArray) {
-    chunks_.push_back(std::make_unique<Holder[]>(kLargestArray));
+  if (chunk_used_ + capacity > kMaxArraySize) {
+    chunks_.push_back(std::make_unique<Holder[]>(kMaxArraySize));
     chunk_used_ = 0;
   }
-  const auto number = static_cast<std::uint32_t>((chunks_.size() - 1) * kLargestArray + chunk_used_);
+  const auto number = static_cast<std::uint32_t>((chunks_.size() - 1) * kMaxArraySize + chunk_used_);
   chunk_used_ += capacity;
   return number;
 }
@@ -25,7 +25,7 @@
 }
 
 std::size_t HolderPool::memoryBytes() const {
-  std::size_t bytes = chunks_.size() * kLargestArray * sizeof(Holder);
+  std::size_t bytes = chunks_.size() * kMaxArraySize * sizeof(Holder);
   for (const std::vector<std::uint32_t>& reusable : free_) bytes += reusable.capacity() * sizeof(reusable[0]);
   return bytes;
 }
--- a/src/prefix_index/prefix_index.cc
+++ b/src/prefix_index/prefix_index.cc
@@ -7,23 +7,23 @@
 namespace crankspur {
 namespace {
 
-/// Resolution of confirmation times; 31 bits of it last 6.8 years.
+/// Resolution of confirmation times; 31 bits of ticks last 6.8 years.
 constexpr Duration kTick = std::chrono::milliseconds(100);
 constexpr std::uint32_t kTickMask = 0x7fffffff;
 constexpr std::uint32_t kOptimisticTicks = kOptimisticLifetime / kTick;
-/// Blocks whose table slots are loaded ahead while matching.
+/// Number of blocks by which match() prefetches table slots ahead.
 constexpr std::size_t kPrefetchDistance = 16;
 
-/// What the index knows of an engine slot.
+/// State of an engine slot.
 struct SlotState {
   std::uint64_t incarnation = 0;
   std::uint64_t last_sequence = 0;
-  std::uint32_t entries = 0;  ///< Entries of the present generation.
+  std::uint32_t entries = 0;  ///< Entries of the current generation.
 };
 
-/// @return a number by which longer prefixes come first, and equal ones by engine; one comparison of numbers
-/// sorts faster than one of two fields.
-std::uint64_t rankOf(const PrefixMatch& match) {
+/// @return a key that sorts longer prefixes first and equal ones by engine. Comparing a single integer sorts
+/// faster than comparing two fields.
+std::uint64_t sortKey(const PrefixMatch& match) {
   return (std::uint64_t{~match.blocks} << 16) | match.engine;
 }
 
@@ -47,34 +47,35 @@
 
 private:
   SlotState& slotState(EngineSlot engine);
-  /// @return the slot's state, or nullptr when `incarnation` is not the present one.
-  SlotState* present(EngineSlot engine, std::uint64_t incarnation);
+  /// @return the slot's state, or nullptr when `incarnation` is not the current one.
+  SlotState* findCurrent(EngineSlot engine, std::uint64_t incarnation);
   std::uint32_t tick(TimePoint now) const;
   bool isLive(const Holder& entry) const { return entry.generation == generations_[entry.engine]; }
-  bool counts(const Holder& entry, std::uint32_t now_tick) const;
-  /// Makes every entry of the slot dead at once.
+  bool countsAsCached(const Holder& entry, std::uint32_t now_tick) const;
+  /// Makes every entry of the slot dead at once, by starting a new generation.
   void retireEntries(EngineSlot engine);
   void store(EngineSlot engine, BlockHash hash, bool optimistic, std::uint32_t now_tick);
   void remove(EngineSlot engine, BlockHash hash, std::uint32_t now_tick);
-  /// Marks the holders that were in the running so far, as of walk number `walk`; at the first walk all are.
-  /// @return whether there is any.
-  bool extend(std::span<const Holder> holders, std::uint32_t walk, std::uint32_t now_tick,
+  /// Extends the prefixes of the engines that hold every block before step `step` and are among `holders`;
+  /// the first step adds every holder that counts as cached to `matches`.
+  /// @return whether any prefix was extended.
+  bool extend(std::span<const Holder> holders, std::uint32_t step, std::uint32_t now_tick,
               std::vector<PrefixMatch>& matches) const;
-  /// Loads what match() needs a few blocks later.
+  /// Prefetches the slots and holders that match() needs a few blocks later.
   void prefetchAhead(std::span<const BlockHash> blocks, std::size_t position) const;
-  void makeRoom();
-  /// Counts an entry that leaves the table.
-  void noteRemoved(const Holder& entry);
+  void evictIfFull();
+  /// Updates the entry counts for an entry that leaves the table.
+  void recordRemoval(const Holder& entry);
 
   BlockTable table_;
   std::vector<SlotState> slots_;
   std::vector<std::uint16_t> generations_;  ///< By engine slot; entries of other generations are dead.
   std::size_t live_entries_ = 0;
   TimePoint epoch_ = TimePoint::min();
-  // Scratch of match(). A walk reads all holders of one block.
-  mutable std::vector<std::uint32_t> last_walk_;       ///< Last walk that an engine was in, by engine slot.
-  mutable std::vector<std::uint32_t> first_guess_;     ///< First walk that found it unconfirmed; 0: none.
-  mutable std::vector<std::uint32_t> walk_positions_;  ///< Position of the block, by walk.
+  // Scratch buffers of match(), whose steps each read all holders of one block.
+  mutable std::vector<std::uint32_t> last_step_;         ///< Last step with a live entry, by engine slot.
+  mutable std::vector<std::uint32_t> first_optimistic_;  ///< First step with an optimistic one; 0: none.
+  mutable std::vector<std::uint32_t> step_positions_;    ///< Position of the block in the prompt, by step.
 };
 
 SlotState& TablePrefixIndex::slotState(EngineSlot engine) {
@@ -85,19 +86,19 @@
   return slots_[engine];
 }
 
-SlotState* TablePrefixIndex::present(EngineSlot engine, std::uint64_t incarnation) {
+SlotState* TablePrefixIndex::findCurrent(EngineSlot engine, std::uint64_t incarnation) {
   if (engine >= slots_.size() || incarnation == 0) return nullptr;
   SlotState& state = slots_[engine];
   return state.incarnation == incarnation ? &state : nullptr;
 }
 
 std::uint32_t TablePrefixIndex::tick(TimePoint now) const {
-  // Before the first entry there is no epoch to count from.
+  // The epoch is set with the first entry.
   if (epoch_ == TimePoint::min()) return 0;
   return now <= epoch_ ? 0 : static_cast<std::uint32_t>((now - epoch_) / kTick);
 }
 
-bool TablePrefixIndex::counts(const Holder& entry, std::uint32_t now_tick) const {
+bool TablePrefixIndex::countsAsCached(const Holder& entry, std::uint32_t now_tick) const {
   if (!isLive(entry)) return false;
   return entry.optimistic == 0 || entry.confirmed_tick + kOptimisticTicks > now_tick;
 }
@@ -108,7 +109,7 @@
   state.entries = 0;
   state.last_sequence = 0;
   ++generations_[engine];
-  // Generation numbers begin anew: no entry of an earlier round may come back to life.
+  // The generation number wrapped around: entries of earlier generations must not become live again.
   if (generations_[engine] == 0) table_.eraseEngine(engine);
 }
 
@@ -124,13 +125,13 @@
   slots_[engine].incarnation = 0;
 }
 
-void TablePrefixIndex::makeRoom() {
+void TablePrefixIndex::evictIfFull() {
   if (table_.size() < table_.maximumEntries()) return;
   table_.evictOne([this](const Holder& entry) { return !isLive(entry); },
-                  [this](const Holder& entry) { noteRemoved(entry); });
+                  [this](const Holder& entry) { recordRemoval(entry); });
 }
 
-void TablePrefixIndex::noteRemoved(const Holder& entry) {
+void TablePrefixIndex::recordRemoval(const Holder& entry) {
   if (entry.engine == BlockTable::kNoEngine || !isLive(entry)) return;
   --slots_[entry.engine].entries;
   --live_entries_;
@@ -138,43 +139,43 @@
 
 void TablePrefixIndex::store(EngineSlot engine, BlockHash hash, bool optimistic, std::uint32_t now_tick) {
   SlotState& state = slots_[engine];
-  const BlockTable::Position place = table_.find(hash, engine);
-  const bool known = place.holder != nullptr && isLive(*place.holder);
+  const BlockTable::Position position = table_.find(hash, engine);
+  const bool known = position.holder != nullptr && isLive(*position.holder);
   if (!known) {
     ++state.entries;
     ++live_entries_;
   }
-  if (place.holder == nullptr) {
-    makeRoom();
-    noteRemoved(table_.insert(hash, {engine, generations_[engine], optimistic, now_tick & kTickMask}));
+  if (position.holder == nullptr) {
+    evictIfFull();
+    recordRemoval(table_.insert(hash, {engine, generations_[engine], optimistic, now_tick & kTickMask}));
     return;
   }
-  // A placement renews what is confirmed but never turns it back into a guess.
-  const bool stays_confirmed = known && place.holder->optimistic == 0;
-  const bool guess = optimistic && !stays_confirmed;
-  table_.replace(place, {engine, generations_[engine], guess, now_tick & kTickMask});
+  // A placement refreshes a confirmed entry but never makes it optimistic again.
+  const bool stays_confirmed = known && position.holder->optimistic == 0;
+  const bool is_optimistic = optimistic && !stays_confirmed;
+  table_.replace(position, {engine, generations_[engine], is_optimistic, now_tick & kTickMask});
 }
 
 void TablePrefixIndex::remove(EngineSlot engine, BlockHash hash, std::uint32_t now_tick) {
-  const BlockTable::Position place = table_.find(hash, engine);
-  if (place.holder == nullptr) return;
-  // Events are late: this removal may tell of a copy older than the one a fresh placement is creating.
-  const bool being_created = place.holder->optimistic == 1 && counts(*place.holder, now_tick);
+  const BlockTable::Position position = table_.find(hash, engine);
+  if (position.holder == nullptr) return;
+  // Events arrive late: the removed copy may be older than the one that a recent placement is creating.
+  const bool being_created = position.holder->optimistic == 1 && countsAsCached(*position.holder, now_tick);
   if (being_created) return;
-  noteRemoved(*place.holder);
-  table_.erase(place);
+  recordRemoval(*position.holder);
+  table_.erase(position);
 }
 
 void TablePrefixIndex::recordPlacement(EngineSlot engine, std::uint64_t incarnation,
                                        std::span<const BlockHash> blocks, TimePoint now) {
-  if (present(engine, incarnation) == nullptr) return;
+  if (findCurrent(engine, incarnation) == nullptr) return;
   if (epoch_ == TimePoint::min()) epoch_ = now;
   for (const BlockHash hash : blocks) store(engine, hash, true, tick(now));
 }
 
 bool TablePrefixIndex::applyEvent(EngineSlot engine, std::uint64_t incarnation, const CacheEvent& event,
                                   TimePoint now) {
-  SlotState* state = present(engine, incarnation);
+  SlotState* state = findCurrent(engine, incarnation);
   if (state == nullptr) return true;
   if (event.sequence <= state->last_sequence) return true;
   if (epoch_ == TimePoint::min()) epoch_ = now;
@@ -187,7 +188,7 @@
 
 void TablePrefixIndex::applyDigest(EngineSlot engine, std::uint64_t incarnation, std::uint64_t sequence,
                                    std::span<const BlockHash> blocks, TimePoint now) {
-  SlotState* state = present(engine, incarnation);
+  SlotState* state = findCurrent(engine, incarnation);
   if (state == nullptr || sequence < state->last_sequence) return;
   if (epoch_ == TimePoint::min()) epoch_ = now;
   retireEntries(engine);
@@ -198,8 +199,9 @@
 void TablePrefixIndex::correct(EngineSlot engine, std::uint64_t incarnation,
                                std::span<const BlockHash> blocks, std::uint32_t /*cached_blocks*/,
                                TimePoint now) {
-  // Whatever was cached at the start, all blocks are held now; eviction shows in events or later answers.
-  if (present(engine, incarnation) == nullptr) return;
+  // All blocks are held whatever was cached at the start; evictions are reported by events and later
+  // responses.
+  if (findCurrent(engine, incarnation) == nullptr) return;
   if (epoch_ == TimePoint::min()) epoch_ = now;
   for (const BlockHash hash : blocks) store(engine, hash, false, tick(now));
 }
@@ -211,28 +213,28 @@
   if (holders_ahead < blocks.size()) table_.prefetchHolders(blocks[holders_ahead]);
 }
 
-bool TablePrefixIndex::extend(std::span<const Holder> holders, std::uint32_t walk, std::uint32_t now_tick,
+bool TablePrefixIndex::extend(std::span<const Holder> holders, std::uint32_t step, std::uint32_t now_tick,
                               std::vector<PrefixMatch>& matches) const {
   bool any = false;
   for (const Holder& entry : holders) {
-    std::uint32_t& last_walk = last_walk_[entry.engine];
-    if (last_walk != walk - 1 || !counts(entry, now_tick)) continue;
-    std::uint32_t& first_guess = first_guess_[entry.engine];
-    if (walk == 1) {
+    std::uint32_t& last_step = last_step_[entry.engine];
+    if (last_step != step - 1 || !countsAsCached(entry, now_tick)) continue;
+    std::uint32_t& first_optimistic = first_optimistic_[entry.engine];
+    if (step == 1) {
       matches.push_back({entry.engine, 0, 0});
-      first_guess = 0;
+      first_optimistic = 0;
     }
-    if (entry.optimistic == 1 && first_guess == 0) first_guess = walk;
-    last_walk = walk;
+    if (entry.optimistic == 1 && first_optimistic == 0) first_optimistic = step;
+    last_step = step;
     any = true;
   }
   return any;
 }
 
 std::vector<PrefixMatch> TablePrefixIndex::match(std::span<const BlockHash> blocks, TimePoint now) const {
-  last_walk_.assign(slots_.size(), 0);
-  first_guess_.resize(slots_.size());
-  walk_positions_.assign(1, 0);
+  last_step_.assign(slots_.size(), 0);
+  first_optimistic_.resize(slots_.size());
+  step_positions_.assign(1, 0);
   std::vector<PrefixMatch> matches;
   const std::uint32_t now_tick = tick(now);
   for (std::size_t ahead = 0; ahead < kPrefetchDistance && ahead < blocks.size(); ++ahead) {
@@ -243,28 +245,28 @@
   for (; position < blocks.size(); ++position) {
     prefetchAhead(blocks, position);
     const HolderSet set = table_.holdersOf(blocks[position]);
-    // The same holders as of the block before: nobody falls out.
+    // The block has the same holders as the previous one, so every prefix continues.
     if (set.fingerprint != 0 && set.fingerprint == fingerprint) continue;
     fingerprint = set.fingerprint;
-    const auto walk = static_cast<std::uint32_t>(walk_positions_.size());
-    if (!extend(set.holders, walk, now_tick, matches)) break;
-    walk_positions_.push_back(position);
+    const auto step = static_cast<std::uint32_t>(step_positions_.size());
+    if (!extend(set.holders, step, now_tick, matches)) break;
+    step_positions_.push_back(position);
   }
-  // An engine's prefix ends where the walk after its last one found it missing.
-  walk_positions_.push_back(position);
+  // The prefix of an engine ends at the block of the step after the engine's last one.
+  step_positions_.push_back(position);
   for (PrefixMatch& found : matches) {
-    found.blocks = walk_positions_[last_walk_[found.engine] + 1];
-    const std::uint32_t guess = first_guess_[found.engine];
-    found.confirmed_blocks = guess == 0 ? found.blocks : walk_positions_[guess];
+    found.blocks = step_positions_[last_step_[found.engine] + 1];
+    const std::uint32_t optimistic_step = first_optimistic_[found.engine];
+    found.confirmed_blocks = optimistic_step == 0 ? found.blocks : step_positions_[optimistic_step];
   }
   std::sort(matches.begin(), matches.end(),
-            [](const PrefixMatch& left, const PrefixMatch& right) { return rankOf(left) < rankOf(right); });
+            [](const PrefixMatch& left, const PrefixMatch& right) { return sortKey(left) < sortKey(right); });
   return matches;
 }
 
 std::size_t TablePrefixIndex::memoryBytes() const {
   return table_.memoryBytes() + slots_.capacity() * (sizeof(SlotState) + sizeof(std::uint16_t)) +
-         (last_walk_.capacity() + first_guess_.capacity() + walk_positions_.capacity()) *
+         (last_step_.capacity() + first_optimistic_.capacity() + step_positions_.capacity()) *
              sizeof(std::uint32_t);
 }
 
--- a/tests/unit/prefix_index/prefix_index_test.cc
+++ b/tests/unit/prefix_index/prefix_index_test.cc
@@ -42,14 +42,14 @@
   CHECK(index->match(blocks, kStart).empty());
   CHECK(index->size() == 0);
 
-  SECTION("late facts about the dead incarnation change nothing") {
+  SECTION("late updates for the dead incarnation are ignored") {
     index->recordPlacement(3, 7, blocks, kStart);
     index->applyEvent(3, 7, {2, blocks, {}}, kStart);
     index->applyDigest(3, 7, 9, blocks, kStart);
     index->correct(3, 7, blocks, 4, kStart);
     CHECK(index->match(blocks, kStart).empty());
   }
-  SECTION("the old incarnation number does not revive them") {
+  SECTION("setting the old incarnation again does not restore them") {
     index->setIncarnation(3, 7);
     CHECK(index->match(blocks, kStart).empty());
   }
@@ -59,7 +59,7 @@
   }
 }
 
-TEST_CASE("entries stay dead while generation numbers come round", "[prefix_index]") {
+TEST_CASE("entries stay dead when generation numbers wrap around", "[prefix_index]") {
   auto index = makePrefixIndex(1000);
   const auto blocks = promptOf(kScope, 2);
   index->setIncarnation(0, 1);
@@ -70,7 +70,7 @@
   CHECK(index->match(blocks, kStart).empty());
 }
 
-TEST_CASE("a forgotten engine accepts no facts until its incarnation is declared", "[prefix_index]") {
+TEST_CASE("updates for a removed engine are ignored until its incarnation is set", "[prefix_index]") {
   auto index = makePrefixIndex(1000);
   const auto blocks = promptOf(kScope, 2);
   index->setIncarnation(1, 5);
@@ -113,7 +113,7 @@
   }
 }
 
-TEST_CASE("optimistic entries expire unless something confirms them", "[prefix_index]") {
+TEST_CASE("optimistic entries expire unless they are confirmed", "[prefix_index]") {
   auto index = makePrefixIndex(1000);
   const auto blocks = promptOf(kScope, 3);
   index->setIncarnation(0, 1);
@@ -151,7 +151,7 @@
   CHECK(matches[1].blocks == 2);
 }
 
-TEST_CASE("a full index drops dead entries and old ones, and stays within its bound", "[prefix_index]") {
+TEST_CASE("a full index evicts dead and old entries and stays within its capacity", "[prefix_index]") {
   auto index = makePrefixIndex(256);
   RandomSource random(1);
   index->setIncarnation(0, 1);
@@ -169,7 +169,7 @@
   CHECK(blocksAt(*index, hot, 0, kStart + 200s) == 64);
 }
 
-TEST_CASE("the index agrees with a plain model under random facts", "[prefix_index]") {
+TEST_CASE("the index agrees with a reference model under random events", "[prefix_index]") {
   RandomSource random(42);
   auto index = makePrefixIndex(4096);
   constexpr EngineSlot kEngines = 4;
@@ -198,7 +198,7 @@
   }
 }
 
-TEST_CASE("many engines may hold one block, come and go", "[prefix_index]") {
+TEST_CASE("a block may gain and lose many holders", "[prefix_index]") {
   auto index = makePrefixIndex(1000);
   const auto blocks = promptOf(kScope, 3);
   for (EngineSlot engine = 0; engine < 100; ++engine) {
@@ -215,7 +215,8 @@
   CHECK(index->size() == 201);
 }
 
-TEST_CASE("prefixes that many engines hold end where they end", "[prefix_index]") {
+TEST_CASE("prefixes of different lengths are matched when many engines hold the first block",
+          "[prefix_index]") {
   auto index = makePrefixIndex(10'000);
   const auto blocks = promptOf(kScope, 60);
   for (EngineSlot engine = 0; engine < 60; ++engine) {
--- a/tests/unit/prefix_index/prefix_match_test.cc
+++ b/tests/unit/prefix_index/prefix_match_test.cc
@@ -13,28 +13,28 @@
 constexpr std::size_t kHeadBlocks = 24;
 constexpr std::size_t kTailBlocks = 12;
 
-/// The index's rules without any of its structures: one record for each block and engine, read one by one.
-class PlainIndex {
+/// Reference implementation of the index without its data structures: one record for each block and engine.
+class ReferenceIndex {
 public:
-  void forgetAll(EngineSlot engine) { held_[engine].clear(); }
-  void store(EngineSlot engine, std::span<const BlockHash> blocks, bool guess, TimePoint now) {
+  void clear(EngineSlot engine) { held_[engine].clear(); }
+  void store(EngineSlot engine, std::span<const BlockHash> blocks, bool optimistic, TimePoint now) {
     for (const BlockHash block : blocks) {
       const auto known = held_[engine].find(block);
-      const bool confirmed = known != held_[engine].end() && !known->second.guess;
-      held_[engine][block] = {guess && !confirmed, now};
+      const bool confirmed = known != held_[engine].end() && !known->second.optimistic;
+      held_[engine][block] = {optimistic && !confirmed, now};
     }
   }
   void remove(EngineSlot engine, BlockHash block, TimePoint now) {
     const auto known = held_[engine].find(block);
     if (known == held_[engine].end()) return;
-    if (!known->second.guess || !counts(known->second, now)) held_[engine].erase(known);
+    if (!known->second.optimistic || !countsAsCached(known->second, now)) held_[engine].erase(known);
   }
   PrefixMatch prefix(EngineSlot engine, std::span<const BlockHash> blocks, TimePoint now) const {
     PrefixMatch found{engine, 0, 0};
     for (const BlockHash block : blocks) {
       const auto held = held_[engine].find(block);
-      if (held == held_[engine].end() || !counts(held->second, now)) break;
-      const bool confirmed = found.confirmed_blocks == found.blocks && !held->second.guess;
+      if (held == held_[engine].end() || !countsAsCached(held->second, now)) break;
+      const bool confirmed = found.confirmed_blocks == found.blocks && !held->second.optimistic;
       found.confirmed_blocks += confirmed ? 1 : 0;
       ++found.blocks;
     }
@@ -43,19 +43,19 @@
 
 private:
   struct Record {
-    bool guess = false;
-    TimePoint noted{};
+    bool optimistic = false;
+    TimePoint stored_at{};
   };
-  static bool counts(const Record& record, TimePoint now) {
-    return !record.guess || record.noted + kOptimisticLifetime > now;
+  static bool countsAsCached(const Record& record, TimePoint now) {
+    return !record.optimistic || record.stored_at + kOptimisticLifetime > now;
   }
   std::vector<std::map<BlockHash, Record>> held_ = std::vector<std::map<BlockHash, Record>>(kEngines);
 };
 
-/// An index and its plain counterpart, told the same random facts of prompts with shared heads.
-class Pair {
+/// An index and its reference, which receive the same random updates for prompts that share leading blocks.
+class IndexPair {
 public:
-  explicit Pair(std::uint64_t seed) : random_(seed), sequence_(kEngines, 0), incarnation_(kEngines, 1) {
+  explicit IndexPair(std::uint64_t seed) : random_(seed), sequence_(kEngines, 0), incarnation_(kEngines, 1) {
     for (EngineSlot engine = 0; engine < kEngines; ++engine) index_->setIncarnation(engine, 1);
     for (int head = 0; head < 2; ++head) {
       const std::vector<BlockHash> blocks = randomBlocks(kHeadBlocks);
@@ -67,7 +67,8 @@
     }
   }
   void step() {
-    // Tells of one time, as a placement's, fall into one tick of the index.
+    // Time advances by whole ticks of the index, so that updates made at one time, such as the blocks of one
+    // placement, share a tick.
     if (random_.chance(0.05)) now_ += random_.uniform(1, 20) * 100ms;
     const auto engine = static_cast<EngineSlot>(random_.uniform(0, kEngines - 1));
     const std::vector<BlockHash>& prompt = prompts_[random_.uniform(0, prompts_.size() - 1)];
@@ -75,14 +76,14 @@
     const double kind = random_.unit();
     if (kind < 0.02) return restart(engine);
     if (kind < 0.3) return place(engine, part);
-    if (kind < 0.6) return answer(engine, part);
+    if (kind < 0.6) return respond(engine, part);
     removeSome(engine, prompt);
   }
   void compare() const {
     for (const std::vector<BlockHash>& prompt : prompts_) {
       std::vector<PrefixMatch> expected;
       for (EngineSlot engine = 0; engine < kEngines; ++engine) {
-        const PrefixMatch match = plain_.prefix(engine, prompt, now_);
+        const PrefixMatch match = reference_.prefix(engine, prompt, now_);
         if (match.blocks > 0) expected.push_back(match);
       }
       std::stable_sort(
@@ -106,18 +107,18 @@
   }
   void restart(EngineSlot engine) {
     index_->setIncarnation(engine, ++incarnation_[engine]);
-    plain_.forgetAll(engine);
+    reference_.clear(engine);
     sequence_[engine] = 0;
   }
   void place(EngineSlot engine, std::span<const BlockHash> blocks) {
     index_->recordPlacement(engine, incarnation_[engine], blocks, now_);
-    plain_.store(engine, blocks, true, now_);
+    reference_.store(engine, blocks, true, now_);
   }
-  void answer(EngineSlot engine, std::span<const BlockHash> blocks) {
+  void respond(EngineSlot engine, std::span<const BlockHash> blocks) {
     index_->correct(engine, incarnation_[engine], blocks, 0, now_);
-    plain_.store(engine, blocks, false, now_);
+    reference_.store(engine, blocks, false, now_);
   }
-  /// Removes the end of a prefix, as engines do, or seldom a block in its midst.
+  /// Removes the end of a prefix, as engines do, or occasionally a single block within it.
   void removeSome(EngineSlot engine, const std::vector<BlockHash>& prompt) {
     const std::size_t from = random_.uniform(0, prompt.size() - 1);
     const std::size_t to = random_.chance(0.2) ? from + 1 : prompt.size();
@@ -125,12 +126,12 @@
     event.removed.assign(prompt.begin() + static_cast<std::ptrdiff_t>(from),
                          prompt.begin() + static_cast<std::ptrdiff_t>(to));
     REQUIRE(index_->applyEvent(engine, incarnation_[engine], event, now_));
-    for (const BlockHash block : event.removed) plain_.remove(engine, block, now_);
+    for (const BlockHash block : event.removed) reference_.remove(engine, block, now_);
   }
 
   RandomSource random_;
   std::unique_ptr<PrefixIndex> index_ = makePrefixIndex(100'000);
-  PlainIndex plain_;
+  ReferenceIndex reference_;
   std::vector<std::vector<BlockHash>> prompts_;
   std::vector<std::uint64_t> sequence_;
   std::vector<std::uint64_t> incarnation_;
@@ -139,10 +140,10 @@
 
 }  // namespace
 
-TEST_CASE("match finds what a plain search finds, whatever the facts", "[prefix_index]") {
+TEST_CASE("match agrees with the reference implementation under random updates", "[prefix_index]") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
-    Pair pair(seed);
+    IndexPair pair(seed);
     for (int step = 0; step < 600; ++step) {
       pair.step();
       if (step % 5 == 0) pair.compare();
