--- a/src/admission/decaying_rate.h
+++ b/src/admission/decaying_rate.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file A rate measured over the recent past, older amounts weighing less and less.
+/// @file A rate measured over the recent past, with exponentially decaying weights.
 
 #include <cmath>
 
@@ -7,11 +7,11 @@
 
 namespace crankspur {
 
-/// Exponentially decaying sum, read as a rate.
+/// Exponentially decaying sum that is read as a rate.
 class DecayingRate {
 public:
-  /// @param memory time after which an amount weighs 1/e of what it did.
-  explicit DecayingRate(Duration memory) : memory_seconds_(toSeconds(memory)) {}
+  /// @param decay_time time after which the weight of an amount has decayed to 1/e.
+  explicit DecayingRate(Duration decay_time) : decay_seconds_(toSeconds(decay_time)) {}
 
   void add(double amount, TimePoint now) {
     decay(now);
@@ -20,18 +20,18 @@
   /// @return amount per second.
   double perSecond(TimePoint now) {
     decay(now);
-    return sum_ / memory_seconds_;
+    return sum_ / decay_seconds_;
   }
 
 private:
   void decay(TimePoint now) {
     if (now > updated_at_) {
-      sum_ *= std::exp(-toSeconds(now - updated_at_) / memory_seconds_);
+      sum_ *= std::exp(-toSeconds(now - updated_at_) / decay_seconds_);
       updated_at_ = now;
     }
   }
 
-  double memory_seconds_;
+  double decay_seconds_;
   double sum_ = 0;
   TimePoint updated_at_{};
 };
--- a/src/admission/fair_share.cc
+++ b/src/admission/fair_share.cc
@@ -6,7 +6,7 @@
 namespace crankspur {
 
 double fairShareLevel(std::vector<ShareDemand> demands, double capacity) {
-  // The least demanding in proportion to weight is satisfied first.
+  // Demands are satisfied in ascending order of demand per unit of weight.
   std::sort(demands.begin(), demands.end(), [](const ShareDemand& left, const ShareDemand& right) {
     return left.demand * right.weight < right.demand * left.weight;
   });
--- a/src/admission/token_bucket.h
+++ b/src/admission/token_bucket.h
@@ -1,6 +1,7 @@
 #pragma once
-/// @file Token bucket that may go into debt: whoever finds it above zero may take any cost, and the next
-/// taker waits until the debt is paid back. So a request larger than the burst is delayed, never starved.
+/// @file Token bucket whose level may become negative: a request may take any cost while the level is above
+/// zero, and the next one waits until the level is positive again. A request larger than the burst is
+/// therefore delayed but never starved.
 
 #include <algorithm>
 
@@ -8,10 +9,10 @@
 
 namespace crankspur {
 
-/// One bucket; a rate of 0 means no limit.
+/// A token bucket; a rate of 0 means no limit.
 class TokenBucket {
 public:
-  /// Changes the rate and burst; the level is kept, at most the burst.
+  /// Changes the rate and burst; the level is kept, but capped at the burst. A new bucket starts full.
   void configure(double tokens_per_second, double burst, TimePoint now) {
     refill(now);
     const bool first = burst_ == 0;
@@ -19,16 +20,17 @@
     burst_ = burst;
     level_ = first ? burst : std::min(level_, burst);
   }
+  /// @return whether a request may take tokens.
   bool available(TimePoint now) {
     refill(now);
     return rate_ <= 0 || level_ > 0;
   }
-  /// Takes tokens; a negative amount gives them back.
+  /// Takes tokens; a negative amount returns them.
   void take(double tokens, TimePoint now) {
     refill(now);
     level_ = std::min(level_ - tokens, burst_);
   }
-  /// @return time until available() holds again if nobody takes more.
+  /// @return time until available() returns true if no more tokens are taken.
   Duration timeUntilAvailable(TimePoint now) {
     if (available(now)) return Duration(0);
     return Duration(static_cast<std::int64_t>(-level_ / rate_ * 1e6) + 1);
--- a/tests/unit/admission/admission_test.cc
+++ b/tests/unit/admission/admission_test.cc
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-TEST_CASE("a tenant's token rate is its fleet limit over the routers", "[admission]") {
+TEST_CASE("each router enforces the tenant's token rate divided by the number of routers", "[admission]") {
   TenantPolicy tenant = tenantOf("yard");
   tenant.tokens_per_second = 4000;
   auto admission = makeAdmission();
@@ -51,7 +51,7 @@
   CHECK(admitted == Approx(22'000).epsilon(0.02));
 }
 
-TEST_CASE("a tenant's share follows the routers that its models meet", "[admission]") {
+TEST_CASE("a tenant's limit is divided by the number of routers that serve its models", "[admission]") {
   const auto admittedAtOnce = [](std::vector<std::string> models) {
     TenantPolicy tenant = tenantOf("yard");
     tenant.max_in_flight = 8;
@@ -68,7 +68,7 @@
   CHECK(admittedAtOnce({}) == 2);
 }
 
-TEST_CASE("a refusal says when to come back, and coming back then succeeds", "[admission]") {
+TEST_CASE("a retry succeeds after the delay stated in the refusal", "[admission]") {
   TenantPolicy tenant = tenantOf("yard");
   tenant.tokens_per_second = 1000;
   auto admission = makeAdmission();
@@ -83,7 +83,7 @@
   CHECK(admission->admit(large, kStart + refused.retry_after).admitted);
 }
 
-TEST_CASE("tokens not used are given back", "[admission]") {
+TEST_CASE("unused tokens are returned to the bucket", "[admission]") {
   TenantPolicy tenant = tenantOf("yard");
   tenant.tokens_per_second = 1000;
   auto admission = makeAdmission();
@@ -94,7 +94,7 @@
   CHECK(admission->admit(large, kStart).admitted);
 }
 
-TEST_CASE("the limit in flight holds and is never below one", "[admission]") {
+TEST_CASE("the limit on requests in flight is enforced and is at least one per router", "[admission]") {
   TenantPolicy tenant = tenantOf("yard");
   tenant.max_in_flight = 2;
   auto admission = makeAdmission();
@@ -108,7 +108,7 @@
   CHECK(admission->admit(request, kStart).admitted);
 }
 
-TEST_CASE("work that cannot start in time is refused at once", "[admission]") {
+TEST_CASE("a request that cannot start before its deadline is refused at once", "[admission]") {
   auto admission = makeAdmission();
   admission->configure(bundleOf({tenantOf("yard")}), 1, kStart);
   AdmissionRequest request = requestOf("yard", 10);
@@ -121,7 +121,7 @@
   CHECK(admission->admit(requestOf("stranger", 10), kStart).code == ErrorCode::Unauthorized);
 }
 
-TEST_CASE("retries are limited to a share of first attempts", "[admission]") {
+TEST_CASE("retries are limited to a fraction of first attempts", "[admission]") {
   TenantPolicy tenant = tenantOf("yard");
   tenant.retry_budget = 0.1;
   auto admission = makeAdmission();
@@ -137,7 +137,8 @@
   CHECK(admitted >= 100);
 }
 
-TEST_CASE("in a full fleet a tenant that sends ten times its share hurts itself alone", "[admission]") {
+TEST_CASE("in a full fleet a tenant that sends ten times its share does not affect other tenants",
+          "[admission]") {
   auto admission = makeAdmission();
   admission->configure(bundleOf({tenantOf("greedy"), tenantOf("small"), tenantOf("other")}), 1, kStart);
   int small_refused = 0;
@@ -146,7 +147,7 @@
   for (int step = 0; step < 3000; ++step) {
     const TimePoint now = kStart + step * 10ms;
     const double seconds = std::max(1.0, step * 0.01);
-    // The fleet bears 30,000 tokens a second; small and other ask for 5,000 each, greedy for 50,000.
+    // The fleet serves 30,000 tokens a second; "small" and "other" request 5,000 each, "greedy" 50,000.
     const double utilization = admitted_tokens / seconds / 30'000;
     for (int copy = 0; copy < 12; ++copy) {
       AdmissionRequest request = requestOf(copy < 10 ? "greedy" : copy == 10 ? "small" : "other", 50);
@@ -166,7 +167,7 @@
   CHECK(admitted_tokens / 30 / 30'000 > 0.7);
 }
 
-TEST_CASE("a capacity is divided by weight, and what the modest leave goes to the others", "[admission]") {
+TEST_CASE("capacity left unused by small demands is divided among the others by weight", "[admission]") {
   CHECK(fairShareLevel({{10, 1}, {100, 1}, {100, 2}}, 100) == Approx(30));
   CHECK(std::isinf(fairShareLevel({{10, 1}, {20, 1}}, 30)));
   CHECK(fairShareLevel({{10, 1}, {20, 1}}, 0) == 0);
