--- a/src/lease/lease.cc
+++ b/src/lease/lease.cc
@@ -12,9 +12,9 @@
 
 namespace front = boost::msm::front;
 
-/// A holder renews, and a watcher looks, this many times within a lifetime.
-constexpr int kLooksPerLifetime = 3;
-/// After a call without answer the row is read back this soon, in parts of the lifetime.
+/// A holder renews the row, and other contenders read it, this many times within a lifetime.
+constexpr int kChecksPerLifetime = 3;
+/// After a call without a response the row is read back after the lifetime divided by this.
 constexpr int kRetriesPerLifetime = 10;
 
 struct CallStarted {};
@@ -23,8 +23,9 @@
 struct SeenOther {};
 struct CallFailed {};
 
-/// Life cycle of a contender. `Watching` looks at the row from time to time; `Claiming` and `Holding` write
-/// it when due; `Unsure` reads it back before anything else.
+/// State machine of a contender. `Watching` reads the row periodically; `Claiming` and `Holding` write it
+/// when due; `Unsure` reads it back before any other operation, because the result of the last write is
+/// unknown.
 struct LeaseTable : front::state_machine_def<LeaseTable> {
   struct Watching : front::state<> {};
   struct Claiming : front::state<> {};
@@ -95,7 +96,7 @@
   void onFailed(TimePoint now) override {
     outstanding_ = false;
     machine_.process_event(CallFailed{});
-    next_at_ = now + part(kRetriesPerLifetime);
+    next_at_ = now + jitteredPart(kRetriesPerLifetime);
   }
 
   std::optional<std::uint64_t> heldToken(TimePoint now) const override {
@@ -114,7 +115,7 @@
   LeaseRow claim() const { return {holder_, row_.token + 1, row_.renewal + 1}; }
   LeaseRow renewal() const { return {holder_, row_.token, row_.renewal + 1}; }
 
-  /// Judges a row as it is in the table.
+  /// Handles a row as read from the table.
   void observe(const LeaseRow& row, TimePoint now) {
     const bool own = row.row_version != 0 && row.holder == holder_ && row.token == proposed_.token;
     const bool changed = row.row_version != row_.row_version || !seen_;
@@ -122,7 +123,7 @@
     seen_ = true;
     row_ = row;
     if (own) {
-      // The write whose answer was lost did take effect, at the earliest when it was sent.
+      // The write whose response was lost took effect, not before it was sent.
       const bool newest = row.renewal == proposed_.renewal;
       if (newest) return becomeHolder(now);
       machine_.process_event(SeenOwn{});
@@ -130,7 +131,7 @@
       return;
     }
     token_ = 0;
-    // The holder counts its lease from when it sent the row, so that one of such an age is over.
+    // The holder counts its lease from when it sent the row, so a row of at least this age has expired.
     const bool over =
         row.age.value_or(now - unchanged_since_) >= lifetime_ || now - unchanged_since_ >= lifetime_;
     const bool free = row.row_version == 0 || row.holder.empty() || over;
@@ -140,7 +141,7 @@
           now + Duration(static_cast<Duration::rep>(random_.unit() * 0.02 * toMicroseconds(lifetime_)));
     } else {
       machine_.process_event(SeenOther{});
-      next_at_ = now + part(kLooksPerLifetime);
+      next_at_ = now + jitteredPart(kChecksPerLifetime);
     }
   }
 
@@ -150,13 +151,13 @@
     valid_until_ = sent_at_ + lifetime_;
     unchanged_since_ = now;
     seen_ = true;
-    next_at_ = sent_at_ + part(kLooksPerLifetime);
+    next_at_ = sent_at_ + jitteredPart(kChecksPerLifetime);
   }
 
   static double toMicroseconds(Duration duration) { return static_cast<double>(duration.count()); }
 
-  /// @return a jittered part of the lifetime.
-  Duration part(int parts) {
+  /// @return the lifetime divided by `parts`, jittered by up to 20% either way.
+  Duration jitteredPart(int parts) {
     const double factor = (0.8 + 0.4 * random_.unit()) / parts;
     return Duration(static_cast<Duration::rep>(toMicroseconds(lifetime_) * factor));
   }
--- a/tests/unit/lease/lease_test.cc
+++ b/tests/unit/lease/lease_test.cc
@@ -13,7 +13,7 @@
 
 constexpr Duration kLifetime = 3s;
 
-/// One row with compare-and-set.
+/// A table of one row with compare-and-set.
 struct Table {
   LeaseRow row;
   bool write(const LeaseAction& action) {
@@ -25,15 +25,15 @@
   }
 };
 
-enum class Fate { Answered, AnswerLost, NeverArrived };
+enum class CallOutcome { Delivered, ResponseLost, RequestLost };
 
-/// Carries out what the lease wants now, at once.
-void step(Lease& lease, Table& table, TimePoint now, Fate fate = Fate::Answered) {
+/// Executes the operation that the lease has due at `now`, if any.
+void step(Lease& lease, Table& table, TimePoint now, CallOutcome outcome = CallOutcome::Delivered) {
   const auto action = lease.poll(now);
   if (!action) return;
   const bool read = action->kind == LeaseAction::Kind::Read;
-  const bool committed = !read && fate != Fate::NeverArrived && table.write(*action);
-  if (fate != Fate::Answered) {
+  const bool committed = !read && outcome != CallOutcome::RequestLost && table.write(*action);
+  if (outcome != CallOutcome::Delivered) {
     lease.onFailed(now);
   } else if (read) {
     lease.onRead(table.row, now);
@@ -56,7 +56,7 @@
 
 }  // namespace
 
-TEST_CASE("a lease whose age shows that it is over is taken at the first look", "[lease]") {
+TEST_CASE("a lease whose age has reached its lifetime is taken at the first read", "[lease]") {
   Table table;
   table.row = {"gone", 4, 9, 17};
   table.row.age = kLifetime;
@@ -66,7 +66,7 @@
   CHECK(table.row.token == 5);
 }
 
-TEST_CASE("a lease that is younger than its lifetime is left alone", "[lease]") {
+TEST_CASE("a lease whose age is below its lifetime is not taken", "[lease]") {
   Table table;
   table.row = {"alive", 4, 9, 17};
   table.row.age = kLifetime - 1ms;
@@ -77,7 +77,7 @@
   CHECK(table.row.holder == "alive");
 }
 
-TEST_CASE("a free lease is taken and held by renewals", "[lease]") {
+TEST_CASE("a free lease is taken and kept by renewals", "[lease]") {
   Table table;
   const auto lease = makeLease("a", kLifetime, 1);
   TimePoint now = acquire(*lease, table, kStart, 1s);
@@ -89,7 +89,8 @@
   CHECK(table.row.renewal > 10);
 }
 
-TEST_CASE("a paused holder loses the lease to another with a higher token and knows it at once", "[lease]") {
+TEST_CASE("a paused holder loses the lease to a contender with a higher token and stops reporting it at once",
+          "[lease]") {
   Table table;
   const auto paused = makeLease("a", kLifetime, 1);
   const auto other = makeLease("b", kLifetime, 2);
@@ -103,32 +104,35 @@
   CHECK(table.row.holder == "b");
 }
 
-TEST_CASE("a claim whose answer is lost is found by reading back, with the same token", "[lease]") {
+TEST_CASE("a claim whose response is lost is found by reading the row back, with the same token", "[lease]") {
   Table table;
   const auto lease = makeLease("a", kLifetime, 1);
   TimePoint now = kStart;
   step(*lease, table, now);
   while (table.row.row_version == 0) {
     now += 20ms;
-    step(*lease, table, now, Fate::AnswerLost);
+    step(*lease, table, now, CallOutcome::ResponseLost);
   }
   CHECK_FALSE(lease->heldToken(now));
   now = acquire(*lease, table, now, 2s);
   CHECK(lease->heldToken(now) == 1);
 }
 
-TEST_CASE("while the table is silent the holder's time runs out by when it last sent", "[lease]") {
+TEST_CASE("while the table does not respond, the lease expires a lifetime after the last successful write",
+          "[lease]") {
   Table table;
   const auto lease = makeLease("a", kLifetime, 1);
   TimePoint now = acquire(*lease, table, kStart);
-  const TimePoint silent_from = now;
-  for (; now < silent_from + 2 * kLifetime; now += 50ms) step(*lease, table, now, Fate::NeverArrived);
+  const TimePoint unreachable_from = now;
+  for (; now < unreachable_from + 2 * kLifetime; now += 50ms)
+    step(*lease, table, now, CallOutcome::RequestLost);
   CHECK_FALSE(lease->heldToken(now));
   now = acquire(*lease, table, now);
   CHECK(lease->heldToken(now).has_value());
 }
 
-TEST_CASE("under lost answers and pauses never two hold at once and tokens only grow", "[lease]") {
+TEST_CASE("under lost responses and pauses at most one contender holds the lease and tokens never decrease",
+          "[lease]") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     RandomSource random(seed);
     Table table;
@@ -152,8 +156,10 @@
         if (random.chance(0.002)) paused_until[index] = now + std::chrono::seconds(random.uniform(1, 9));
         if (now < paused_until[index]) continue;
         const double draw = random.unit();
-        const Fate fate = draw < 0.1 ? Fate::AnswerLost : draw < 0.2 ? Fate::NeverArrived : Fate::Answered;
-        step(*contenders[index], table, now, fate);
+        const CallOutcome outcome = draw < 0.1   ? CallOutcome::ResponseLost
+                                    : draw < 0.2 ? CallOutcome::RequestLost
+                                                 : CallOutcome::Delivered;
+        step(*contenders[index], table, now, outcome);
       }
       CHECK(holding <= 1);
     }
