--- a/src/prefix_index/prefix_index.h
+++ b/src/prefix_index/prefix_index.h
@@ -56,9 +56,9 @@
   /// last applied event is ignored.
   virtual void applyDigest(EngineSlot engine, std::uint64_t incarnation, std::uint64_t sequence,
                            std::span<const BlockHash> blocks, TimePoint now) = 0;
-  /// Applies the cache use reported by a response: the engine held `cached_blocks` leading blocks when it
-  /// started the request and holds all of `blocks` at the time of the call. Callers leave out blocks that the
-  /// engine has yet to compute.
+  /// Corrects the entries by the cache use that a response reported: the engine held `cached_blocks` leading
+  /// blocks when it started the request and holds all of `blocks` at the time of the call. Callers leave out
+  /// blocks that the engine has yet to compute.
   virtual void correct(EngineSlot engine, std::uint64_t incarnation, std::span<const BlockHash> blocks,
                        std::uint32_t cached_blocks, TimePoint now) = 0;
   /// @return engines that hold at least one leading block, longest prefix first.
--- a/tests/unit/placement/outstanding_ledger_test.cc
+++ b/tests/unit/placement/outstanding_ledger_test.cc
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-TEST_CASE("the backlog is the time to prefill the dispatches in order, less the time elapsed",
+TEST_CASE("the backlog is the time to prefill the unfinished dispatches in order, less the time elapsed",
           "[placement]") {
   OutstandingLedger ledger;
   ledger.add(1, 10, 800, kStart);
