--- a/bench/gateway/choice_bench.cc
+++ b/bench/gateway/choice_bench.cc
@@ -44,8 +44,8 @@
     for (std::size_t index = 0; index < engines; ++index) choice_.onCachedParts(wholeCache(index), kNow);
   }
 
-  CachedPartsNews wholeCache(std::size_t engine) {
-    CachedPartsNews news = newsOf(engine);
+  CachedPartsUpdate wholeCache(std::size_t engine) {
+    CachedPartsUpdate news = newsOf(engine);
     news.complete = true;
     for (std::uint64_t part = 0; part < kLongParts; ++part) {
       news.parts.push_back(cached(random_.uniform(1, kLongSubjects), kSharedTokens));
@@ -58,8 +58,8 @@
   }
 
   /// One part comes and one goes.
-  CachedPartsNews change(std::size_t engine) {
-    CachedPartsNews news = newsOf(engine);
+  CachedPartsUpdate change(std::size_t engine) {
+    CachedPartsUpdate news = newsOf(engine);
     news.parts.push_back(cached(random_.uniform(1, kLongSubjects), kSharedTokens));
     news.parts.push_back(cached(random_.uniform(1, kLongSubjects), 0));
     return news;
@@ -101,8 +101,8 @@
     return {cacheScope("1", ""), kModel, part, tokens};
   }
 
-  CachedPartsNews newsOf(std::size_t engine) const {
-    CachedPartsNews news;
+  CachedPartsUpdate newsOf(std::size_t engine) const {
+    CachedPartsUpdate news;
     news.slot = snapshot_.backends[engine].view.slot;
     news.incarnation = snapshot_.backends[engine].view.incarnation;
     return news;
@@ -155,7 +155,7 @@
   std::size_t engine = 0;
   for (auto _ : state) {
     state.PauseTiming();
-    const CachedPartsNews news = fleet.change(engine++ % fleet.engines());
+    const CachedPartsUpdate news = fleet.change(engine++ % fleet.engines());
     state.ResumeTiming();
     fleet.choice().onCachedParts(news, kNow);
   }
@@ -167,7 +167,7 @@
   std::size_t engine = 0;
   for (auto _ : state) {
     state.PauseTiming();
-    const CachedPartsNews news = fleet.wholeCache(engine++ % fleet.engines());
+    const CachedPartsUpdate news = fleet.wholeCache(engine++ % fleet.engines());
     state.ResumeTiming();
     fleet.choice().onCachedParts(news, kNow);
   }
--- a/sim/gateway_world/gateway_node.cc
+++ b/sim/gateway_world/gateway_node.cc
@@ -21,7 +21,7 @@
   settings.retry_budget.slack = kRetrySlackPerGateway * context.site.gateways;
   gateway::CrashPolicy& policy = settings.crash_policy;
   if (!context.has(sim::Mechanism::CrashSequence)) policy.sequence_tolerance = kNoSequence;
-  if (!context.has(sim::Mechanism::CrashClearing)) policy.answers_clear = false;
+  if (!context.has(sim::Mechanism::CrashClearing)) policy.clear_on_response = false;
   if (!context.has(sim::Mechanism::CrashIsolation)) {
     policy.crashes_until_isolated = policy.crashes_until_quarantined;
   }
--- a/sim/gateway_world/gateway_node_control.cc
+++ b/sim/gateway_world/gateway_node_control.cc
@@ -70,7 +70,7 @@
     listed = row.present ? name : "";
     if (row.present) process_->fleet.onListed(listedBackend(engine, row, name), now());
   }
-  process_->contact->vouch(asked_at);
+  process_->contact->confirm(asked_at);
   vouched_at_ = std::max(vouched_at_, asked_true);
   const bool first = !std::exchange(process_->has_configuration, true);
   if (!news.rows.empty() || first) publish();
--- a/sim/gateway_world/gateway_node_traffic.cc
+++ b/sim/gateway_world/gateway_node_traffic.cc
@@ -139,7 +139,7 @@
 
 void GatewayNode::onEngineHead(gateway::ExchangeId id, const EngineHead& head) {
   if (!process_->exchanges.contains(id)) return;
-  gateway::BackendAnswer answer;
+  gateway::BackendResponse answer;
   answer.genuine = true;
   answer.not_run = head.not_run;
   answer.wrong_backend = head.wrong_engine;
--- a/src/gateway/backend_table.cc
+++ b/src/gateway/backend_table.cc
@@ -92,8 +92,8 @@
       first ? seconds : state.answer_seconds + kAnswerSmoothing * (seconds - state.answer_seconds);
 }
 
-bool BackendTable::hasRoom(const Backend& backend, const Pool& pool, std::uint32_t share_divisor,
-                           TimePoint now) const {
+bool BackendTable::hasCapacity(const Backend& backend, const Pool& pool, std::uint32_t share_divisor,
+                               TimePoint now) const {
   const State* state = find(backend.view.slot);
   if (state == nullptr) return true;
   if (now < state->full_until) return false;
@@ -114,11 +114,11 @@
   return state == nullptr || state->health.state(now) == HealthState::Healthy;
 }
 
-bool BackendTable::isSilent(const Backend& backend) const {
-  return backend.silent_since != TimePoint{} && heardAt(backend.view.slot) <= backend.silent_since;
+bool BackendTable::isUnresponsive(const Backend& backend) const {
+  return backend.silent_since != TimePoint{} && lastReceivedAt(backend.view.slot) <= backend.silent_since;
 }
 
-Duration BackendTable::distrustedFor(EngineSlot slot, TimePoint now) const {
+Duration BackendTable::ejectedFor(EngineSlot slot, TimePoint now) const {
   const State* state = find(slot);
   return state == nullptr ? Duration(0) : std::max(Duration(0), state->health.ejectedUntil() - now);
 }
@@ -138,7 +138,7 @@
   return state == nullptr ? 0 : state->answer_seconds;
 }
 
-TimePoint BackendTable::heardAt(EngineSlot slot) const {
+TimePoint BackendTable::lastReceivedAt(EngineSlot slot) const {
   const State* state = find(slot);
   return state == nullptr ? TimePoint{} : state->heard_at;
 }
--- a/src/gateway/backend_table.h
+++ b/src/gateway/backend_table.h
@@ -32,27 +32,28 @@
   /// @param incarnation that the dispatch was sent to; of another than the present one nothing is learnt.
   void onOutcome(EngineSlot slot, std::uint64_t incarnation, DispatchOutcome outcome, TimePoint now);
   /// Any byte of an answer came.
-  void onHeard(EngineSlot slot, TimePoint now) { states_[slot].heard_at = now; }
+  void onBytesReceived(EngineSlot slot, TimePoint now) { states_[slot].heard_at = now; }
   /// Notes how long an answer took to begin, against what was expected.
   void onFirstByte(EngineSlot slot, std::uint64_t incarnation, Duration taken, Duration expected,
                    TimePoint now);
 
   /// @return whether the back end may be sent one more request now, as far as places and connections go.
-  bool hasRoom(const Backend& backend, const Pool& pool, std::uint32_t share_divisor, TimePoint now) const;
+  bool hasCapacity(const Backend& backend, const Pool& pool, std::uint32_t share_divisor,
+                   TimePoint now) const;
   /// @return whether its traffic shows no fault.
   bool isHealthy(EngineSlot slot, TimePoint now) const;
   /// @return whether it answers nobody: those who follow its cache get no answer, and its traffic has heard
   /// nothing since.
-  bool isSilent(const Backend& backend) const;
+  bool isUnresponsive(const Backend& backend) const;
   /// @return time for which its failures keep it out of use; 0: none.
-  Duration distrustedFor(EngineSlot slot, TimePoint now) const;
+  Duration ejectedFor(EngineSlot slot, TimePoint now) const;
   std::uint32_t inFlight(EngineSlot slot) const;
   /// @return seconds that it begins its answers later than expected.
   double lateness(EngineSlot slot) const;
   /// @return seconds until it begins to answer, smoothed; 0 when unknown.
   double answerTime(EngineSlot slot) const;
   /// @return when any byte of an answer last came.
-  TimePoint heardAt(EngineSlot slot) const;
+  TimePoint lastReceivedAt(EngineSlot slot) const;
 
 private:
   struct State {
--- a/src/gateway/cached_parts.h
+++ b/src/gateway/cached_parts.h
@@ -18,7 +18,7 @@
 };
 
 /// News of one cache, in its order.
-struct CachedPartsNews {
+struct CachedPartsUpdate {
   EngineSlot slot = 0;            ///< Of the back end.
   std::uint64_t incarnation = 0;  ///< Ignored by the index unless it is the snapshot's.
   bool complete = false;          ///< True: replaces all that was known (after a gap or a restart).
--- a/src/gateway/crash_policy.h
+++ b/src/gateway/crash_policy.h
@@ -22,7 +22,7 @@
   /// does not count. Clocks and datagrams of other gateways are off by about so much.
   Duration sequence_tolerance = std::chrono::milliseconds(30);
   /// Whether a whole answer withdraws all earlier evidence against its request.
-  bool answers_clear = true;
+  bool clear_on_response = true;
   /// Bytes that a back end sent before its crash may be read for so long after the crash was noticed.
   Duration read_delay = std::chrono::milliseconds(300);
   /// No back end is back sooner after a crash, since it has to load its weights; one that answers sooner has
--- a/src/gateway/crash_suspects.cc
+++ b/src/gateway/crash_suspects.cc
@@ -54,9 +54,9 @@
   return true;
 }
 
-bool CrashSuspects::onWholeAnswer(const RequestFingerprint& request, TimePoint now) {
+bool CrashSuspects::onCompleteResponse(const RequestFingerprint& request, TimePoint now) {
   const ClearedRequest cleared{request, now};
-  if (!policy_.answers_clear || !suspects_.contains(request) || !clear(cleared)) return false;
+  if (!policy_.clear_on_response || !suspects_.contains(request) || !clear(cleared)) return false;
   update_.cleared.push_back(cleared);
   return true;
 }
@@ -224,7 +224,7 @@
   });
 }
 
-void CrashSuspects::forgetOld(TimePoint now) {
+void CrashSuspects::removeExpired(TimePoint now) {
   absl::erase_if(suspects_, [&](auto& item) {
     Suspect& suspect = item.second;
     while (!suspect.crashes.empty() && now - suspect.crashes.front().crashed_at > policy_.evidence_lifetime) {
--- a/src/gateway/crash_suspects.h
+++ b/src/gateway/crash_suspects.h
@@ -85,7 +85,7 @@
   /// @return whether it was new.
   bool onCrash(const CrashEvidence& evidence, TimePoint now);
   /// @return whether there was evidence against the request.
-  bool onWholeAnswer(const RequestFingerprint& request, TimePoint now);
+  bool onCompleteResponse(const RequestFingerprint& request, TimePoint now);
   /// Bytes came from a back end.
   /// @param sent_at when the exchange that they belong to was sent.
   /// @return whether they prove that evidence of a crash was wrong.
@@ -108,9 +108,9 @@
   std::uint64_t digest() const { return digest_; }
   std::size_t size() const { return suspects_.size(); }
   /// @return whether neither evidence nor anything that refutes some is known.
-  bool knowsNothing() const { return suspects_.empty() && cleared_.empty() && alive_.empty(); }
+  bool isEmpty() const { return suspects_.empty() && cleared_.empty() && alive_.empty(); }
   /// Forgets what is too old to count. To be called now and then.
-  void forgetOld(TimePoint now);
+  void removeExpired(TimePoint now);
 
 private:
   struct Crash {
--- a/src/gateway/dialect.h
+++ b/src/gateway/dialect.h
@@ -46,7 +46,7 @@
 };
 
 /// What a back end's head means.
-struct BackendAnswer {
+struct BackendResponse {
   bool not_run = false;        ///< The back end says that it ran nothing and will not.
   bool wrong_backend = false;  ///< Another incarnation, or other weights, than expected.
   bool other_request = false;  ///< The answer belongs to a request other than the one asked: discard it.
@@ -63,7 +63,7 @@
   /// @return the headers to send on: the client's but for those of a single connection and those that
   /// `terms` replaces, and those of `terms`.
   virtual http::Headers forwardHeaders(const http::Request& head, const ForwardTerms& terms) const = 0;
-  virtual BackendAnswer readAnswer(const http::Response& head, const std::string& request_id) const = 0;
+  virtual BackendResponse readResponse(const http::Response& head, const std::string& request_id) const = 0;
 };
 
 }  // namespace crankspur::gateway
--- a/src/gateway/engine_choice.cc
+++ b/src/gateway/engine_choice.cc
@@ -107,7 +107,7 @@
 
 // Cached parts.
 
-void EngineChoice::onCachedParts(const CachedPartsNews& news, TimePoint now) {
+void EngineChoice::onCachedParts(const CachedPartsUpdate& news, TimePoint now) {
   const auto known = incarnations_.find(news.slot);
   if (known == incarnations_.end() || known->second != news.incarnation) return;
   news_at_[news.slot] = now;
@@ -130,7 +130,7 @@
 
 EngineChoice::Usable EngineChoice::findUsable(const ChoiceRequest& request, const GatewaySnapshot& snapshot,
                                               const BackendTable& table, TimePoint now,
-                                              bool& lacks_room) const {
+                                              bool& at_capacity) const {
   PlacementRequest placement;
   if (request.uses_prefixes) placement.model = request.client->model;
   placement.excluded = request.excluded;
@@ -143,14 +143,14 @@
     UsableBackend usable{&backend, std::nullopt};
     if (request.uses_prefixes) usable.weights = weightsOf(backend, request.client->model);
     if (!hasFreshWeights(usable, request, table, now)) continue;
-    if (!table.hasRoom(backend, *request.pool, snapshot.share_divisor, now)) {
-      lacks_room = true;
+    if (!table.hasCapacity(backend, *request.pool, snapshot.share_divisor, now)) {
+      at_capacity = true;
       continue;
     }
-    const bool answers = table.isHealthy(backend.view.slot, now) && !table.isSilent(backend);
+    const bool answers = table.isHealthy(backend.view.slot, now) && !table.isUnresponsive(backend);
     (answers ? healthy : doubtful).push_back(usable);
   }
-  return healthy.empty() && !lacks_room ? doubtful : healthy;
+  return healthy.empty() && !at_capacity ? doubtful : healthy;
 }
 
 /// A request begins once the engine's queue is worked off. What counts is the weights of that moment, so that
@@ -227,7 +227,7 @@
   return prompt.superseded ? cost + unread / rate * kSupersededReadFactor : cost;
 }
 
-LoadDigest EngineChoice::ownWork() const {
+LoadDigest EngineChoice::ownLoadDigest() const {
   LoadDigest digest;
   for (const EngineOutstanding& own : ledger_.outstanding()) {
     const auto incarnation = incarnations_.find(own.engine);
@@ -259,7 +259,7 @@
     queue.unseen = queue.seconds * std::min<double>(snapshot.peer_count, kUnseenGateways - 1);
     return queue;
   }
-  const EngineWork work = peers_.at(engine.incarnation, now);
+  const PendingLoad work = peers_.at(engine.incarnation, now);
   queue.seconds += work.waiting_tokens * scale / rate;
   if (engine.load.batch_limit == 0) return queue;
   const double above = ledger_.inFlight(engine.slot) + work.in_flight * scale + 1 - engine.load.batch_limit;
@@ -323,7 +323,7 @@
   std::vector<ScopedPrompt> prompts;
   Candidate best;
   Candidate second;
-  const Usable usable = findUsable(request, snapshot, table, now, choice.lacks_room);
+  const Usable usable = findUsable(request, snapshot, table, now, choice.at_capacity);
   for (const auto& [backend, weights] : usable) {
     Candidate candidate;
     candidate.backend = backend;
@@ -336,7 +336,7 @@
       candidate.first_byte = table.answerTime(backend->view.slot);
     }
     if (now < backend->cold_until) candidate.cost *= kColdFactor;
-    if (request.least_at_risk) candidate.cost += riskCost(*backend, request, snapshot, table, now);
+    if (request.prefer_fewest_requests) candidate.cost += riskCost(*backend, request, snapshot, table, now);
     if (best.backend == nullptr || candidate.cost < best.cost) {
       second = std::exchange(best, std::move(candidate));
     } else if (second.backend == nullptr || candidate.cost < second.cost) {
--- a/src/gateway/engine_choice.h
+++ b/src/gateway/engine_choice.h
@@ -15,7 +15,7 @@
 #include "gateway/gateway_snapshot.h"
 #include "gateway/named_weights.h"
 #include "gateway/part_index.h"
-#include "gateway/peer_work.h"
+#include "gateway/peer_load_table.h"
 #include "gateway/prefill_rate.h"
 #include "gateway/prompt_size_partition.h"
 #include "gateway/scoped_prompt.h"
@@ -35,13 +35,14 @@
   Duration weights_margin{0};                   ///< Between the clock's grace and the latest begin.
   std::vector<EngineSlot> excluded;
   std::vector<EngineSlot> avoided;  ///< Used only where no other may be.
-  bool least_at_risk = false;       ///< The back end may end: the one with the fewest other requests is best.
+  bool prefer_fewest_requests =
+      false;  ///< The back end may end: the one with the fewest other requests is best.
 };
 
 /// The back end chosen.
 struct Choice {
   const Backend* backend = nullptr;  ///< Null: none may get the request now.
-  bool lacks_room = false;           ///< None: some would do but have no room.
+  bool at_capacity = false;          ///< None: some would do but have no room.
   std::optional<std::uint64_t> weights;
   std::string cache_scope;
   std::string import_from;
@@ -73,16 +74,16 @@
   EngineChoice(std::size_t index_entries, RandomSource& random);
 
   void onSnapshot(const GatewaySnapshot& snapshot);
-  void onCachedParts(const CachedPartsNews& news, TimePoint now);
+  void onCachedParts(const CachedPartsUpdate& news, TimePoint now);
   /// An answer stated the weights that a back end has.
   void onWeights(EngineSlot slot, std::uint64_t incarnation, const std::string& model, std::uint64_t version);
 
   /// Another gateway told what it has at each engine.
-  void onPeerWork(const std::string& teller, const LoadDigest& digest, TimePoint now) {
+  void onPeerLoad(const std::string& teller, const LoadDigest& digest, TimePoint now) {
     peers_.onDigest(teller, digest, now);
   }
   /// @return what this gateway has at each engine, for the others.
-  LoadDigest ownWork() const;
+  LoadDigest ownLoadDigest() const;
 
   Choice choose(const ChoiceRequest& request, const GatewaySnapshot& snapshot, const BackendTable& table,
                 TimePoint now) const;
@@ -120,7 +121,7 @@
   };
   std::optional<std::uint64_t> weightsOf(const Backend& backend, const std::string& model) const;
   Usable findUsable(const ChoiceRequest& request, const GatewaySnapshot& snapshot, const BackendTable& table,
-                    TimePoint now, bool& lacks_room) const;
+                    TimePoint now, bool& at_capacity) const;
   std::size_t scopedPrompt(std::vector<ScopedPrompt>& prompts, std::optional<std::uint64_t> weights,
                            const ChoiceRequest& request, const Usable& usable) const;
   EngineSlot findFirstReader(const ScopedPrompt& prompt, const ChoiceRequest& request,
@@ -148,7 +149,7 @@
   RandomSource& random_;
   PartIndex index_;
   OutstandingLedger ledger_;
-  PeerWork peers_;
+  PeerLoadTable peers_;
   QueueEstimator queues_;
   PrefillRates rates_;
   PromptSizePartition partition_;
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -37,7 +37,7 @@
   table_.onSnapshot(*snapshot_, now);
   choice_.onSnapshot(*snapshot_);
   weights_.onSnapshot(*snapshot_, now);
-  suspects_.forgetOld(now);
+  suspects_.removeExpired(now);
   if (snapshot_->configuration) shares_.configure(*snapshot_->configuration);
   lookAtSilent(now);
   serveQueue(now);
@@ -45,13 +45,13 @@
 
 /// Requests at a back end that has fallen silent look soon whether they are to go elsewhere.
 void Gateway::lookAtSilent(TimePoint now) {
-  const auto is_silent = [this](const Backend& backend) { return table_.isSilent(backend); };
+  const auto is_silent = [this](const Backend& backend) { return table_.isUnresponsive(backend); };
   if (std::none_of(snapshot_->backends.begin(), snapshot_->backends.end(), is_silent)) return;
   for (const auto& [exchange, client] : exchanges_) {
     Entry* entry = findClient(client);
     if (entry == nullptr || entry->running.exchange != exchange) continue;
     const Backend* backend = snapshot_->backend(entry->running.slot);
-    if (backend == nullptr || !table_.isSilent(*backend)) continue;
+    if (backend == nullptr || !table_.isUnresponsive(*backend)) continue;
     wakeAt(*entry, std::min(entry->wakes_at,
                             std::max(now, entry->running.sent_at + silenceLimit(entry->running, now))));
   }
@@ -62,7 +62,7 @@
   return found == entries_.end() ? nullptr : found->second.get();
 }
 
-RepeatBudget& Gateway::budgetOf(const std::string& pool) {
+RetryBudget& Gateway::budgetOf(const std::string& pool) {
   return budgets_.try_emplace(pool, settings_.retry_budget).first->second;
 }
 
@@ -112,7 +112,7 @@
   request.isolated_tenant = entry.isolated_tenant;
   request.excluded = entry.failed;
   if (entry.isolated) {
-    request.least_at_risk = true;
+    request.prefer_fewest_requests = true;
     request.avoided = slotsOfIsolated();
   }
   if (request.uses_prefixes) {
@@ -125,7 +125,7 @@
 /// Looks in the pool whose turn it was, then in the others of the route.
 Choice Gateway::choose(Entry& entry, TimePoint now) {
   Choice choice = choice_.choose(choiceRequest(entry, *entry.pool), *snapshot_, table_, now);
-  if (choice.backend != nullptr || choice.lacks_room) return choice;
+  if (choice.backend != nullptr || choice.at_capacity) return choice;
   for (const PoolShare& share : entry.route->pools) {
     const Pool* other = entry.configuration->findPool(share.pool);
     if (other == nullptr || other == entry.pool || share.weight == 0) continue;
@@ -141,7 +141,7 @@
   if (!passesQuarantine(entry, now)) return;
   const Choice choice = choose(entry, now);
   if (choice.backend == nullptr) {
-    entry.cause = choice.lacks_room ? RequestCause::back_ends_full : RequestCause::no_back_end;
+    entry.cause = choice.at_capacity ? RequestCause::back_ends_full : RequestCause::no_back_end;
     return wait(entry, now);
   }
   if (entry.ends_at - now < kLeastDeadline) return giveUpFor(entry, RequestCause::no_time_left, now);
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -20,10 +20,10 @@
 #include "gateway/gateway_actions.h"
 #include "gateway/gateway_settings.h"
 #include "gateway/named_weights.h"
-#include "gateway/repeat_budget.h"
 #include "gateway/request_check.h"
 #include "gateway/request_fingerprint.h"
 #include "gateway/request_observer.h"
+#include "gateway/retry_budget.h"
 #include "gateway/route_shares.h"
 #include "gateway/stream_cursor.h"
 
@@ -49,14 +49,14 @@
   Gateway& operator=(const Gateway&) = delete;
 
   void onSnapshot(std::shared_ptr<const GatewaySnapshot> snapshot, TimePoint now);
-  void onCachedParts(const CachedPartsNews& news, TimePoint now) { choice_.onCachedParts(news, now); }
+  void onCachedParts(const CachedPartsUpdate& news, TimePoint now) { choice_.onCachedParts(news, now); }
 
   /// Another gateway told what it has at each engine.
-  void onPeerWork(const std::string& teller, const LoadDigest& digest, TimePoint now) {
-    choice_.onPeerWork(teller, digest, now);
+  void onPeerLoad(const std::string& teller, const LoadDigest& digest, TimePoint now) {
+    choice_.onPeerLoad(teller, digest, now);
   }
   /// @return what this gateway has at each engine, for the others.
-  LoadDigest ownWork() const { return choice_.ownWork(); }
+  LoadDigest ownLoadDigest() const { return choice_.ownLoadDigest(); }
   /// Another gateway told which back ends ended under which requests.
   void onCrashUpdate(const CrashUpdate& news, TimePoint now) { suspects_.merge(news, now); }
   /// @return what this gateway learnt of such requests since the last call, for the others.
@@ -73,7 +73,7 @@
   void onClientGone(ClientId client, TimePoint now);
 
   /// The head of an answer came. Until PassHead the driver keeps what comes of the body.
-  void onHead(ExchangeId exchange, int status, const BackendAnswer& answer, TimePoint now);
+  void onHead(ExchangeId exchange, int status, const BackendResponse& answer, TimePoint now);
   /// Bytes came of an answer for which passesBytes() holds.
   void onBytes(ExchangeId exchange, std::string_view bytes, TimePoint now);
   /// @return whether the driver gives the body's bytes to onBytes(); otherwise it keeps them.
@@ -164,7 +164,7 @@
   void onWake(Entry& entry, TimePoint now);
   void expire(Entry& entry, TimePoint now);
   Entry* findClient(ClientId client);
-  RepeatBudget& budgetOf(const std::string& pool);
+  RetryBudget& budgetOf(const std::string& pool);
 
   // Requests that end back ends (gateway_suspects.cc).
   bool passesQuarantine(Entry& entry, TimePoint now);
@@ -186,8 +186,8 @@
   // Answers and failures (gateway_answers.cc).
   Entry* findExchange(ExchangeId exchange);
   const Entry* findExchange(ExchangeId exchange) const;
-  void onNotRun(Entry& entry, int status, const BackendAnswer& answer, TimePoint now);
-  void onWrongBackend(Entry& entry, int status, const BackendAnswer& answer, TimePoint now);
+  void onNotRun(Entry& entry, int status, const BackendResponse& answer, TimePoint now);
+  void onWrongBackend(Entry& entry, int status, const BackendResponse& answer, TimePoint now);
   void onErrorAnswer(Entry& entry, int status, TimePoint now);
   void onBrokenAnswer(Entry& entry, int status, TimePoint now);
   void endExchange(Entry& entry, DispatchOutcome outcome, TimePoint now);
@@ -224,7 +224,7 @@
   };
   std::map<std::uint64_t, Probe> probes_;
   std::uint64_t next_probe_ = 1;
-  absl::flat_hash_map<std::string, RepeatBudget> budgets_;
+  absl::flat_hash_map<std::string, RetryBudget> budgets_;
   absl::flat_hash_map<ClientId, std::unique_ptr<Entry>> entries_;
   absl::flat_hash_map<ExchangeId, ClientId> exchanges_;
   std::set<std::pair<TimePoint, ClientId>> timers_;
--- a/src/gateway/gateway_answers.cc
+++ b/src/gateway/gateway_answers.cc
@@ -49,13 +49,13 @@
 
 // Answers.
 
-void Gateway::onHead(ExchangeId exchange, int status, const BackendAnswer& answer, TimePoint now) {
+void Gateway::onHead(ExchangeId exchange, int status, const BackendResponse& answer, TimePoint now) {
   Entry* entry = findExchange(exchange);
   if (entry == nullptr) return;
   Running& running = entry->running;
   running.heard_at = now;
   running.status = status;
-  table_.onHeard(running.slot, now);
+  table_.onBytesReceived(running.slot, now);
   // A start of the back end that refuses what is meant for another says nothing of the one before it.
   const bool is_other_start = answer.wrong_backend && !answer.weights_version;
   if (!is_other_start) noteSignOfLife(*entry, now);
@@ -87,7 +87,7 @@
   Entry* entry = findExchange(exchange);
   if (entry == nullptr) return;
   entry->running.heard_at = now;
-  table_.onHeard(entry->running.slot, now);
+  table_.onBytesReceived(entry->running.slot, now);
   noteSignOfLife(*entry, now);
   if (!entry->running.passes_bytes) return;
   noteFirstByte(*entry, now);
@@ -98,7 +98,7 @@
 void Gateway::onEnd(ExchangeId exchange, TimePoint now) {
   Entry* entry = findExchange(exchange);
   if (entry == nullptr) return;
-  if (entry->cursor && entry->cursor->insideEvent()) return onLost(exchange, true, now);
+  if (entry->cursor && entry->cursor->hasPartialEvent()) return onLost(exchange, true, now);
   noteWholeAnswer(*entry, now);
   const bool error = entry->running.error_answer;
   const bool begun = entry->head_passed;
@@ -127,7 +127,7 @@
 
 // Failures.
 
-void Gateway::onNotRun(Entry& entry, int status, const BackendAnswer& answer, TimePoint now) {
+void Gateway::onNotRun(Entry& entry, int status, const BackendResponse& answer, TimePoint now) {
   entry.arrived_before = true;
   if (answer.wrong_backend) return onWrongBackend(entry, status, answer, now);
   const Running running = entry.running;
@@ -139,7 +139,7 @@
 
 /// The back end is not what the snapshot says. A new attempt that counts with what it really is does not
 /// count as one at a further back end.
-void Gateway::onWrongBackend(Entry& entry, int status, const BackendAnswer& answer, TimePoint now) {
+void Gateway::onWrongBackend(Entry& entry, int status, const BackendResponse& answer, TimePoint now) {
   const Running running = entry.running;
   const Backend* backend = snapshot_->backend(running.slot);
   const bool other_weights = answer.weights_version.has_value();
@@ -224,16 +224,17 @@
 /// byte was expected, since some connections may be sound and their back ends still read a prompt.
 TimePoint Gateway::silentFrom(const Running& running, TimePoint now) const {
   const TimePoint heard = std::max(running.heard_at, running.sent_at);
-  if (!mayBeCut(running)) return std::max(heard, table_.heardAt(running.slot)) + silenceLimit(running, now);
+  if (!mayBeCut(running))
+    return std::max(heard, table_.lastReceivedAt(running.slot)) + silenceLimit(running, now);
   const TimePoint expected = running.first_byte ? heard : running.sent_at + running.expected;
-  return std::max(connections_silent_at_, expected) + settings_.silence_limit_of_silent;
+  return std::max(connections_silent_at_, expected) + settings_.unresponsive_silence_limit;
 }
 
 /// @return how long the back end may be silent towards the request.
 Duration Gateway::silenceLimit(const Running& running, TimePoint now) const {
   const Backend* backend = snapshot_->backend(running.slot);
   const bool present = backend != nullptr && backend->view.incarnation == running.incarnation;
-  if (present && table_.isSilent(*backend)) return settings_.silence_limit_of_silent;
+  if (present && table_.isUnresponsive(*backend)) return settings_.unresponsive_silence_limit;
   const bool reads_yet = !running.first_byte && table_.isHealthy(running.slot, now);
   if (!reads_yet) return settings_.silence_limit;
   const double expected = toSeconds(running.expected) * settings_.silence_per_expected;
@@ -267,7 +268,7 @@
   const bool trusted = table_.isHealthy(running.slot, now);
   table_.onOutcome(running.slot, running.incarnation, outcome, now);
   if (!trusted || table_.isHealthy(running.slot, now)) return;
-  observer_.onDistrusted({entry.last_backend, entry.cause, table_.distrustedFor(running.slot, now)});
+  observer_.onDistrusted({entry.last_backend, entry.cause, table_.ejectedFor(running.slot, now)});
 }
 
 void Gateway::cancelExchange(Entry& entry, DispatchOutcome outcome, TimePoint now, bool unanswered) {
@@ -290,7 +291,7 @@
 /// A repeat is paid for out of the budget, unless no back end got the request.
 bool Gateway::takeRepeat(Entry& entry, TimePoint now) {
   if (!entry.arrived_before) return true;
-  return budgetOf(entry.pool->name).tryRepeat(snapshot_->share_divisor, now);
+  return budgetOf(entry.pool->name).tryRetry(snapshot_->share_divisor, now);
 }
 
 void Gateway::goOn(Entry& entry, const Running& failed, int status, TimePoint now) {
--- a/src/gateway/gateway_settings.h
+++ b/src/gateway/gateway_settings.h
@@ -27,7 +27,7 @@
   /// Silence of a back end, towards all that wait for it, after which requests that may be repeated move on.
   Duration silence_limit = std::chrono::milliseconds(1500);
   /// The same at a back end that is known to be silent, which takes no evidence of the request's own.
-  Duration silence_limit_of_silent = std::chrono::milliseconds(300);
+  Duration unresponsive_silence_limit = std::chrono::milliseconds(300);
   /// A trusted back end may be silent for this many times the time in which the first byte was expected: it
   /// may be reading a long prompt, which another one would read anew.
   double silence_per_expected = 2.0;
--- a/src/gateway/gateway_snapshot.cc
+++ b/src/gateway/gateway_snapshot.cc
@@ -35,17 +35,17 @@
   return found != backends.end() && found->view.slot == slot ? &*found : nullptr;
 }
 
-Duration GatewaySnapshot::knowledgeAge(TimePoint now) const {
-  return contact == nullptr ? Duration(0) : std::max(Duration(0), now - contact->vouchedAt());
+Duration GatewaySnapshot::platformContactAge(TimePoint now) const {
+  return contact == nullptr ? Duration(0) : std::max(Duration(0), now - contact->confirmedAt());
 }
 
 std::optional<Duration> GatewaySnapshot::keysAge(TimePoint now) const {
   if (!key_validity) return std::nullopt;
-  return knowledgeAge(now);
+  return platformContactAge(now);
 }
 
 bool GatewaySnapshot::keysCurrent(TimePoint now) const {
-  return !key_validity || knowledgeAge(now) < *key_validity;
+  return !key_validity || platformContactAge(now) < *key_validity;
 }
 
 }  // namespace crankspur::gateway
--- a/src/gateway/gateway_snapshot.h
+++ b/src/gateway/gateway_snapshot.h
@@ -119,10 +119,10 @@
 public:
   /// Everything that the operator had accepted by `as_of` is known. Earlier times than told before change
   /// nothing.
-  void vouch(TimePoint as_of) {
+  void confirm(TimePoint as_of) {
     vouched_at_ = std::max(vouched_at_.load(), as_of.time_since_epoch().count());
   }
-  TimePoint vouchedAt() const { return TimePoint(Duration(vouched_at_.load())); }
+  TimePoint confirmedAt() const { return TimePoint(Duration(vouched_at_.load())); }
 
 private:
   std::atomic<Duration::rep> vouched_at_ = 0;
@@ -144,8 +144,8 @@
 
   const Backend* backend(EngineSlot slot) const;
   /// @return time since the platform vouched for the configuration and the list of back ends.
-  Duration knowledgeAge(TimePoint now) const;
-  /// @return knowledgeAge() if keys expire by it.
+  Duration platformContactAge(TimePoint now) const;
+  /// @return platformContactAge() if keys expire by it.
   std::optional<Duration> keysAge(TimePoint now) const;
   /// False: so long out of touch with the platform that keys may have been taken away; requests that need a
   /// key are refused as not run.
--- a/src/gateway/gateway_suspects.cc
+++ b/src/gateway/gateway_suspects.cc
@@ -114,7 +114,7 @@
 }
 
 void Gateway::noteWholeAnswer(const Entry& entry, TimePoint now) {
-  if (!suspects_.onWholeAnswer(entry.fingerprint, now)) return;
+  if (!suspects_.onCompleteResponse(entry.fingerprint, now)) return;
   observer_.onSuspicionWithdrawn({entry.client.request_id, entry.fingerprint, entry.last_backend, false});
 }
 
--- a/src/gateway/import_source.cc
+++ b/src/gateway/import_source.cc
@@ -31,7 +31,7 @@
 
 bool givesAway(const Backend& source, const BackendTable& table, TimePoint now) {
   return source.view.state == EngineState::Live && table.isHealthy(source.view.slot, now) &&
-         !table.isSilent(source);
+         !table.isUnresponsive(source);
 }
 
 }  // namespace
--- a/src/gateway/peer_work.cc
+++ b/src/gateway/peer_load_table.cc
@@ -1,4 +1,4 @@
-#include "gateway/peer_work.h"
+#include "gateway/peer_load_table.h"
 
 namespace crankspur::gateway {
 namespace {
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-void PeerWork::onDigest(const std::string& teller, const LoadDigest& digest, TimePoint now) {
+void PeerLoadTable::onDigest(const std::string& teller, const LoadDigest& digest, TimePoint now) {
   Teller& known = tellers_[teller];
   for (const std::uint64_t engine : known.engines) {
     const auto place = engines_.find(engine);
@@ -30,7 +30,7 @@
   });
 }
 
-std::size_t PeerWork::tellers(TimePoint now) const {
+std::size_t PeerLoadTable::tellers(TimePoint now) const {
   std::size_t count = 0;
   for (const auto& [name, teller] : tellers_) {
     count += now - teller.told_at <= kTellerMemory ? 1 : 0;
@@ -38,8 +38,8 @@
   return count;
 }
 
-EngineWork PeerWork::at(std::uint64_t incarnation, TimePoint now) const {
-  EngineWork work;
+PendingLoad PeerLoadTable::at(std::uint64_t incarnation, TimePoint now) const {
+  PendingLoad work;
   const auto place = engines_.find(incarnation);
   if (place == engines_.end()) return work;
   for (const auto& [teller, told] : place->second) {
--- a/src/gateway/peer_work.h
+++ b/src/gateway/peer_load_table.h
@@ -14,20 +14,20 @@
 namespace crankspur::gateway {
 
 /// Work at one engine.
-struct EngineWork {
+struct PendingLoad {
   double waiting_tokens = 0;  ///< Prompt tokens sent whose first answer byte has not come.
   double in_flight = 0;       ///< Requests sent whose answer has not ended.
 };
 
 /// The work of the gateways that tell theirs. Not thread-safe.
-class PeerWork {
+class PeerLoadTable {
 public:
   /// Takes a digest in place of the teller's one before.
   void onDigest(const std::string& teller, const LoadDigest& digest, TimePoint now);
   /// @return gateways whose work is told, those included that have had nothing to tell for some seconds.
   std::size_t tellers(TimePoint now) const;
   /// @return what they have at the engine together.
-  EngineWork at(std::uint64_t incarnation, TimePoint now) const;
+  PendingLoad at(std::uint64_t incarnation, TimePoint now) const;
 
 private:
   struct Told {
--- a/src/gateway/repeat_budget.cc
+++ b/src/gateway/retry_budget.cc
@@ -1,27 +1,27 @@
-#include "gateway/repeat_budget.h"
+#include "gateway/retry_budget.h"
 
 #include <algorithm>
 
 namespace crankspur::gateway {
 
-std::int64_t RepeatBudget::numberOf(TimePoint now) const {
+std::int64_t RetryBudget::numberOf(TimePoint now) const {
   const auto length =
       std::max<std::int64_t>(settings_.window.count() / static_cast<std::int64_t>(kSlices), 1);
   return now.time_since_epoch().count() / length;
 }
 
-RepeatBudget::Slice& RepeatBudget::slice(TimePoint now) {
+RetryBudget::Slice& RetryBudget::slice(TimePoint now) {
   const std::int64_t number = numberOf(now);
   Slice& found = slices_[static_cast<std::size_t>(number) % slices_.size()];
   if (found.number != number) found = {number, 0, 0};
   return found;
 }
 
-void RepeatBudget::onRequest(TimePoint now) {
+void RetryBudget::onRequest(TimePoint now) {
   ++slice(now).requests;
 }
 
-double RepeatBudget::left(std::uint32_t share_divisor, TimePoint now) const {
+double RetryBudget::left(std::uint32_t share_divisor, TimePoint now) const {
   const std::int64_t current = numberOf(now);
   const auto window = static_cast<std::int64_t>(kSlices);
   double requests = 0;
@@ -33,7 +33,7 @@
   return settings_.ratio * requests + settings_.slack / std::max(share_divisor, 1U) - repeats;
 }
 
-bool RepeatBudget::tryRepeat(std::uint32_t share_divisor, TimePoint now) {
+bool RetryBudget::tryRetry(std::uint32_t share_divisor, TimePoint now) {
   if (left(share_divisor, now) < 1) return false;
   ++slice(now).repeats;
   return true;
--- a/src/gateway/repeat_budget.h
+++ b/src/gateway/retry_budget.h
@@ -11,14 +11,14 @@
 
 /// Counts requests and repeats of one pool over a sliding window, in slices. Repeats are counted over a slice
 /// more than the window, and requests over a slice less, so that any window keeps to the budget.
-class RepeatBudget {
+class RetryBudget {
 public:
-  explicit RepeatBudget(const RetryBudgetSettings& settings) : settings_(settings) {}
+  explicit RetryBudget(const RetryBudgetSettings& settings) : settings_(settings) {}
   /// Counts a client's request for the pool.
   void onRequest(TimePoint now);
   /// Takes one repeat out of this gateway's share.
   /// @return false when the share is used up; nothing is taken then.
-  bool tryRepeat(std::uint32_t share_divisor, TimePoint now);
+  bool tryRetry(std::uint32_t share_divisor, TimePoint now);
   /// @return repeats that this gateway's share still allows; below 1: none.
   double left(std::uint32_t share_divisor, TimePoint now) const;
 
--- a/src/gateway/stream_cursor.h
+++ b/src/gateway/stream_cursor.h
@@ -23,7 +23,7 @@
   /// @return the id of the last event given out, or what the client had.
   std::optional<std::uint64_t> lastEvent() const { return last_event_; }
   /// @return bytes of an event not complete; a stream that ends with some was cut.
-  bool insideEvent() const { return !event_.empty(); }
+  bool hasPartialEvent() const { return !event_.empty(); }
 
 private:
   void takeLine(std::string_view line, std::string& passed);
--- a/src/gateway_control/cache_watch.cc
+++ b/src/gateway_control/cache_watch.cc
@@ -174,7 +174,7 @@
 }
 
 void CacheWatch::tell(const Followed& followed, std::vector<CachedPart> parts, bool complete) {
-  CachedPartsNews news;
+  CachedPartsUpdate news;
   news.slot = followed.slot;
   news.incarnation = followed.incarnation;
   news.complete = complete;
--- a/src/gateway_control/cache_watch.h
+++ b/src/gateway_control/cache_watch.h
@@ -24,7 +24,7 @@
 
 /// What the watch tells.
 struct CacheWatchCallbacks {
-  std::function<void(CachedPartsNews)> on_news;
+  std::function<void(CachedPartsUpdate)> on_news;
   std::function<void(const CacheSilence&)> on_silent;
   /// A cache that was told to be silent answers again.
   std::function<void(EngineSlot, std::uint64_t incarnation)> on_heard;
--- a/src/gateway_control/crash_exchange.cc
+++ b/src/gateway_control/crash_exchange.cc
@@ -60,14 +60,14 @@
     : suspects_(policy), random_(random_seed), joined_at_(now) {}
 
 bool CrashExchange::onDigest(std::uint64_t digest, TimePoint now) {
-  if (digest == suspects_.digest() || suspects_.knowsNothing()) return false;
+  if (digest == suspects_.digest() || suspects_.isEmpty()) return false;
   if (now - full_update_at_ < kMinFullUpdateInterval) return false;
   full_update_at_ = now;
   return true;
 }
 
 std::vector<std::string> CrashExchange::onTick(const std::vector<std::string>& members, TimePoint now) {
-  suspects_.forgetOld(now);
+  suspects_.removeExpired(now);
   std::vector<std::string> told;
   const bool asks = now - joined_at_ < kAskAfterJoin;
   if (members.empty() || (suspects_.digest() == 0 && !asks)) return told;
--- a/src/gateway_control/gateway_control.cc
+++ b/src/gateway_control/gateway_control.cc
@@ -106,7 +106,7 @@
       suspension_timer_(executor) {}
 
 std::error_code GatewayControl::start() {
-  contact_->vouch(now());
+  contact_->confirm(now());
   member_added_at_ = now();
   if (const std::error_code error = gossip_.start()) return error;
   platform_.start(platformNews());
@@ -164,7 +164,7 @@
 
 CacheWatchCallbacks GatewayControl::cacheCallbacks() {
   CacheWatchCallbacks callbacks;
-  callbacks.on_news = [this](CachedPartsNews news) { onOwnCacheNews(std::move(news)); };
+  callbacks.on_news = [this](CachedPartsUpdate news) { onOwnCacheNews(std::move(news)); };
   callbacks.on_silent = [this](const CacheSilence& silence) { onCacheSilent(silence); };
   callbacks.on_heard = [this](EngineSlot slot, std::uint64_t cache) { onCacheHeard(slot, cache); };
   return callbacks;
@@ -223,7 +223,7 @@
 }
 
 void GatewayControl::onContact(TimePoint as_of) {
-  contact_->vouch(as_of);
+  contact_->confirm(as_of);
   told_once_ = true;
   if (!std::exchange(reachable_, true)) {
     log_.write(EventId::PlatformReachable,
@@ -239,12 +239,13 @@
     log_.write(EventId::PlatformUnreachable,
                {{"service", "store"},
                 {"reason", "no answer"},
-                {"last_contact_ms", milliseconds(now() - contact_->vouchedAt())}});
+                {"last_contact_ms", milliseconds(now() - contact_->confirmedAt())}});
   }
 }
 
 void GatewayControl::onConnectionsSilent() {
-  log_.write(EventId::ConnectionsSilent, {{"last_contact_ms", milliseconds(now() - contact_->vouchedAt())}});
+  log_.write(EventId::ConnectionsSilent,
+             {{"last_contact_ms", milliseconds(now() - contact_->confirmedAt())}});
   outputs_.on_connections_silent();
 }
 
@@ -312,7 +313,7 @@
 ControlStatus GatewayControl::status() const {
   ControlStatus status;
   status.configuration_version = configuration_ == nullptr ? 0 : configuration_->version;
-  status.knowledge_age = now() - contact_->vouchedAt();
+  status.knowledge_age = now() - contact_->confirmedAt();
   status.platform_reachable = reachable_;
   status.leaving = leaving_;
   status.holds_order_lease = orders_.holding();
@@ -329,7 +330,7 @@
 }
 
 bool GatewayControl::keysCurrent() const {
-  return !settings_.key_validity || now() - contact_->vouchedAt() < *settings_.key_validity;
+  return !settings_.key_validity || now() - contact_->confirmedAt() < *settings_.key_validity;
 }
 
 void GatewayControl::onSettings(const NodeSettings& settings) {
@@ -364,7 +365,7 @@
   logFleet();
   if (std::exchange(keys_current_, keysCurrent()) != keysCurrent()) {
     log_.write(EventId::GatewayKeysOutdated,
-               {{"current", keys_current_}, {"age_ms", milliseconds(now() - contact_->vouchedAt())}});
+               {{"current", keys_current_}, {"age_ms", milliseconds(now() - contact_->confirmedAt())}});
   }
   auto snapshot = std::make_shared<GatewaySnapshot>();
   // Until the record of quarantined requests is known nothing is served: such a request may be the first that
@@ -387,7 +388,7 @@
   TimePoint next = std::min(now() + (settled_ ? kLongestPause : kPauseUntilKnown), fleet_.nextChange(now()));
   if (!crashes_.isSettled(now())) next = std::min(next, now() + kPauseUntilKnown);
   if (settings_.key_validity && keys_current_) {
-    next = std::min(next, contact_->vouchedAt() + *settings_.key_validity);
+    next = std::min(next, contact_->confirmedAt() + *settings_.key_validity);
   }
   expireAt(change_timer_, next, now());
   change_timer_.async_wait([this](boost::system::error_code error) {
--- a/src/gateway_control/gateway_control.h
+++ b/src/gateway_control/gateway_control.h
@@ -29,8 +29,8 @@
 /// Where the control state puts what it decides.
 struct GatewayControlOutputs {
   std::function<void(std::shared_ptr<const GatewaySnapshot>)> publish;
-  std::function<void(CachedPartsNews)> on_cached_parts;
-  std::function<void(std::vector<LoadDigest>)> on_peer_work;
+  std::function<void(CachedPartsUpdate)> on_cached_parts;
+  std::function<void(std::vector<LoadDigest>)> on_peer_load;
   std::function<void(CrashUpdate)> on_crash_update;
   /// Open connections have gone silent: those of traffic may have, too.
   std::function<void()> on_connections_silent;
@@ -72,7 +72,7 @@
   void onWrongBackend(EngineSlot slot, std::uint64_t incarnation,
                       std::optional<std::uint64_t> weights_version);
   /// Tells the other gateways, in a large fleet those that serve, what this one has at each engine.
-  void onOwnWork(const LoadDigest& digest);
+  void onOwnLoadDigest(const LoadDigest& digest);
   void onOwnLoad(const OwnLoad& load) { own_load_ = load; }
   /// Tells all other gateways which back ends ended under which requests.
   void onOwnCrashUpdate(const CrashUpdate& news);
@@ -96,7 +96,7 @@
   void carryOut(const CallStore& action);
   std::vector<std::string> otherMembers() const;
   void passPeerWork();
-  void onOwnCacheNews(CachedPartsNews news);
+  void onOwnCacheNews(CachedPartsUpdate news);
   CacheWatchCallbacks cacheCallbacks();
   void onCacheSilent(const CacheSilence& silence);
   void onCacheHeard(EngineSlot slot, std::uint64_t incarnation);
@@ -157,7 +157,7 @@
   bool tell_waiting_ = false;
   TimePoint member_added_at_{};                  ///< When a gateway that was not known before became known.
   bool settled_ = false;                         ///< A large fleet is known: see fleetIsKnown().
-  std::vector<CachedPartsNews> told_;            ///< By other gateways, not yet passed on to traffic.
+  std::vector<CachedPartsUpdate> told_;          ///< By other gateways, not yet passed on to traffic.
   std::set<std::string> kv_stores_;              ///< Ids of those that the configuration names.
   std::map<std::string, LoadDigest> peer_work_;  ///< By teller and zone, not yet passed on to traffic.
   OwnLoad own_load_;
--- a/src/gateway_control/shared_caches.cc
+++ b/src/gateway_control/shared_caches.cc
@@ -85,7 +85,7 @@
   return found == backends_.end() ? nullptr : &*found;
 }
 
-void GatewayControl::onOwnCacheNews(CachedPartsNews news) {
+void GatewayControl::onOwnCacheNews(CachedPartsUpdate news) {
   const Backend* backend = findBackend(news.slot, news.incarnation);
   if (!sharing_.empty() && backend != nullptr) {
     caches_.onOwnNews(backend->view.name, news.parts, news.complete);
@@ -118,7 +118,7 @@
   for (ToldCacheNews& told : received.news) {
     const Backend* backend = findBackend(told.backend);
     if (backend == nullptr) continue;
-    CachedPartsNews news;
+    CachedPartsUpdate news;
     news.slot = backend->view.slot;
     news.incarnation = backend->view.incarnation;
     news.complete = told.complete;
@@ -135,7 +135,7 @@
 
 /// Together, since each hand-over wakes the traffic thread.
 void GatewayControl::passToldNews() {
-  for (CachedPartsNews& news : std::exchange(told_, {})) outputs_.on_cached_parts(std::move(news));
+  for (CachedPartsUpdate& news : std::exchange(told_, {})) outputs_.on_cached_parts(std::move(news));
 }
 
 void GatewayControl::onCacheWanted(const std::string& asker, const CacheWanted& wanted) {
--- a/src/gateway_control/shared_work.cc
+++ b/src/gateway_control/shared_work.cc
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void GatewayControl::onOwnWork(const LoadDigest& digest) {
+void GatewayControl::onOwnLoadDigest(const LoadDigest& digest) {
   for (const std::string& peer : peers()) gossip_.tell(peer, digest);
 }
 
@@ -31,7 +31,7 @@
 void GatewayControl::passPeerWork() {
   std::vector<LoadDigest> digests;
   for (auto& [teller, digest] : std::exchange(peer_work_, {})) digests.push_back(std::move(digest));
-  if (outputs_.on_peer_work) outputs_.on_peer_work(std::move(digests));
+  if (outputs_.on_peer_load) outputs_.on_peer_load(std::move(digests));
 }
 
 }  // namespace crankspur::gateway
--- a/src/gateway_process/gateway_process.cc
+++ b/src/gateway_process/gateway_process.cc
@@ -40,14 +40,14 @@
       [this, shared = std::move(snapshot)] { implementation_->loop.onSnapshot(shared); });
 }
 
-void GatewayProcess::onCachedParts(CachedPartsNews news) {
+void GatewayProcess::onCachedParts(CachedPartsUpdate news) {
   implementation_->thread.post(
       [this, owned = std::move(news)] { implementation_->loop.onCachedParts(owned); });
 }
 
-void GatewayProcess::onPeerWork(std::vector<LoadDigest> digests) {
+void GatewayProcess::onPeerLoad(std::vector<LoadDigest> digests) {
   implementation_->thread.post(
-      [this, owned = std::move(digests)] { implementation_->loop.onPeerWork(owned); });
+      [this, owned = std::move(digests)] { implementation_->loop.onPeerLoad(owned); });
 }
 
 void GatewayProcess::onCrashUpdate(CrashUpdate news) {
--- a/src/gateway_process/gateway_process.h
+++ b/src/gateway_process/gateway_process.h
@@ -62,9 +62,9 @@
 
   void publish(std::shared_ptr<const GatewaySnapshot> snapshot);
   /// Tells which parts of prompts a back end or a store of KV cache holds.
-  void onCachedParts(CachedPartsNews news);
+  void onCachedParts(CachedPartsUpdate news);
   /// Tells what other gateways have at each engine.
-  void onPeerWork(std::vector<LoadDigest> digests);
+  void onPeerLoad(std::vector<LoadDigest> digests);
   /// Tells which back ends ended under which requests, as other gateways saw it.
   void onCrashUpdate(CrashUpdate news);
   /// Tells that open connections to several peers have gone silent, while new ones may work.
--- a/src/gateway_process/traffic_loop.cc
+++ b/src/gateway_process/traffic_loop.cc
@@ -131,12 +131,12 @@
   pump();
 }
 
-void TrafficLoop::onCachedParts(const CachedPartsNews& news) {
+void TrafficLoop::onCachedParts(const CachedPartsUpdate& news) {
   gateway_.onCachedParts(news, now());
 }
 
-void TrafficLoop::onPeerWork(const std::vector<LoadDigest>& digests) {
-  for (const LoadDigest& digest : digests) gateway_.onPeerWork(digest.sender, digest, now());
+void TrafficLoop::onPeerLoad(const std::vector<LoadDigest>& digests) {
+  for (const LoadDigest& digest : digests) gateway_.onPeerLoad(digest.sender, digest, now());
 }
 
 void TrafficLoop::onConnectionsSilent() {
@@ -169,7 +169,7 @@
 /// The last digest before a pause is empty: nothing of this gateway's is left at any engine.
 void TrafficLoop::tellWork() {
   work_waiting_ = false;
-  LoadDigest digest = gateway_.ownWork();
+  LoadDigest digest = gateway_.ownLoadDigest();
   told_work_ = !digest.loads.empty();
   facts_.on_own_work(std::move(digest));
   tellWorkSoon();
@@ -414,7 +414,7 @@
 http::ExchangeCallbacks TrafficLoop::callbacksOf(ExchangeId exchange, const std::string& request_id) {
   http::ExchangeCallbacks callbacks;
   callbacks.is_own = [dialect = dialect_, request_id](int status, const http::Headers& headers) {
-    return !dialect->readAnswer({status, headers, {}}, request_id).other_request;
+    return !dialect->readResponse({status, headers, {}}, request_id).other_request;
   };
   callbacks.on_headers = [this, exchange, request_id](int status, const http::Headers& headers) {
     onHead(exchange, request_id, status, headers);
@@ -432,7 +432,7 @@
   if (found == running_.end()) return;
   found->second.status = status;
   found->second.headers = headers;
-  gateway_.onHead(exchange, status, dialect_->readAnswer({status, headers, {}}, request_id), now());
+  gateway_.onHead(exchange, status, dialect_->readResponse({status, headers, {}}, request_id), now());
   pump();
 }
 
--- a/src/gateway_process/traffic_loop.h
+++ b/src/gateway_process/traffic_loop.h
@@ -26,8 +26,8 @@
   std::uint16_t port() const { return server_->port(); }
 
   void onSnapshot(std::shared_ptr<const GatewaySnapshot> snapshot);
-  void onCachedParts(const CachedPartsNews& news);
-  void onPeerWork(const std::vector<LoadDigest>& digests);
+  void onCachedParts(const CachedPartsUpdate& news);
+  void onPeerLoad(const std::vector<LoadDigest>& digests);
   void onCrashUpdate(const CrashUpdate& news) { gateway_.onCrashUpdate(news, now()); }
   /// Closes kept connections to back ends; requests on others that may be repeated move soon.
   void onConnectionsSilent();
--- a/tests/integration/gateway/gateway_site.h
+++ b/tests/integration/gateway/gateway_site.h
@@ -32,8 +32,8 @@
     if (terms.resume_after) headers["X-After"] = std::to_string(*terms.resume_after);
     return headers;
   }
-  BackendAnswer readAnswer(const http::Response& head, const std::string& request_id) const override {
-    BackendAnswer answer;
+  BackendResponse readResponse(const http::Response& head, const std::string& request_id) const override {
+    BackendResponse answer;
     const auto id = head.headers.find("X-Id");
     answer.other_request = id != head.headers.end() && id->second != request_id;
     answer.genuine = head.headers.contains("X-Seal");
--- a/tests/unit/gateway/crash_suspects_test.cc
+++ b/tests/unit/gateway/crash_suspects_test.cc
@@ -106,7 +106,7 @@
 
 TEST_CASE("a whole answer clears a request, also of evidence that comes later", "[gateway][crash_suspects]") {
   CrashSuspects suspects = suspectsWith(2);
-  CHECK(suspects.onWholeAnswer(kRequest, kStart + seconds(3)));
+  CHECK(suspects.onCompleteResponse(kRequest, kStart + seconds(3)));
   CHECK(suspicionOf(suspects, seconds(3)) == Suspicion::none);
   CHECK_FALSE(suspects.onCrash(crash(9, seconds(2)), kStart + seconds(4)));
   CHECK(suspects.onCrash(crash(9, seconds(3)), kStart + seconds(4)));
@@ -138,7 +138,7 @@
   suspects.onCrash(crash(4, seconds(70)), kStart + seconds(71));
   CHECK(suspicionOf(suspects, seconds(70) + minutes(3)) == Suspicion::quarantined);
   CHECK(suspicionOf(suspects, seconds(71) + minutes(4)) == Suspicion::isolated);
-  suspects.forgetOld(kStart + hours(2));
+  suspects.removeExpired(kStart + hours(2));
   CHECK(suspects.size() == 0);
   CHECK(suspects.digest() == 0);
 }
--- a/tests/unit/gateway/gateway_failure_test.cc
+++ b/tests/unit/gateway/gateway_failure_test.cc
@@ -88,14 +88,14 @@
 }
 
 TEST_CASE("the budget is shared by the gateways and comes back with time", "[gateway]") {
-  RepeatBudget budget({0.2, seconds(10), 8});
+  RetryBudget budget({0.2, seconds(10), 8});
   const TimePoint start{seconds(50)};
   for (int count = 0; count < 10; ++count) budget.onRequest(start);
   int taken = 0;
-  while (budget.tryRepeat(4, start)) ++taken;
+  while (budget.tryRetry(4, start)) ++taken;
   CHECK(taken == 4);
-  CHECK_FALSE(budget.tryRepeat(4, start + seconds(9)));
-  CHECK(budget.tryRepeat(4, start + seconds(12)));
+  CHECK_FALSE(budget.tryRetry(4, start + seconds(9)));
+  CHECK(budget.tryRetry(4, start + seconds(12)));
 }
 
 TEST_CASE("the back end's own failure is passed on as it is when it is not repeated", "[gateway]") {
--- a/tests/unit/gateway/gateway_fixture.h
+++ b/tests/unit/gateway/gateway_fixture.h
@@ -64,14 +64,14 @@
   return backend;
 }
 
-inline BackendAnswer genuineAnswer() {
-  BackendAnswer answer;
+inline BackendResponse genuineAnswer() {
+  BackendResponse answer;
   answer.genuine = true;
   return answer;
 }
 
-inline BackendAnswer wrongBackend(std::optional<std::uint64_t> weights) {
-  BackendAnswer answer;
+inline BackendResponse wrongBackend(std::optional<std::uint64_t> weights) {
+  BackendResponse answer;
   answer.wrong_backend = true;
   answer.weights_version = weights;
   return answer;
@@ -184,7 +184,7 @@
     return found.front();
   }
 
-  void head(int status, BackendAnswer answer = genuineAnswer()) {
+  void head(int status, BackendResponse answer = genuineAnswer()) {
     gateway.onHead(last.exchange, status, answer, now);
     take();
   }
@@ -201,7 +201,7 @@
     take();
   }
   void notRun() {
-    BackendAnswer answer;
+    BackendResponse answer;
     answer.not_run = true;
     head(503, answer);
   }
--- a/tests/unit/gateway/gateway_records_test.cc
+++ b/tests/unit/gateway/gateway_records_test.cc
@@ -19,7 +19,7 @@
 TEST_CASE("an answered request is told as admitted, placed and answered", "[gateway][records]") {
   GatewayFixture fixture;
   fixture.key_validity = seconds(5);
-  fixture.contact->vouch(fixture.now);
+  fixture.contact->confirm(fixture.now);
   fixture.publish();
   fixture.send("review");
   REQUIRE(fixture.observer.admitted.size() == 1);
--- a/tests/unit/gateway/gateway_request_test.cc
+++ b/tests/unit/gateway/gateway_request_test.cc
@@ -27,7 +27,7 @@
 TEST_CASE("keys are not trusted once they may have been taken away", "[gateway]") {
   GatewayFixture fixture;
   fixture.key_validity = seconds(5);
-  fixture.contact->vouch(fixture.now - seconds(5));
+  fixture.contact->confirm(fixture.now - seconds(5));
   fixture.publish();
   fixture.send("order");
   CHECK(fixture.only<Refuse>().status == 503);
@@ -40,7 +40,7 @@
 TEST_CASE("a gateway that wakes from a freeze trusts no key before the platform vouches again", "[gateway]") {
   GatewayFixture fixture;
   fixture.key_validity = seconds(5);
-  fixture.contact->vouch(fixture.now);
+  fixture.contact->confirm(fixture.now);
   fixture.publish();
   fixture.send("order");
   CHECK(fixture.has<Dispatch>());
@@ -48,7 +48,7 @@
   fixture.now += seconds(5);
   fixture.send("order");
   CHECK(fixture.only<Refuse>().status == 503);
-  fixture.contact->vouch(fixture.now);
+  fixture.contact->confirm(fixture.now);
   fixture.send("order");
   CHECK(fixture.has<Dispatch>());
 }
@@ -137,10 +137,10 @@
   Backend backend = makeBackend(1, "app");
   backend.slots = 0;
   for (int count = 0; count < 8; ++count) {
-    CHECK(table.hasRoom(backend, pool, 5, TimePoint{}));
+    CHECK(table.hasCapacity(backend, pool, 5, TimePoint{}));
     table.onDispatch(1);
   }
-  CHECK_FALSE(table.hasRoom(backend, pool, 5, TimePoint{}));
+  CHECK_FALSE(table.hasCapacity(backend, pool, 5, TimePoint{}));
 }
 
 TEST_CASE("a back end that turns away one request after the other is passed over for longer each time",
@@ -158,7 +158,7 @@
   };
   const auto passedOver = [&] {
     const TimePoint refused_at = now;
-    while (!table.hasRoom(backend, pool, 1, now)) now += milliseconds(10);
+    while (!table.hasCapacity(backend, pool, 1, now)) now += milliseconds(10);
     return now - refused_at;
   };
   refuse();
--- a/tests/unit/gateway/gateway_stream_test.cc
+++ b/tests/unit/gateway/gateway_stream_test.cc
@@ -86,7 +86,7 @@
       passed += cursor.feed(text.substr(start, step));
     CHECK(passed == text);
     CHECK(cursor.lastEvent() == 6);
-    CHECK_FALSE(cursor.insideEvent());
+    CHECK_FALSE(cursor.hasPartialEvent());
   }
 }
 
@@ -94,7 +94,7 @@
   for (const EngineSlot holder : {EngineSlot{3}, EngineSlot{4}}) {
     GatewayFixture fixture;
     fixture.publish();
-    CachedPartsNews news;
+    CachedPartsUpdate news;
     news.slot = holder;
     news.incarnation = 1000U + holder;
     news.parts = {{cacheScope("1", ""), "m", 11, 1600}};
--- a/tests/unit/gateway/peer_work_test.cc
+++ b/tests/unit/gateway/peer_load_table_test.cc
@@ -1,4 +1,4 @@
-#include "gateway/peer_work.h"
+#include "gateway/peer_load_table.h"
 
 #include "unit/gateway/gateway_fixture.h"
 
@@ -46,7 +46,7 @@
 }  // namespace
 
 TEST_CASE("the newest digest of each teller counts, for a while", "[gateway][peer_work]") {
-  PeerWork peers;
+  PeerLoadTable peers;
   CHECK(peers.tellers(kNow) == 0);
   peers.onDigest("a", digestOf({load(1, 100, 2), load(2, 50, 1)}), kNow);
   peers.onDigest("b", digestOf({load(1, 30, 1)}), kNow);
@@ -65,7 +65,7 @@
 }
 
 TEST_CASE("a digest that names an engine twice leaves nothing behind", "[gateway][peer_work]") {
-  PeerWork peers;
+  PeerLoadTable peers;
   peers.onDigest("a", digestOf({load(1, 100, 2), load(1, 70, 1)}), kNow);
   CHECK(peers.at(1, kNow).waiting_tokens == 70);
   peers.onDigest("a", digestOf({}), kNow);
@@ -77,7 +77,7 @@
   TwoEngines fleet;
   const Choice first = fleet.choose();
   const std::uint64_t busy = first.backend->view.incarnation;
-  fleet.choice.onPeerWork("a", digestOf({load(busy, 40'000, 3)}), kNow);
+  fleet.choice.onPeerLoad("a", digestOf({load(busy, 40'000, 3)}), kNow);
   const Choice second = fleet.choose();
   CHECK(second.backend->view.incarnation != busy);
   CHECK(second.expected_first_byte < seconds(1));
@@ -87,7 +87,7 @@
   const auto expected = [](std::uint32_t peers) {
     TwoEngines fleet;
     fleet.snapshot.peer_count = peers;
-    fleet.choice.onPeerWork("a", digestOf({load(1003, 4'000, 1), load(1004, 4'000, 1)}), kNow);
+    fleet.choice.onPeerLoad("a", digestOf({load(1003, 4'000, 1), load(1004, 4'000, 1)}), kNow);
     return fleet.choose().expected_first_byte;
   };
   CHECK(expected(10) > expected(1));
@@ -100,24 +100,24 @@
   fleet.request.pool = fleet.configuration.findPool("app");
   fleet.request.uses_prefixes = false;
   for (const EngineSlot busy : {EngineSlot{1}, EngineSlot{2}}) {
-    fleet.choice.onPeerWork("a", digestOf({load(1000U + busy, 0, 2)}), kNow);
+    fleet.choice.onPeerLoad("a", digestOf({load(1000U + busy, 0, 2)}), kNow);
     for (int round = 0; round < 20; ++round) CHECK(fleet.choose().backend->view.slot != busy);
   }
 }
 
 TEST_CASE("a gateway tells what it has at each engine", "[gateway][peer_work]") {
   TwoEngines fleet;
-  CHECK(fleet.choice.ownWork().loads.empty());
+  CHECK(fleet.choice.ownLoadDigest().loads.empty());
   const Choice choice = fleet.choose();
   const DispatchedPrompt prompt = fleet.choice.onDispatch(choice, 1, kNow);
-  REQUIRE(fleet.choice.ownWork().loads.size() == 1);
-  const EngineLoad waiting = fleet.choice.ownWork().loads.front();
+  REQUIRE(fleet.choice.ownLoadDigest().loads.size() == 1);
+  const EngineLoad waiting = fleet.choice.ownLoadDigest().loads.front();
   CHECK(waiting.engine_incarnation == choice.backend->view.incarnation);
   CHECK(waiting.queued_tokens == 400);
   CHECK(waiting.running == 1);
   fleet.choice.onFirstByte(*fleet.request.pool, prompt, 1, milliseconds(50), kNow);
-  REQUIRE(fleet.choice.ownWork().loads.size() == 1);
-  CHECK(fleet.choice.ownWork().loads.front().queued_tokens == 0);
+  REQUIRE(fleet.choice.ownLoadDigest().loads.size() == 1);
+  CHECK(fleet.choice.ownLoadDigest().loads.front().queued_tokens == 0);
   fleet.choice.onEnd(choice.backend->view.slot, 1);
-  CHECK(fleet.choice.ownWork().loads.empty());
+  CHECK(fleet.choice.ownLoadDigest().loads.empty());
 }
--- a/tests/unit/gateway/superseded_weights_test.cc
+++ b/tests/unit/gateway/superseded_weights_test.cc
@@ -65,7 +65,7 @@
   HalfLoadedFleet fleet;
   LoadDigest digest;
   digest.loads = {{"", 1000U + kNew, 80'000, 1, 0}};
-  fleet.choice.onPeerWork("other", digest, kNow);
+  fleet.choice.onPeerLoad("other", digest, kNow);
   CHECK(fleet.chosenNew() == 0);
 }
 
@@ -75,7 +75,7 @@
   fleet.holds(kOld, "1", 10);
   LoadDigest digest;
   digest.loads = {{"", 1000U + kNew, 4'000, 1, 0}};
-  fleet.choice.onPeerWork("other", digest, kNow);
+  fleet.choice.onPeerLoad("other", digest, kNow);
   CHECK(fleet.choose(10) == kOld);
   CHECK(fleet.choose(20) == kNew);
 }
--- a/tests/unit/gateway_control/cache_watch_test.cc
+++ b/tests/unit/gateway_control/cache_watch_test.cc
@@ -49,7 +49,7 @@
   void runWhatIsDue() { context_.poll(); }
 
   FakePlatformLink platform;
-  std::vector<CachedPartsNews> news;
+  std::vector<CachedPartsUpdate> news;
   std::vector<CacheSilence> silences;
   std::vector<EngineSlot> heard;
 
@@ -65,7 +65,7 @@
   }
   CacheWatchCallbacks callbacks() {
     CacheWatchCallbacks callbacks;
-    callbacks.on_news = [this](CachedPartsNews told) { news.push_back(std::move(told)); };
+    callbacks.on_news = [this](CachedPartsUpdate told) { news.push_back(std::move(told)); };
     callbacks.on_silent = [this](const CacheSilence& silence) { silences.push_back(silence); };
     callbacks.on_heard = [this](EngineSlot slot, std::uint64_t) { heard.push_back(slot); };
     return callbacks;
--- a/tests/unit/gateway_control/gateway_admin_test.cc
+++ b/tests/unit/gateway_control/gateway_admin_test.cc
@@ -26,7 +26,7 @@
   http::Headers forwardHeaders(const http::Request& head, const ForwardTerms&) const override {
     return head.headers;
   }
-  BackendAnswer readAnswer(const http::Response&, const std::string&) const override { return {}; }
+  BackendResponse readResponse(const http::Response&, const std::string&) const override { return {}; }
 };
 
 BoundedLogSettings quietLog() {
@@ -58,7 +58,7 @@
     outputs.publish = [this](std::shared_ptr<const GatewaySnapshot> snapshot) {
       process.publish(std::move(snapshot));
     };
-    outputs.on_cached_parts = [](CachedPartsNews) {};
+    outputs.on_cached_parts = [](CachedPartsUpdate) {};
     outputs.on_connections_silent = [this] { ++silences; };
     return outputs;
   }
--- a/tests/unit/platform/header_dialect_test.cc
+++ b/tests/unit/platform/header_dialect_test.cc
@@ -88,15 +88,15 @@
   const HeaderDialect dialect;
   http::Response answer;
   answer.status = 503;
-  CHECK_FALSE(dialect.readAnswer(answer, "r1").not_run);
+  CHECK_FALSE(dialect.readResponse(answer, "r1").not_run);
   answer.headers["Not-Executed"] = "1";
-  CHECK(dialect.readAnswer(answer, "r1").not_run);
+  CHECK(dialect.readResponse(answer, "r1").not_run);
   answer = {421, {}, ""};
-  CHECK(dialect.readAnswer(answer, "r1").wrong_backend);
+  CHECK(dialect.readResponse(answer, "r1").wrong_backend);
   answer = {200, {{"Attempt-Id", "r2"}, {"Server-Seal", "s"}, {"Weight-Versions", "4"}}, ""};
-  CHECK(dialect.readAnswer(answer, "r1").other_request);
-  CHECK(dialect.readAnswer(answer, "r2").genuine);
-  CHECK(dialect.readAnswer(answer, "r2").weights_version == 4);
+  CHECK(dialect.readResponse(answer, "r1").other_request);
+  CHECK(dialect.readResponse(answer, "r2").genuine);
+  CHECK(dialect.readResponse(answer, "r2").weights_version == 4);
   answer.headers["Content-Encoding"] = "gzip";
-  CHECK_FALSE(dialect.readAnswer(answer, "r2").genuine);
+  CHECK_FALSE(dialect.readResponse(answer, "r2").genuine);
 }
