--- a/src/gateway/backend_table.cc
+++ b/src/gateway/backend_table.cc
@@ -5,19 +5,22 @@
 namespace crankspur::gateway {
 namespace {
 
-/// Weight of one outcome in the smoothed share of failures, and the share at which a back end is ejected.
+/// Weight of one outcome in the smoothed share of failures.
 constexpr double kFailureSmoothing = 0.15;
+/// Share of failures at which a back end is ejected.
 constexpr double kFailedShareLimit = 0.45;
-constexpr std::uint32_t kOutcomesUntilJudged = 4;
-constexpr double kAnswerSmoothing = 0.2;
-/// Time for which a back end that had no room is passed over: it doubles with each refusal in a row, up to
-/// about the time that a load of weights takes. One that turns everything away looks idle, and would draw
-/// requests.
-constexpr Duration kFullPause = std::chrono::milliseconds(60);
-constexpr std::uint32_t kMostDoublings = 4;
-/// A learnt limit rises by one in each of these periods.
+/// Outcomes that are needed before a back end may be ejected.
+constexpr std::uint32_t kMinOutcomes = 4;
+constexpr double kResponseTimeSmoothing = 0.2;
+/// Backoff after a refusal of a back end that is at capacity. It doubles with each consecutive refusal, up to
+/// about the time that it takes to load weights. Without it, a back end that refuses all requests would look
+/// idle and attract more of them.
+constexpr Duration kFullBackoff = std::chrono::milliseconds(60);
+constexpr std::uint32_t kMaxBackoffDoublings = 4;
+/// An observed limit rises by one in each of these periods.
 constexpr Duration kLimitRecovery = std::chrono::milliseconds(100);
-/// Connections of a back end left to the control side of all gateways: one for events, one for reports.
+/// Connections of a back end that are reserved for the control side of all gateways: one for events, one for
+/// reports.
 constexpr std::uint32_t kControlConnections = 2;
 
 }  // namespace
@@ -26,7 +29,7 @@
   for (const Backend& backend : snapshot.backends) {
     State& state = states_[backend.view.slot];
     if (state.incarnation == backend.view.incarnation) continue;
-    // Requests to the incarnation before still count until they end.
+    // Requests to the previous incarnation count until they end.
     const std::uint32_t in_flight = state.in_flight;
     state = State();
     state.in_flight = in_flight;
@@ -47,23 +50,23 @@
 void BackendTable::onOutcome(EngineSlot slot, std::uint64_t incarnation, DispatchOutcome outcome,
                              TimePoint now) {
   State& state = states_[slot];
-  const std::uint32_t held = state.in_flight;
+  const std::uint32_t in_flight_before = state.in_flight;
   if (state.in_flight > 0) --state.in_flight;
   if (state.incarnation != incarnation) return;
   switch (outcome) {
     case DispatchOutcome::Answered:
-      return noteFailure(state, false, now);
+      return recordOutcome(state, false, now);
     case DispatchOutcome::ErrorAnswer:
-      return noteFailure(state, true, now);
+      return recordOutcome(state, true, now);
     case DispatchOutcome::Failed:
       state.health.onOutcome(OutcomeKind::Lost, Duration(0), now);
-      return noteFailure(state, true, now);
+      return recordOutcome(state, true, now);
     case DispatchOutcome::ConnectFailed:
       return state.health.onOutcome(OutcomeKind::ConnectFailed, Duration(0), now);
     case DispatchOutcome::Full:
-      state.limit = std::max(held, 2U) - 1;
+      state.limit = std::max(in_flight_before, 2U) - 1;
       state.limited_at = now;
-      state.full_until = now + kFullPause * (1U << std::min(state.refusals, kMostDoublings));
+      state.full_until = now + kFullBackoff * (1U << std::min(state.refusals, kMaxBackoffDoublings));
       ++state.refusals;
       return;
     case DispatchOutcome::Ended:
@@ -71,10 +74,10 @@
   }
 }
 
-void BackendTable::noteFailure(State& state, bool failed, TimePoint now) {
+void BackendTable::recordOutcome(State& state, bool failed, TimePoint now) {
   state.failed_share += kFailureSmoothing * ((failed ? 1.0 : 0.0) - state.failed_share);
   ++state.outcomes;
-  if (!failed || state.outcomes < kOutcomesUntilJudged || state.failed_share < kFailedShareLimit) return;
+  if (!failed || state.outcomes < kMinOutcomes || state.failed_share < kFailedShareLimit) return;
   state.health.eject(now);
   state.failed_share = 0;
   state.outcomes = 0;
@@ -87,9 +90,9 @@
   state.refusals = 0;
   state.health.onOutcome(OutcomeKind::Answered, taken - expected, now);
   const double seconds = toSeconds(taken);
-  const bool first = state.answer_seconds == 0;
-  state.answer_seconds =
-      first ? seconds : state.answer_seconds + kAnswerSmoothing * (seconds - state.answer_seconds);
+  const bool first = state.response_seconds == 0;
+  state.response_seconds =
+      first ? seconds : state.response_seconds + kResponseTimeSmoothing * (seconds - state.response_seconds);
 }
 
 bool BackendTable::hasCapacity(const Backend& backend, const Pool& pool, std::uint32_t share_divisor,
@@ -133,14 +136,14 @@
   return state != nullptr && state->health.latenessKnown() ? state->health.lateness() : 0;
 }
 
-double BackendTable::answerTime(EngineSlot slot) const {
+double BackendTable::responseTime(EngineSlot slot) const {
   const State* state = find(slot);
-  return state == nullptr ? 0 : state->answer_seconds;
+  return state == nullptr ? 0 : state->response_seconds;
 }
 
 TimePoint BackendTable::lastReceivedAt(EngineSlot slot) const {
   const State* state = find(slot);
-  return state == nullptr ? TimePoint{} : state->heard_at;
+  return state == nullptr ? TimePoint{} : state->last_received_at;
 }
 
 }  // namespace crankspur::gateway
--- a/src/gateway/backend_table.h
+++ b/src/gateway/backend_table.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file What a gateway has learnt about each back end by its own traffic: health, requests in flight,
+/// @file State of each back end as observed by the gateway's own traffic: health, requests in flight,
 /// refusals.
 
 #include <absl/container/flat_hash_map.h>
@@ -14,45 +14,47 @@
 
 /// How one dispatch at a back end ended.
 enum class DispatchOutcome {
-  Answered,       ///< Its own answer came whole.
-  ErrorAnswer,    ///< It answered that it failed.
-  Failed,         ///< It sent bytes that are no answer of its own, or broke off.
+  Answered,       ///< Its own response was complete.
+  ErrorAnswer,    ///< It responded with an error.
+  Failed,         ///< It sent bytes that are not a response of its own, or the connection broke.
   ConnectFailed,  ///< No connection could be made.
-  Full,           ///< It ran nothing for want of room.
-  Ended,          ///< Cancelled by us, or says nothing about the back end.
+  Full,           ///< It refused to run the request because it is at capacity.
+  Ended,          ///< Cancelled by the gateway, or not related to the health of the back end.
 };
 
-/// State by back end slot. Forgets a slot whose incarnation changes. Not thread-safe.
+/// State by back end slot. The state of a slot is reset when its incarnation changes. Not thread-safe.
 class BackendTable {
 public:
-  /// Takes the present back ends.
+  /// Resets the state of the slots whose incarnation is another one in the snapshot.
   void onSnapshot(const GatewaySnapshot& snapshot, TimePoint now);
   /// Counts a dispatch in flight.
   void onDispatch(EngineSlot slot);
-  /// @param incarnation that the dispatch was sent to; of another than the present one nothing is learnt.
+  /// @param incarnation that the dispatch was sent to; the outcome counts only if it is the current one.
   void onOutcome(EngineSlot slot, std::uint64_t incarnation, DispatchOutcome outcome, TimePoint now);
-  /// Any byte of an answer came.
-  void onBytesReceived(EngineSlot slot, TimePoint now) { states_[slot].heard_at = now; }
-  /// Notes how long an answer took to begin, against what was expected.
+  /// Some bytes of a response were received.
+  void onBytesReceived(EngineSlot slot, TimePoint now) { states_[slot].last_received_at = now; }
+  /// Records the time to the first byte of a response.
+  /// @param taken from dispatch to the first byte.
+  /// @param expected the estimate made at the dispatch.
   void onFirstByte(EngineSlot slot, std::uint64_t incarnation, Duration taken, Duration expected,
                    TimePoint now);
 
-  /// @return whether the back end may be sent one more request now, as far as places and connections go.
+  /// @return whether the back end has a free slot and a free connection for one more request.
   bool hasCapacity(const Backend& backend, const Pool& pool, std::uint32_t share_divisor,
                    TimePoint now) const;
-  /// @return whether its traffic shows no fault.
+  /// @return whether the gateway's traffic to the back end shows no failure.
   bool isHealthy(EngineSlot slot, TimePoint now) const;
-  /// @return whether it answers nobody: those who follow its cache get no answer, and its traffic has heard
-  /// nothing since.
+  /// @return whether the back end is unresponsive: the calls that follow its cache get no response, and the
+  /// gateway's traffic has received nothing since then.
   bool isUnresponsive(const Backend& backend) const;
-  /// @return time for which its failures keep it out of use; 0: none.
+  /// @return remaining time for which the back end is ejected because of failures; 0: not ejected.
   Duration ejectedFor(EngineSlot slot, TimePoint now) const;
   std::uint32_t inFlight(EngineSlot slot) const;
-  /// @return seconds that it begins its answers later than expected.
+  /// @return by how many seconds its responses start later than expected.
   double lateness(EngineSlot slot) const;
-  /// @return seconds until it begins to answer, smoothed; 0 when unknown.
-  double answerTime(EngineSlot slot) const;
-  /// @return when any byte of an answer last came.
+  /// @return smoothed time to the first byte of a response in seconds; 0 when unknown.
+  double responseTime(EngineSlot slot) const;
+  /// @return when bytes of a response were last received.
   TimePoint lastReceivedAt(EngineSlot slot) const;
 
 private:
@@ -60,17 +62,17 @@
     std::uint64_t incarnation = 0;
     EngineHealth health;
     std::uint32_t in_flight = 0;
-    std::uint32_t limit = 0;  ///< Requests in flight at which it last refused; 0: it did not.
+    std::uint32_t limit = 0;  ///< One less than the requests in flight at its last refusal; 0: none.
     TimePoint limited_at{};
     TimePoint full_until{};
-    std::uint32_t refusals = 0;  ///< For want of room, in a row.
-    TimePoint heard_at{};
+    std::uint32_t refusals = 0;  ///< Consecutive refusals because it was at capacity.
+    TimePoint last_received_at{};
     double failed_share = 0;  ///< Smoothed share of dispatches that failed.
     std::uint32_t outcomes = 0;
-    double answer_seconds = 0;
+    double response_seconds = 0;
   };
   const State* find(EngineSlot slot) const;
-  void noteFailure(State& state, bool failed, TimePoint now);
+  void recordOutcome(State& state, bool failed, TimePoint now);
 
   absl::flat_hash_map<EngineSlot, State> states_;
 };
--- a/src/gateway/cached_parts.h
+++ b/src/gateway/cached_parts.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Which parts of prompts a back end holds, on the way from the control side to traffic.
+/// @file Updates of the prompt parts that a back end has cached, sent by the control side to traffic shards.
 
 #include <cstdint>
 #include <string>
@@ -9,19 +9,19 @@
 
 namespace crankspur::gateway {
 
-/// One part as a cache holds it now.
+/// Current state of one part in a cache.
 struct CachedPart {
-  std::string scope;  ///< ForwardTerms::cache_scope it was made under.
+  std::string scope;  ///< ForwardTerms::cache_scope that it was cached under.
   std::string model;
   std::uint64_t part = 0;    ///< PromptPart::id.
-  std::uint32_t tokens = 0;  ///< Leading tokens kept now; 0: none any more.
+  std::uint32_t tokens = 0;  ///< Leading tokens that are cached; 0: the part was evicted.
 };
 
-/// News of one cache, in its order.
+/// Update of one cache. Updates of a cache are delivered in its order.
 struct CachedPartsUpdate {
   EngineSlot slot = 0;            ///< Of the back end.
   std::uint64_t incarnation = 0;  ///< Ignored by the index unless it is the snapshot's.
-  bool complete = false;          ///< True: replaces all that was known (after a gap or a restart).
+  bool complete = false;          ///< Replaces all previous state (after a gap or a restart).
   std::vector<CachedPart> parts;
 };
 
--- a/src/gateway/crash_suspects.cc
+++ b/src/gateway/crash_suspects.cc
@@ -8,18 +8,18 @@
 namespace crankspur::gateway {
 namespace {
 
-/// Evidence of other gateways is taken only while it is younger than the lifetime by this much, so that
-/// gateways whose clocks differ do not tell each other again what some have forgotten.
+/// Evidence is accepted only while it is younger than the lifetime by this much, so that gateways whose
+/// clocks differ do not send each other expired evidence again.
 constexpr Duration kLifetimeMargin = std::chrono::seconds(10);
-/// Refutations are kept this long against evidence that arrives late.
+/// How long refutations are kept, to reject evidence that arrives late.
 constexpr Duration kRefutationLifetime = std::chrono::minutes(1);
-/// Crashes kept for one request; further ones say nothing new.
+/// Crashes kept for one request; further ones add no information.
 constexpr std::size_t kMaxCrashesOfRequest = 16;
-/// Signs of life that differ by less are the same.
-constexpr Duration kSameSign = std::chrono::milliseconds(50);
+/// Signs of life whose times differ by at most this much are the same.
+constexpr Duration kSignTolerance = std::chrono::milliseconds(50);
 /// Signs of life kept for one back end.
 constexpr std::size_t kMaxSignsOfBackend = 8;
-/// Records of an update, some 40 bytes each, so that it fits into a datagram.
+/// Records of each kind in an update, about 40 bytes each, so that it fits into a datagram.
 constexpr std::size_t kMaxRecordsOfUpdate = 600;
 
 }  // namespace
@@ -61,7 +61,8 @@
   return true;
 }
 
-/// Bytes on a connection of before the crash, or an answer sooner than any back end can be back.
+/// A sign of life is either bytes on a connection from before the crash, or a response sooner than any back
+/// end can restart.
 bool CrashSuspects::onSignOfLife(std::uint64_t backend, TimePoint sent_at, TimePoint now) {
   const auto found = crashed_at_.find(backend);
   if (found == crashed_at_.end()) return false;
@@ -70,7 +71,7 @@
   const bool too_soon = sent_at >= crashed_at && now < crashed_at + policy_.min_restart_time;
   if (!same_connection && !too_soon) return false;
   const SignOfLife sign{backend, crashed_at};
-  withdraw(sign);
+  withdrawCrashes(sign);
   update_.alive.push_back(sign);
   return true;
 }
@@ -78,7 +79,7 @@
 bool CrashSuspects::merge(const CrashUpdate& update, TimePoint now) {
   bool changed = false;
   for (const ClearedRequest& cleared : update.cleared) changed |= clear(cleared);
-  for (const SignOfLife& sign : update.alive) changed |= withdraw(sign);
+  for (const SignOfLife& sign : update.alive) changed |= withdrawCrashes(sign);
   for (const CrashEvidence& evidence : update.crashes) changed |= add(evidence, now);
   return changed;
 }
@@ -89,25 +90,26 @@
   return isVoid(evidence);
 }
 
-/// What was noticed much earlier is of another crash, which a process that stood still noticed late; what was
-/// noticed later came after the proof of life.
+/// A sign of life voids only evidence of about the time of the crash that it refutes. Evidence that was
+/// recorded much earlier is of a real crash, which a process that was suspended detected late; evidence that
+/// was recorded later is of a crash after the sign of life.
 bool CrashSuspects::isVoid(const CrashEvidence& evidence) const {
   const auto signs = alive_.find(evidence.backend);
   if (signs == alive_.end()) return false;
-  const auto after = signs->second.lower_bound(evidence.crashed_at - kSameSign);
+  const auto after = signs->second.lower_bound(evidence.crashed_at - kSignTolerance);
   return after != signs->second.end() && *after < evidence.crashed_at + policy_.min_restart_time;
 }
 
 bool CrashSuspects::add(const CrashEvidence& evidence, TimePoint now) {
   if (now - evidence.crashed_at > policy_.evidence_lifetime - kLifetimeMargin || isRefuted(evidence))
     return false;
-  if (!suspects_.contains(evidence.request)) makeRoom();
+  if (!suspects_.contains(evidence.request)) evictIfFull();
   std::vector<Crash>& crashes = suspects_[evidence.request].crashes;
   std::uint64_t crashes_of_backend = 0;
   for (const Crash& crash : crashes) {
     if (crash.backend != evidence.backend) continue;
-    // Of one start there is one crash. A run that began much later is of its next start, even where its birth
-    // is not known yet.
+    // An incarnation crashes only once. A run that began much later belongs to the next incarnation, even if
+    // that one is not known yet.
     const bool is_later = evidence.sent_at >= crash.crashed_at + policy_.min_time_between_crashes;
     const bool is_earlier = crash.sent_at >= evidence.crashed_at + policy_.min_time_between_crashes;
     if (!is_later && !is_earlier) return false;
@@ -124,7 +126,7 @@
   return true;
 }
 
-void CrashSuspects::removeCrash(Suspect& suspect, std::size_t index) {
+void CrashSuspects::removeCrashAt(Suspect& suspect, std::size_t index) {
   digest_ -= suspect.crashes[index].key;
   suspect.crashes.erase(suspect.crashes.begin() + static_cast<std::ptrdiff_t>(index));
 }
@@ -137,17 +139,17 @@
   if (found == suspects_.end()) return is_new;
   Suspect& suspect = found->second;
   while (!suspect.crashes.empty() && suspect.crashes.front().crashed_at <= cleared.at) {
-    removeCrash(suspect, 0);
+    removeCrashAt(suspect, 0);
   }
   if (suspect.crashes.empty()) suspects_.erase(found);
   return is_new;
 }
 
-bool CrashSuspects::withdraw(const SignOfLife& sign) {
+bool CrashSuspects::withdrawCrashes(const SignOfLife& sign) {
   std::set<TimePoint>& signs = alive_[sign.backend];
-  // Told again, an instant is off by the way of a datagram.
-  const auto near = signs.lower_bound(sign.at - kSameSign);
-  if (near != signs.end() && *near <= sign.at + kSameSign) return false;
+  // The time of a sign that is received again differs by the delay of a datagram.
+  const auto near = signs.lower_bound(sign.at - kSignTolerance);
+  if (near != signs.end() && *near <= sign.at + kSignTolerance) return false;
   signs.insert(sign.at);
   if (signs.size() > kMaxSignsOfBackend) signs.erase(signs.begin());
   crashed_at_.erase(sign.backend);
@@ -156,7 +158,7 @@
     for (std::size_t index = suspect.crashes.size(); index-- > 0;) {
       const Crash& crash = suspect.crashes[index];
       const CrashEvidence evidence{item.first, crash.backend, crash.sent_at, crash.crashed_at};
-      if (crash.backend == sign.backend && isVoid(evidence)) removeCrash(suspect, index);
+      if (crash.backend == sign.backend && isVoid(evidence)) removeCrashAt(suspect, index);
     }
     return suspect.crashes.empty();
   });
@@ -184,7 +186,7 @@
   return verdict;
 }
 
-/// Those with the most crashes first.
+/// Requests with the most crashes come first.
 CrashUpdate CrashSuspects::allEvidence() const {
   std::vector<std::pair<std::size_t, RequestFingerprint>> order;
   order.reserve(suspects_.size());
@@ -228,7 +230,7 @@
   absl::erase_if(suspects_, [&](auto& item) {
     Suspect& suspect = item.second;
     while (!suspect.crashes.empty() && now - suspect.crashes.front().crashed_at > policy_.evidence_lifetime) {
-      removeCrash(suspect, 0);
+      removeCrashAt(suspect, 0);
     }
     return suspect.crashes.empty();
   });
@@ -242,20 +244,21 @@
                  [&](const auto& item) { return now - item.second > policy_.evidence_lifetime; });
 }
 
-/// The one with the fewest crashes goes, of these the one whose last crash is the longest ago.
-void CrashSuspects::makeRoom() {
+/// Evicts the request with the fewest crashes; among equals, the one with the oldest last crash.
+void CrashSuspects::evictIfFull() {
   if (suspects_.size() < policy_.max_suspects) return;
-  auto least = suspects_.begin();
+  auto evicted = suspects_.begin();
   for (auto place = suspects_.begin(); place != suspects_.end(); ++place) {
     const std::vector<Crash>& crashes = place->second.crashes;
-    const std::vector<Crash>& least_crashes = least->second.crashes;
-    const bool fewer = crashes.size() < least_crashes.size();
-    const bool older =
-        crashes.size() == least_crashes.size() && crashes.back().crashed_at < least_crashes.back().crashed_at;
-    if (fewer || older) least = place;
+    const std::vector<Crash>& evicted_crashes = evicted->second.crashes;
+    const bool fewer = crashes.size() < evicted_crashes.size();
+    const bool older = crashes.size() == evicted_crashes.size() &&
+                       crashes.back().crashed_at < evicted_crashes.back().crashed_at;
+    if (fewer || older) evicted = place;
   }
-  for (std::size_t index = least->second.crashes.size(); index-- > 0;) removeCrash(least->second, index);
-  suspects_.erase(least);
+  for (std::size_t index = evicted->second.crashes.size(); index-- > 0;)
+    removeCrashAt(evicted->second, index);
+  suspects_.erase(evicted);
 }
 
 }  // namespace crankspur::gateway
--- a/src/gateway/dialect.h
+++ b/src/gateway/dialect.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file How one platform spells requests and answers. The gateway decides in its own terms; a dialect
-/// translates between them and HTTP heads. Implementations live outside the product's packages.
+/// @file Interface to the HTTP dialect of a platform. It translates between HTTP heads and the types that the
+/// gateway decides on. Implementations are not part of the product's packages.
 
 #include <cstdint>
 #include <optional>
@@ -13,13 +13,13 @@
 
 namespace crankspur::gateway {
 
-/// One part of a prompt; parts of equal id are equal.
+/// One part of a prompt. Parts with equal ids have equal content.
 struct PromptPart {
   std::uint64_t id = 0;
   std::uint32_t tokens = 0;
 };
 
-/// What a client's head says, in the gateway's terms.
+/// Parsed head of a client's request.
 struct ClientRequest {
   std::string request_id;  ///< Unique for each client attempt.
   std::string api_key;     ///< Empty: none sent.
@@ -28,29 +28,29 @@
   std::uint32_t prompt_tokens = 0;
   std::uint32_t maximum_answer_tokens = 0;
   std::uint32_t estimated_answer_tokens = 0;  ///< The client's estimate; 0: none.
-  std::optional<Duration> deadline;           ///< Time the client waits from now; empty: none stated.
-  std::optional<std::uint64_t> resume_after;  ///< Last event the client has of a stream.
+  std::optional<Duration> deadline;           ///< Remaining time that the client waits; empty: not stated.
+  std::optional<std::uint64_t> resume_after;  ///< Last event of a stream that the client received.
 };
 
-/// What the gateway adds to a request for a back end.
+/// Values that the gateway adds to a request for a back end.
 struct ForwardTerms {
-  std::string expected_backend;  ///< Incarnation id that has to match, otherwise nothing runs.
+  std::string expected_backend;  ///< Incarnation id that has to match; otherwise the request is not run.
   std::string tenant;
   std::optional<std::uint64_t> expected_weights;
   Duration deadline{0};
-  std::uint32_t priority = 5;  ///< 0 to 9, 0 first.
+  std::uint32_t priority = 5;  ///< 0 to 9; 0 is the most urgent.
   std::string cache_scope;     ///< Prefixes are shared only under equal scopes.
   std::string import_from;     ///< "IP:port" of a back end or store to fetch cached parts from; empty: none.
   std::string save_to;         ///< "IP:port" of a store to send parts to; empty: none.
   std::optional<std::uint64_t> resume_after;
 };
 
-/// What a back end's head means.
+/// Parsed head of a back end's response.
 struct BackendResponse {
-  bool not_run = false;        ///< The back end says that it ran nothing and will not.
+  bool not_run = false;        ///< The back end did not run the request and will not.
   bool wrong_backend = false;  ///< Another incarnation, or other weights, than expected.
-  bool other_request = false;  ///< The answer belongs to a request other than the one asked: discard it.
-  bool genuine = false;        ///< Bears the marks of a back end's own answer.
+  bool other_request = false;  ///< The response belongs to another request: discard it.
+  bool genuine = false;        ///< Has the headers of a response made by a back end itself.
   std::optional<std::uint64_t> weights_version;
 };
 
@@ -58,10 +58,10 @@
 class Dialect {
 public:
   virtual ~Dialect() = default;
-  /// @return what the head says; empty when it is malformed (answered 400).
+  /// @return the parsed head; empty if it is malformed (status 400).
   virtual std::optional<ClientRequest> readRequest(const http::Request& head) const = 0;
-  /// @return the headers to send on: the client's but for those of a single connection and those that
-  /// `terms` replaces, and those of `terms`.
+  /// @return the headers to forward: the client's, without hop-by-hop headers and those that `terms`
+  /// replaces, and the headers of `terms`.
   virtual http::Headers forwardHeaders(const http::Request& head, const ForwardTerms& terms) const = 0;
   virtual BackendResponse readResponse(const http::Response& head, const std::string& request_id) const = 0;
 };
--- a/src/gateway/engine_choice.cc
+++ b/src/gateway/engine_choice.cc
@@ -9,45 +9,45 @@
 namespace crankspur::gateway {
 namespace {
 
-/// Cost of a request that leaves the zone, seconds: its way there and back.
+/// Cost of a request that leaves the zone or the region, seconds: the round-trip time.
 constexpr double kOtherZoneCost = 0.004;
 constexpr double kOtherRegionCost = 0.050;
-/// Share of a runner's load that a request to another zone is worth.
+/// Load that is added to the score of a runner in another zone.
 constexpr double kOtherZoneLoad = 0.15;
-/// Engines equal otherwise are told apart by up to this many seconds, alike in all gateways for one prefix,
-/// so that requests with a common prefix meet at one engine.
+/// Breaks ties between otherwise equal engines by up to this many seconds. All gateways break a tie in the
+/// same way for a prefix, so that requests with a common prefix go to one engine.
 constexpr double kAffinityCost = 0.015;
-/// Reading shared parts that another engine has read, or is about to read, counts this many times the time it
-/// takes, up to a limit in seconds: it takes time and memory from all others.
-constexpr double kReadAgainFactor = 6;
-constexpr double kReadAgainLimit = 1.5;
-/// What an answer of superseded weights costs, seconds: about a quarter of the time that a first byte may
-/// take, so that engines with the named weights fill up first but are not waited for.
+/// Cost of the prefill of shared parts that another engine holds or is about to prefill: this multiple of the
+/// prefill time, up to a limit in seconds. A redundant prefill takes time and memory from all other requests.
+constexpr double kRecomputeFactor = 6;
+constexpr double kRecomputeCostLimit = 1.5;
+/// Cost of a response from superseded weights, seconds: about a quarter of the time allowed for a first byte,
+/// so that engines with the named weights fill up first, but requests do not wait for them.
 constexpr double kSupersededCost = 0.15;
-/// Reading shared parts for the first time under superseded weights counts this many times the time it takes:
-/// it is of no use to anyone once these are gone. With the factor above, engines that have the named weights
-/// early in a roll-out got more than they could read.
-constexpr double kSupersededReadFactor = 2;
-/// A prompt that takes longer to read than this many seconds holds up the streams beside it; what it costs to
-/// send it to an engine of short ones, or the reverse, in seconds.
+/// Cost of the first prefill of shared parts under superseded weights, as a multiple of the prefill time: the
+/// cached parts become useless once these weights are unloaded. With kRecomputeFactor instead, the engines
+/// that have the named weights early in a roll-out receive more than they can prefill.
+constexpr double kSupersededPrefillFactor = 2;
+/// A prompt whose prefill takes longer than this many seconds delays the other streams of its engine.
 constexpr double kLongPrompt = 0.06;
+/// Cost of a long prompt at an engine for short ones, or the reverse, seconds.
 constexpr double kOtherPartitionCost = 0.25;
-/// Of gateways that do not tell their work: own work in an engine's queue stands for up to this many
-/// gateways'.
-constexpr double kUnseenGateways = 3;
-/// Wait for a place among the requests that an engine runs at once, for each request above, seconds.
-constexpr double kFullBatchWait = 0.1;
-/// What filling a cache block costs later requests by eviction, seconds.
+/// While no gateway reports its load, each gateway is assumed to have as much queued at an engine as this
+/// one, up to this many gateways, this one included.
+constexpr double kMaxUnreportedGateways = 3;
+/// Estimated wait for a place in an engine's full batch, seconds per request above the batch limit.
+constexpr double kFullBatchDelay = 0.1;
+/// Cost of filling a cache block, seconds: the eviction that it causes slows down later requests.
 constexpr double kEvictionCost = 0.0003;
-/// An engine's queue is taken to last this many times its usual time to the first byte.
+/// An engine's queue is assumed to last this many times its smoothed time to the first byte.
 constexpr double kQueueSafety = 2.5;
-/// Lateness counts up to this many seconds.
+/// Upper limit of the cost of lateness, seconds.
 constexpr double kLatenessLimit = 0.5;
-/// Factor of load while a runner is slow after its start.
+/// Factor of the cost of a back end that is slow after its start.
 constexpr double kColdFactor = 2.0;
-/// What another request at the back end costs one that may end it, seconds (for runners: load), so that it
-/// goes before all else: each is cut, and its engine's cache is lost, for an end. Avoided back ends cost as
-/// much as so many.
+/// Cost of each other request at a back end for a request that may crash it, seconds (for runners: load). It
+/// outweighs all other costs, since a crash cuts off all of them and loses the engine's cache. An avoided
+/// back end costs as much as kAvoidedRequests requests.
 constexpr double kCostPerRequestAtRisk = 10;
 constexpr double kAvoidedRequests = 1'000;
 
@@ -62,7 +62,7 @@
   return version;
 }
 
-/// @return the version of the model's weights that the engine is listed with; empty: none or no number.
+/// @return the weights version that the engine is listed with for the model; empty: none or not a number.
 std::optional<std::uint64_t> listedWeights(const EngineView& engine, const std::string& model) {
   for (const LoadedModel& loaded : engine.models) {
     if (loaded.model == model) return parseVersion(loaded.weights_version);
@@ -70,7 +70,8 @@
   return std::nullopt;
 }
 
-/// @return the hash by which prompts that share their longest shared part meet: of the part before the last.
+/// @return the id of the last shared part, which is the part before the last: prompts with an equal key have
+/// affinity to the same engine.
 std::uint64_t affinityKey(const std::vector<PromptPart>& prompt) {
   if (prompt.empty()) return 0;
   return prompt.size() == 1 ? prompt.front().id : prompt[prompt.size() - 2].id;
@@ -95,37 +96,34 @@
     if (known == backend.view.incarnation) continue;
     known = backend.view.incarnation;
     index_.setIncarnation(slot, known);
-    news_at_.erase(slot);
-    learnt_.erase(slot);
+    cache_updated_at_.erase(slot);
+    observed_weights_.erase(slot);
   }
 }
 
 void EngineChoice::onWeights(EngineSlot slot, std::uint64_t incarnation, const std::string& model,
                              std::uint64_t version) {
-  learnt_[slot] = {incarnation, model, version};
+  observed_weights_[slot] = {incarnation, model, version};
 }
 
-// Cached parts.
-
-void EngineChoice::onCachedParts(const CachedPartsUpdate& news, TimePoint now) {
-  const auto known = incarnations_.find(news.slot);
-  if (known == incarnations_.end() || known->second != news.incarnation) return;
-  news_at_[news.slot] = now;
-  if (news.complete) index_.clear(news.slot, news.incarnation);
-  for (const CachedPart& part : news.parts) {
+void EngineChoice::onCachedParts(const CachedPartsUpdate& update, TimePoint now) {
+  const auto known = incarnations_.find(update.slot);
+  if (known == incarnations_.end() || known->second != update.incarnation) return;
+  cache_updated_at_[update.slot] = now;
+  if (update.complete) index_.clear(update.slot, update.incarnation);
+  for (const CachedPart& part : update.parts) {
     const std::uint64_t key = partKey(part.scope, part.model, part.part);
-    index_.set(news.slot, news.incarnation, {key, part.tokens});
+    index_.set(update.slot, update.incarnation, {key, part.tokens});
   }
 }
 
-// The choice.
-
 std::optional<std::uint64_t> EngineChoice::weightsOf(const Backend& backend, const std::string& model) const {
   const std::optional<std::uint64_t> listed = listedWeights(backend.view, model);
-  const auto learnt = learnt_.find(backend.view.slot);
-  if (learnt == learnt_.end() || learnt->second.incarnation != backend.view.incarnation) return listed;
-  if (learnt->second.model != model) return listed;
-  return std::max(listed.value_or(0), learnt->second.version);
+  const auto observed = observed_weights_.find(backend.view.slot);
+  if (observed == observed_weights_.end() || observed->second.incarnation != backend.view.incarnation)
+    return listed;
+  if (observed->second.model != model) return listed;
+  return std::max(listed.value_or(0), observed->second.version);
 }
 
 EngineChoice::Usable EngineChoice::findUsable(const ChoiceRequest& request, const GatewaySnapshot& snapshot,
@@ -137,32 +135,32 @@
   const std::vector<std::string> pools = {request.pool->name};
   const Eligibility eligibility(placement, pools);
   Usable healthy;
-  Usable doubtful;
+  Usable unhealthy;
   for (const Backend& backend : snapshot.backends) {
     if (!eligibility.isEligible(backend.view)) continue;
     UsableBackend usable{&backend, std::nullopt};
     if (request.uses_prefixes) usable.weights = weightsOf(backend, request.client->model);
-    if (!hasFreshWeights(usable, request, table, now)) continue;
+    if (!hasAllowedWeights(usable, request, table, now)) continue;
     if (!table.hasCapacity(backend, *request.pool, snapshot.share_divisor, now)) {
       at_capacity = true;
       continue;
     }
     const bool answers = table.isHealthy(backend.view.slot, now) && !table.isUnresponsive(backend);
-    (answers ? healthy : doubtful).push_back(usable);
+    (answers ? healthy : unhealthy).push_back(usable);
   }
-  return healthy.empty() && !at_capacity ? doubtful : healthy;
+  return healthy.empty() && !at_capacity ? unhealthy : healthy;
 }
 
-/// A request begins once the engine's queue is worked off. What counts is the weights of that moment, so that
-/// an engine that has answered late is judged as of later.
-bool EngineChoice::hasFreshWeights(const UsableBackend& usable, const ChoiceRequest& request,
-                                   const BackendTable& table, TimePoint now) const {
+/// A request starts when the engine's queue is processed, and the weights have to be allowed at that time.
+/// The check therefore uses a later time for an engine with a long response time.
+bool EngineChoice::hasAllowedWeights(const UsableBackend& usable, const ChoiceRequest& request,
+                                     const BackendTable& table, TimePoint now) const {
   if (request.weights_clock == nullptr) return true;
-  const Duration queue = toDuration(table.answerTime(usable.backend->view.slot) * kQueueSafety);
+  const Duration queue = toDuration(table.responseTime(usable.backend->view.slot) * kQueueSafety);
   const TimePoint begins = now + std::max(Duration(0), queue - request.weights_margin);
-  const std::optional<std::uint64_t> least =
-      request.weights_clock->leastWeights(request.client->model, begins);
-  return !least || usable.weights.value_or(0) >= *least;
+  const std::optional<std::uint64_t> min_version =
+      request.weights_clock->minWeightsVersion(request.client->model, begins);
+  return !min_version || usable.weights.value_or(0) >= *min_version;
 }
 
 std::size_t EngineChoice::scopedPrompt(std::vector<ScopedPrompt>& prompts,
@@ -174,14 +172,15 @@
   ScopedPrompt prompt =
       scopePrompt(index_, weights, request.isolated_tenant, request.client->model, request.client->prompt);
   prompt.superseded = isSuperseded(weights, request);
-  prompt.first_reader = findFirstReader(prompt, request, usable);
+  prompt.prefill_engine = findPrefillEngine(prompt, request, usable);
   prompts.push_back(std::move(prompt));
   return prompts.size() - 1;
 }
 
 bool EngineChoice::isSuperseded(std::optional<std::uint64_t> weights, const ChoiceRequest& request) {
   if (request.weights_clock == nullptr) return false;
-  const std::optional<std::uint64_t> newest = request.weights_clock->newestWeights(request.client->model);
+  const std::optional<std::uint64_t> newest =
+      request.weights_clock->newestWeightsVersion(request.client->model);
   return newest && weights.value_or(0) < *newest;
 }
 
@@ -189,9 +188,9 @@
   return request.client->prompt_tokens > kLongPrompt * rates_.rate(request.pool->name);
 }
 
-/// @return the engine that every gateway sends prompts to whose first unread part is the same.
-EngineSlot EngineChoice::findFirstReader(const ScopedPrompt& prompt, const ChoiceRequest& request,
-                                         const Usable& usable) const {
+/// @return the engine to which all gateways send prompts that have the same first part without a holder.
+EngineSlot EngineChoice::findPrefillEngine(const ScopedPrompt& prompt, const ChoiceRequest& request,
+                                           const Usable& usable) const {
   std::uint32_t held = prompt.held_shared_tokens;
   std::uint64_t key = 0;
   for (const PromptPart& part : request.client->prompt) {
@@ -199,32 +198,32 @@
     if (held < part.tokens) break;
     held -= part.tokens;
   }
-  EngineSlot first_reader = 0;
-  double least = 4;
+  EngineSlot prefill_engine = 0;
+  double min_value = 4;
   const bool is_long = isLong(request);
   for (const UsableBackend& candidate : usable) {
     if (candidate.weights != prompt.weights) continue;
     const EngineView& engine = candidate.backend->view;
     const double other_partition = partition_.suits(engine, is_long) ? 0 : 2;
     const double value = affinity(key, engine) + other_partition;
-    if (value >= least) continue;
-    least = value;
-    first_reader = engine.slot;
+    if (value >= min_value) continue;
+    min_value = value;
+    prefill_engine = engine.slot;
   }
-  return first_reader;
+  return prefill_engine;
 }
 
-double EngineChoice::readAgainCost(const ScopedPrompt& prompt, EngineSlot engine, std::uint32_t cached,
+double EngineChoice::recomputeCost(const ScopedPrompt& prompt, EngineSlot engine, std::uint32_t cached,
                                    double rate) {
   const std::uint32_t known = std::max(prompt.held_shared_tokens, std::min(cached, prompt.shared_tokens));
-  std::uint32_t again = prompt.readAgainTokens(cached);
-  const std::uint32_t unread = prompt.shared_tokens - known;
-  if (engine != prompt.first_reader) {
-    again += unread;
-    return std::min(again / rate * kReadAgainFactor, kReadAgainLimit);
+  std::uint32_t recomputed = prompt.recomputedTokens(cached);
+  const std::uint32_t missing = prompt.shared_tokens - known;
+  if (engine != prompt.prefill_engine) {
+    recomputed += missing;
+    return std::min(recomputed / rate * kRecomputeFactor, kRecomputeCostLimit);
   }
-  const double cost = std::min(again / rate * kReadAgainFactor, kReadAgainLimit);
-  return prompt.superseded ? cost + unread / rate * kSupersededReadFactor : cost;
+  const double cost = std::min(recomputed / rate * kRecomputeFactor, kRecomputeCostLimit);
+  return prompt.superseded ? cost + missing / rate * kSupersededPrefillFactor : cost;
 }
 
 LoadDigest EngineChoice::ownLoadDigest() const {
@@ -241,33 +240,34 @@
   return digest;
 }
 
-/// @return how many times what the others told stands for what all others have: those that do not tell are
-/// taken to be like those that do. 0: nobody tells.
-double EngineChoice::peerScale(const GatewaySnapshot& snapshot, TimePoint now) const {
-  const auto tellers = static_cast<double>(peers_.tellers(now));
-  if (tellers == 0) return 0;
-  return std::max(snapshot.peer_count / tellers, 1.0);
+/// @return the factor from the reported load to the estimated load of all other gateways: those without
+/// reports are assumed to have the same load as those with reports. 0: no gateway reports its load.
+double EngineChoice::peerLoadScale(const GatewaySnapshot& snapshot, TimePoint now) const {
+  const auto active_peers = static_cast<double>(peers_.activePeers(now));
+  if (active_peers == 0) return 0;
+  return std::max(snapshot.peer_count / active_peers, 1.0);
 }
 
-/// What the other gateways have there counts as if it were own work.
+/// The load of the other gateways counts like that of this one.
 EngineChoice::Queue EngineChoice::queueOf(const EngineView& engine, const GatewaySnapshot& snapshot,
                                           double rate, TimePoint now) const {
   Queue queue;
   queue.seconds = toSeconds(queues_.wait(engine, rate, ledger_, now));
-  const double scale = peerScale(snapshot, now);
+  const double scale = peerLoadScale(snapshot, now);
   if (scale == 0) {
-    queue.unseen = queue.seconds * std::min<double>(snapshot.peer_count, kUnseenGateways - 1);
+    queue.unreported = queue.seconds * std::min<double>(snapshot.peer_count, kMaxUnreportedGateways - 1);
     return queue;
   }
-  const PendingLoad work = peers_.at(engine.incarnation, now);
-  queue.seconds += work.waiting_tokens * scale / rate;
+  const PendingLoad pending = peers_.at(engine.incarnation, now);
+  queue.seconds += pending.waiting_tokens * scale / rate;
   if (engine.load.batch_limit == 0) return queue;
-  const double above = ledger_.inFlight(engine.slot) + work.in_flight * scale + 1 - engine.load.batch_limit;
-  queue.seconds += std::max(above, 0.0) * kFullBatchWait;
+  const double above =
+      ledger_.inFlight(engine.slot) + pending.in_flight * scale + 1 - engine.load.batch_limit;
+  queue.seconds += std::max(above, 0.0) * kFullBatchDelay;
   return queue;
 }
 
-EngineChoice::Candidate EngineChoice::weighEngine(const Backend& backend, const ScopedPrompt& prompt,
+EngineChoice::Candidate EngineChoice::scoreEngine(const Backend& backend, const ScopedPrompt& prompt,
                                                   const ChoiceRequest& request,
                                                   const GatewaySnapshot& snapshot, const BackendTable& table,
                                                   TimePoint now) const {
@@ -280,37 +280,37 @@
   candidate.backend = &backend;
   candidate.import_from = import.from;
   candidate.uncached_tokens = total - std::min(import.cached, total - 1);
-  candidate.shared_tokens_again = prompt.readAgainTokens(import.cached);
+  candidate.shared_tokens_again = prompt.recomputedTokens(import.cached);
   const double prefill = candidate.uncached_tokens / rate;
   const Queue queue = queueOf(engine, snapshot, rate, now);
   candidate.first_byte = queue.seconds + import.seconds + prefill + distanceCost(engine, snapshot);
   const double late = std::min(table.lateness(engine.slot), kLatenessLimit);
   const double new_blocks = blocksOf(total) - std::min(blocksOf(held), blocksOf(total));
-  candidate.cost = candidate.first_byte + queue.unseen + late + new_blocks * kEvictionCost +
-                   readAgainCost(prompt, engine.slot, import.cached, rate) +
+  candidate.cost = candidate.first_byte + queue.unreported + late + new_blocks * kEvictionCost +
+                   recomputeCost(prompt, engine.slot, import.cached, rate) +
                    (prompt.superseded ? kSupersededCost : 0) +
                    (partition_.suits(engine, isLong(request)) ? 0 : kOtherPartitionCost) +
                    kAffinityCost * affinity(affinityKey(request.client->prompt), engine);
   return candidate;
 }
 
-double EngineChoice::weighRunner(const Backend& backend, const GatewaySnapshot& snapshot,
+double EngineChoice::scoreRunner(const Backend& backend, const GatewaySnapshot& snapshot,
                                  const BackendTable& table, TimePoint now) const {
   const double slots = std::max(backend.slots, 1U);
-  const double others = peers_.at(backend.view.incarnation, now).in_flight * peerScale(snapshot, now);
+  const double others = peers_.at(backend.view.incarnation, now).in_flight * peerLoadScale(snapshot, now);
   double load = (table.inFlight(backend.view.slot) + others + 1) / slots;
-  const double time = std::max(table.answerTime(backend.view.slot), 0.001);
+  const double time = std::max(table.responseTime(backend.view.slot), 0.001);
   load *= 1 + time;
   if (backend.view.zone != snapshot.own_zone) load += kOtherZoneLoad;
   return load + random_.unit() / slots / 4;
 }
 
-/// @return what is lost if the back end ends.
+/// @return the cost of a crash of the back end.
 double EngineChoice::riskCost(const Backend& backend, const ChoiceRequest& request,
                               const GatewaySnapshot& snapshot, const BackendTable& table,
                               TimePoint now) const {
   const EngineView& engine = backend.view;
-  const double others = peers_.at(engine.incarnation, now).in_flight * peerScale(snapshot, now);
+  const double others = peers_.at(engine.incarnation, now).in_flight * peerLoadScale(snapshot, now);
   const auto& avoided = request.avoided;
   const bool is_avoided = std::find(avoided.begin(), avoided.end(), engine.slot) != avoided.end();
   const double requests = table.inFlight(engine.slot) + others + (is_avoided ? kAvoidedRequests : 0);
@@ -329,11 +329,11 @@
     candidate.backend = backend;
     if (request.uses_prefixes) {
       const std::size_t prompt = scopedPrompt(prompts, weights, request, usable);
-      candidate = weighEngine(*backend, prompts[prompt], request, snapshot, table, now);
+      candidate = scoreEngine(*backend, prompts[prompt], request, snapshot, table, now);
       candidate.prompt = prompt;
     } else {
-      candidate.cost = weighRunner(*backend, snapshot, table, now);
-      candidate.first_byte = table.answerTime(backend->view.slot);
+      candidate.cost = scoreRunner(*backend, snapshot, table, now);
+      candidate.first_byte = table.responseTime(backend->view.slot);
     }
     if (now < backend->cold_until) candidate.cost *= kColdFactor;
     if (request.prefer_fewest_requests) candidate.cost += riskCost(*backend, request, snapshot, table, now);
@@ -352,7 +352,7 @@
   ScopedPrompt& prompt = prompts[best.prompt];
   choice.weights = prompt.weights;
   choice.cache_scope = prompt.scope;
-  choice.save_to = storeFor(prompt, snapshot);
+  choice.save_to = selectStore(prompt, snapshot);
   choice.parts = std::move(prompt.parts);
   choice.import_from = best.import_from;
   choice.uncached_tokens = best.uncached_tokens;
@@ -368,8 +368,8 @@
 }
 
 std::optional<Duration> EngineChoice::cacheAge(EngineSlot slot, TimePoint now) const {
-  const auto found = news_at_.find(slot);
-  if (found == news_at_.end()) return std::nullopt;
+  const auto found = cache_updated_at_.find(slot);
+  if (found == cache_updated_at_.end()) return std::nullopt;
   return now - found->second;
 }
 
@@ -383,7 +383,8 @@
   return {engine.slot, engine.incarnation, choice.uncached_tokens, choice.parts};
 }
 
-/// Only now do others find the parts there: until it has read them an engine has nothing to give.
+/// The parts enter the index here rather than at the dispatch: an engine has nothing to export before the
+/// prefill is done.
 void EngineChoice::onFirstByte(const Pool& pool, const DispatchedPrompt& prompt, std::uint64_t dispatch,
                                Duration taken, TimePoint now) {
   rates_.observe(pool.name, prompt.uncached_tokens, taken);
--- a/src/gateway/engine_choice.h
+++ b/src/gateway/engine_choice.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Which back end of a pool gets a request: by cached prefixes and queue for model engines, by load
-/// otherwise.
+/// @file Selects the back end of a pool for a request: model engines by cached prefixes and queue length,
+/// other back ends by load.
 
 #include <absl/container/flat_hash_map.h>
 
@@ -25,41 +25,40 @@
 
 namespace crankspur::gateway {
 
-/// What a choice rests on.
+/// Input of a choice.
 struct ChoiceRequest {
   const Pool* pool = nullptr;
   const ClientRequest* client = nullptr;
   bool uses_prefixes = false;
   std::string isolated_tenant;                  ///< Empty: shares cached prefixes with all others.
-  const WeightsClock* weights_clock = nullptr;  ///< Which weights are too old to begin with; null: none are.
-  Duration weights_margin{0};                   ///< Between the clock's grace and the latest begin.
+  const WeightsClock* weights_clock = nullptr;  ///< Which weights are too old for new requests; null: none.
+  Duration weights_margin{0};                   ///< From the end of the clock's grace to the latest start.
   std::vector<EngineSlot> excluded;
-  std::vector<EngineSlot> avoided;  ///< Used only where no other may be.
-  bool prefer_fewest_requests =
-      false;  ///< The back end may end: the one with the fewest other requests is best.
+  std::vector<EngineSlot> avoided;      ///< Chosen only if no other back end is eligible.
+  bool prefer_fewest_requests = false;  ///< The request may crash its back end.
 };
 
 /// The back end chosen.
 struct Choice {
-  const Backend* backend = nullptr;  ///< Null: none may get the request now.
-  bool at_capacity = false;          ///< None: some would do but have no room.
+  const Backend* backend = nullptr;  ///< Null: no back end is available.
+  bool at_capacity = false;          ///< An eligible back end was skipped because it is at capacity.
   std::optional<std::uint64_t> weights;
   std::string cache_scope;
   std::string import_from;
-  std::string save_to;  ///< Address of the store that is to keep the shared parts; empty: none.
+  std::string save_to;  ///< Address of the store to which the shared parts are saved; empty: none.
   std::vector<KeyedPart> parts;
   std::uint32_t uncached_tokens = 0;
   bool long_prompt = false;
   Duration expected_first_byte{0};
-  // What explains the choice.
+  // Explanation of the choice for records and logs.
   std::size_t candidates = 0;          ///< Back ends that were compared.
   double cost = 0;                     ///< Seconds for engines, load for runners.
   const Backend* runner_up = nullptr;  ///< The next best; null: there was none.
   double runner_up_cost = 0;
-  std::uint32_t shared_tokens_again = 0;  ///< Held by some engine and yet read again.
+  std::uint32_t shared_tokens_again = 0;  ///< Held by some engine but prefilled again.
 };
 
-/// What is remembered of a dispatch until its first byte.
+/// State of a dispatch that is kept until its first byte.
 struct DispatchedPrompt {
   EngineSlot slot = 0;
   std::uint64_t incarnation = 0;
@@ -67,39 +66,39 @@
   std::vector<KeyedPart> parts;
 };
 
-/// Holds the index of cached parts and the work in flight. Not thread-safe.
+/// Holds the index of cached parts and the requests in flight. Not thread-safe.
 class EngineChoice {
 public:
-  /// @param index_entries parts remembered, over all engines.
+  /// @param index_entries maximum number of cached parts in the index, over all engines.
   EngineChoice(std::size_t index_entries, RandomSource& random);
 
   void onSnapshot(const GatewaySnapshot& snapshot);
-  void onCachedParts(const CachedPartsUpdate& news, TimePoint now);
-  /// An answer stated the weights that a back end has.
+  void onCachedParts(const CachedPartsUpdate& update, TimePoint now);
+  /// A response stated the weights version that a back end serves.
   void onWeights(EngineSlot slot, std::uint64_t incarnation, const std::string& model, std::uint64_t version);
 
-  /// Another gateway told what it has at each engine.
-  void onPeerLoad(const std::string& teller, const LoadDigest& digest, TimePoint now) {
-    peers_.onDigest(teller, digest, now);
+  /// Another gateway reported its load at each engine.
+  void onPeerLoad(const std::string& peer, const LoadDigest& digest, TimePoint now) {
+    peers_.onDigest(peer, digest, now);
   }
-  /// @return what this gateway has at each engine, for the others.
+  /// @return this gateway's load at each engine, to be sent to the other gateways.
   LoadDigest ownLoadDigest() const;
 
   Choice choose(const ChoiceRequest& request, const GatewaySnapshot& snapshot, const BackendTable& table,
                 TimePoint now) const;
 
-  /// Notes a dispatch by `choice`.
+  /// Records a dispatch by `choice`.
   DispatchedPrompt onDispatch(const Choice& choice, std::uint64_t dispatch, TimePoint now);
-  /// The engine has read the prompt.
+  /// The engine has finished the prefill of the prompt.
   /// @param taken from dispatch to the first byte.
   void onFirstByte(const Pool& pool, const DispatchedPrompt& prompt, std::uint64_t dispatch, Duration taken,
                    TimePoint now);
   void onEnd(EngineSlot slot, std::uint64_t dispatch);
-  /// @return time since news of the back end's cache came; empty: none came.
+  /// @return time since the last update of the back end's cache; empty: none was received.
   std::optional<Duration> cacheAge(EngineSlot slot, TimePoint now) const;
 
 private:
-  struct LearntWeights {
+  struct ObservedWeights {
     std::uint64_t incarnation = 0;
     std::string model;
     std::uint64_t version = 0;
@@ -107,7 +106,7 @@
   /// A back end that may get the request.
   struct UsableBackend {
     const Backend* backend = nullptr;
-    std::optional<std::uint64_t> weights;  ///< Of the model asked for; empty: none is known.
+    std::optional<std::uint64_t> weights;  ///< Of the requested model; empty: unknown.
   };
   using Usable = std::vector<UsableBackend>;
   struct Candidate {
@@ -124,28 +123,28 @@
                     TimePoint now, bool& at_capacity) const;
   std::size_t scopedPrompt(std::vector<ScopedPrompt>& prompts, std::optional<std::uint64_t> weights,
                            const ChoiceRequest& request, const Usable& usable) const;
-  EngineSlot findFirstReader(const ScopedPrompt& prompt, const ChoiceRequest& request,
-                             const Usable& usable) const;
+  EngineSlot findPrefillEngine(const ScopedPrompt& prompt, const ChoiceRequest& request,
+                               const Usable& usable) const;
   static bool isSuperseded(std::optional<std::uint64_t> weights, const ChoiceRequest& request);
   bool isLong(const ChoiceRequest& request) const;
-  static double readAgainCost(const ScopedPrompt& prompt, EngineSlot engine, std::uint32_t cached,
+  static double recomputeCost(const ScopedPrompt& prompt, EngineSlot engine, std::uint32_t cached,
                               double rate);
   static void explain(Choice& choice, const Candidate& best, const Candidate& second);
-  /// What waits at an engine before a new request.
+  /// Work that is queued at an engine ahead of a new request.
   struct Queue {
-    double seconds = 0;  ///< Until the engine begins with it.
-    double unseen = 0;   ///< Seconds that others may have added without being seen.
+    double seconds = 0;     ///< Until the engine starts the new request.
+    double unreported = 0;  ///< Seconds that gateways without load reports may have added.
   };
   Queue queueOf(const EngineView& engine, const GatewaySnapshot& snapshot, double rate, TimePoint now) const;
-  Candidate weighEngine(const Backend& backend, const ScopedPrompt& prompt, const ChoiceRequest& request,
+  Candidate scoreEngine(const Backend& backend, const ScopedPrompt& prompt, const ChoiceRequest& request,
                         const GatewaySnapshot& snapshot, const BackendTable& table, TimePoint now) const;
-  bool hasFreshWeights(const UsableBackend& usable, const ChoiceRequest& request, const BackendTable& table,
-                       TimePoint now) const;
-  double weighRunner(const Backend& backend, const GatewaySnapshot& snapshot, const BackendTable& table,
+  bool hasAllowedWeights(const UsableBackend& usable, const ChoiceRequest& request, const BackendTable& table,
+                         TimePoint now) const;
+  double scoreRunner(const Backend& backend, const GatewaySnapshot& snapshot, const BackendTable& table,
                      TimePoint now) const;
   double riskCost(const Backend& backend, const ChoiceRequest& request, const GatewaySnapshot& snapshot,
                   const BackendTable& table, TimePoint now) const;
-  double peerScale(const GatewaySnapshot& snapshot, TimePoint now) const;
+  double peerLoadScale(const GatewaySnapshot& snapshot, TimePoint now) const;
   RandomSource& random_;
   PartIndex index_;
   OutstandingLedger ledger_;
@@ -153,9 +152,9 @@
   QueueEstimator queues_;
   PrefillRates rates_;
   PromptSizePartition partition_;
-  absl::flat_hash_map<EngineSlot, LearntWeights> learnt_;
+  absl::flat_hash_map<EngineSlot, ObservedWeights> observed_weights_;
   absl::flat_hash_map<EngineSlot, std::uint64_t> incarnations_;
-  absl::flat_hash_map<EngineSlot, TimePoint> news_at_;
+  absl::flat_hash_map<EngineSlot, TimePoint> cache_updated_at_;
 };
 
 }  // namespace crankspur::gateway
--- a/src/gateway/gateway_snapshot.h
+++ b/src/gateway/gateway_snapshot.h
@@ -1,6 +1,7 @@
 #pragma once
-/// @file What a gateway knows when it decides: the accepted configuration and the live back ends. A gateway
-/// takes requests straight from clients and passes their answers on unread. Published whole, never changed.
+/// @file The state on which a gateway decides: the accepted configuration and the live back ends. A gateway
+/// receives requests directly from clients and forwards the responses without parsing their bodies. Each
+/// snapshot is published as a whole and is immutable.
 
 #include <algorithm>
 #include <atomic>
@@ -16,11 +17,11 @@
 
 namespace crankspur::gateway {
 
-/// What may be repeated.
+/// Whether a request may run more than once.
 enum class Repeatability {
   Repeatable,       ///< May run more than once.
   AtMostOnce,       ///< Runs at most once for each client attempt.
-  ResumableStream,  ///< A stream that another back end may go on with after the last event delivered.
+  ResumableStream,  ///< A stream that another back end may continue after the last delivered event.
 };
 
 /// A share of a route's requests that goes to one pool.
@@ -35,14 +36,14 @@
   std::string host;
   std::string path_prefix;  ///< Begins and ends with '/'.
   Repeatability repeatability = Repeatability::AtMostOnce;
-  bool streaming = false;         ///< The answer is a series of events.
-  bool needs_tenant = true;       ///< False: served without an API key.
-  bool uses_prefixes = false;     ///< Requests name prompt parts; place them by cached prefixes.
-  Duration timeout{0};            ///< Longest time a client attempt is held.
-  Duration first_byte_target{0};  ///< Time within which an answer (a stream's first event) counts as in time.
-  Duration event_gap_target{0};   ///< Longest pause between events of a stream.
-  std::uint32_t priority = 0;     ///< 0 is the most urgent.
-  std::uint32_t maximum_attempts = 1;  ///< Most back ends that one client attempt may be sent to.
+  bool streaming = false;              ///< The response is a stream of events.
+  bool needs_tenant = true;            ///< False: served without an API key.
+  bool uses_prefixes = false;          ///< Requests name prompt parts and are placed by cached prefixes.
+  Duration timeout{0};                 ///< Maximum duration of a client attempt.
+  Duration first_byte_target{0};       ///< A response (a stream's first event) within this time is in time.
+  Duration event_gap_target{0};        ///< Maximum gap between events of a stream.
+  std::uint32_t priority = 0;          ///< 0 is the most urgent.
+  std::uint32_t maximum_attempts = 1;  ///< Maximum number of dispatches of one client attempt.
   std::vector<PoolShare> pools;
 };
 
@@ -51,13 +52,13 @@
   std::string name;
   std::string health_path;
   std::uint32_t maximum_connections = 0;  ///< Of each back end, from all callers together.
-  std::uint32_t batch_limit = 0;          ///< Requests that run at once; 0: as the back end says.
+  std::uint32_t batch_limit = 0;          ///< Requests that run at once; 0: as reported by the back end.
   std::uint64_t cache_tokens = 0;         ///< Tokens a back end's prefix cache holds; 0: no model engine.
-  std::uint64_t token_bytes = 0;          ///< Bytes of KV cache a token takes when moved.
-  double link_bits_per_second = 0;        ///< Rate of KV cache moves.
-  std::uint32_t maximum_event_calls = 1;  ///< Calls for cache events that a back end holds at once.
+  std::uint64_t token_bytes = 0;          ///< Bytes of KV cache per token in a transfer.
+  double link_bits_per_second = 0;        ///< Rate of KV cache transfers.
+  std::uint32_t maximum_event_calls = 1;  ///< Concurrent cache event calls that a back end accepts.
   std::vector<std::string> models;
-  std::string kv_store_address;  ///< "IP:port" when the pool is a store of KV cache, otherwise empty.
+  std::string kv_store_address;  ///< "IP:port" if the pool is a KV cache store, otherwise empty.
   std::string kv_store_zone;
 };
 
@@ -65,7 +66,7 @@
 struct GatewayTenant {
   std::string name;
   std::vector<std::string> api_keys;
-  std::optional<std::uint32_t> priority;  ///< Goes before the route's.
+  std::optional<std::uint32_t> priority;  ///< Overrides the route's.
   bool isolated = false;                  ///< Shares no cached prefix with any other tenant.
 };
 
@@ -73,8 +74,8 @@
 struct NamedWeights {
   std::string model;
   std::uint64_t version = 0;
-  /// When it was named at the latest, as far as this gateway knows: one that it found at its start was named
-  /// some time before.
+  /// Latest possible time at which it was named, as far as this gateway knows: a version that it found at its
+  /// start was named some time before.
   TimePoint named_at{};
 };
 
@@ -83,10 +84,10 @@
   EngineView view;          ///< Slot, id (`name`), address, zone, pool, state, models, load.
   std::uint32_t slots = 0;  ///< Requests it works on at once.
   TimePoint cold_until{};   ///< Slow after its start until then.
-  /// Since when it has answered nobody who follows its cache; TimePoint{}: it answers, or nobody follows it.
+  /// Since when the calls that follow its cache get no response; TimePoint{}: they do, or there are none.
   TimePoint silent_since{};
-  bool is_kv_store = false;  ///< Keeps KV cache and runs nothing.
-  /// Rate at which it gives KV cache away; 0: as fast as an engine that asks can take it.
+  bool is_kv_store = false;  ///< Stores KV cache and runs no requests.
+  /// Rate at which it sends KV cache; 0: limited only by the receiving engine.
   double link_bits_per_second = 0;
 };
 
@@ -113,12 +114,12 @@
   const GatewayTenant* findTenantByKey(std::string_view api_key) const;
 };
 
-/// When the platform last vouched for what a gateway knows. Written by the control thread, read by traffic at
-/// each decision, so that a gateway that wakes from a freeze does not decide by what held before.
+/// When the platform last confirmed the state of a gateway. Written by the control thread and read by traffic
+/// at each decision, so that a gateway that resumes after a suspension does not decide on outdated state.
 class PlatformContact {
 public:
-  /// Everything that the operator had accepted by `as_of` is known. Earlier times than told before change
-  /// nothing.
+  /// Everything that the operator had accepted by `as_of` is known. Times before the last confirmed one are
+  /// ignored.
   void confirm(TimePoint as_of) {
     vouched_at_ = std::max(vouched_at_.load(), as_of.time_since_epoch().count());
   }
@@ -128,27 +129,27 @@
   std::atomic<Duration::rep> vouched_at_ = 0;
 };
 
-/// Everything a traffic shard decides by.
+/// All state on which a traffic shard decides.
 struct GatewaySnapshot {
-  std::shared_ptr<const Configuration> configuration;  ///< Null until the first is known: refuse as not run.
+  std::shared_ptr<const Configuration> configuration;  ///< Null: none yet; refuse requests as not run.
   std::vector<Backend> backends;                       ///< Sorted by slot.
   std::vector<NamedWeights> weights;
   std::string own_zone;
   std::string own_region;
-  /// What all gateways may use together is divided by so much: this one's share is a part of it.
+  /// Divisor of limits that hold for all gateways together; the quotient is the share of this gateway.
   std::uint32_t share_divisor = 1;
-  std::uint32_t peer_count = 0;                    ///< Other gateways that place requests too.
-  std::shared_ptr<const PlatformContact> contact;  ///< Null: the platform is never out of touch.
-  /// Longest time without contact for which keys count as valid; empty: for ever.
+  std::uint32_t peer_count = 0;                    ///< Other gateways that place requests.
+  std::shared_ptr<const PlatformContact> contact;  ///< Null: the state always counts as confirmed.
+  /// Maximum time without platform contact for which keys stay valid; empty: no limit.
   std::optional<Duration> key_validity;
 
   const Backend* backend(EngineSlot slot) const;
-  /// @return time since the platform vouched for the configuration and the list of back ends.
+  /// @return time since the platform last confirmed the configuration and the list of back ends.
   Duration platformContactAge(TimePoint now) const;
-  /// @return platformContactAge() if keys expire by it.
+  /// @return platformContactAge() if `key_validity` is set; otherwise empty.
   std::optional<Duration> keysAge(TimePoint now) const;
-  /// False: so long out of touch with the platform that keys may have been taken away; requests that need a
-  /// key are refused as not run.
+  /// @return false if the platform has been unreachable for so long that keys may have been revoked. Requests
+  /// that need a key are then refused as not run.
   bool keysCurrent(TimePoint now) const;
 };
 
--- a/src/gateway/import_source.cc
+++ b/src/gateway/import_source.cc
@@ -7,21 +7,21 @@
 namespace crankspur::gateway {
 namespace {
 
-/// Fixed time of an import of cached blocks, seconds.
+/// Fixed cost of an import of cached blocks, seconds.
 constexpr double kImportBase = 0.002;
-/// How many times longer a move takes between zones and between regions.
+/// Factor of the transfer time between zones and between regions.
 constexpr double kOtherZoneSlowdown = 2.0;
 constexpr double kOtherRegionSlowdown = 10.0;
 constexpr double kBitsPerByte = 8;
-/// Prompts with fewer shared tokens are not kept in a store: reading them takes no longer than moving them.
-constexpr std::uint32_t kLeastSavedTokens = 256;
+/// Prompts with fewer shared tokens are not saved to a store: their prefill takes no longer than a transfer.
+constexpr std::uint32_t kMinSavedTokens = 256;
 
 double zoneFactor(const EngineView& from, const EngineView& to) {
   if (from.region != to.region) return kOtherRegionSlowdown;
   return from.zone != to.zone ? kOtherZoneSlowdown : 1.0;
 }
 
-/// @return seconds until `tokens` have been moved.
+/// @return the transfer time of `tokens` in seconds.
 double moveSeconds(const Backend& source, const EngineView& engine, const Pool& pool, std::uint32_t tokens) {
   const double bits = static_cast<double>(tokens) * static_cast<double>(pool.token_bytes) * kBitsPerByte;
   double rate = pool.link_bits_per_second;
@@ -29,7 +29,7 @@
   return kImportBase + bits / rate * zoneFactor(source.view, engine);
 }
 
-bool givesAway(const Backend& source, const BackendTable& table, TimePoint now) {
+bool canExport(const Backend& source, const BackendTable& table, TimePoint now) {
   return source.view.state == EngineState::Live && table.isHealthy(source.view.slot, now) &&
          !table.isUnresponsive(source);
 }
@@ -43,15 +43,15 @@
   Import import;
   import.cached = held;
   if (pool.link_bits_per_second <= 0) return import;
-  std::uint32_t most = 0;
+  std::uint32_t longest = 0;
   for (const HeldPrefix& match : prompt.matches) {
-    if (match.tokens <= held || match.tokens < most) break;
+    if (match.tokens <= held || match.tokens < longest) break;
     const Backend* source = snapshot.backend(match.engine);
-    if (source == nullptr || !givesAway(*source, table, now)) continue;
+    if (source == nullptr || !canExport(*source, table, now)) continue;
     const std::uint32_t there = std::min(match.tokens, prompt_tokens);
     const double seconds = moveSeconds(*source, engine, pool, there - std::min(held, there));
-    if (most > 0 && seconds >= import.seconds) continue;
-    most = match.tokens;
+    if (longest > 0 && seconds >= import.seconds) continue;
+    longest = match.tokens;
     import.seconds = seconds;
     import.cached = there;
     import.from = source->view.address;
@@ -59,8 +59,8 @@
   return import;
 }
 
-std::string storeFor(const ScopedPrompt& prompt, const GatewaySnapshot& snapshot) {
-  if (prompt.shared_tokens < kLeastSavedTokens) return {};
+std::string selectStore(const ScopedPrompt& prompt, const GatewaySnapshot& snapshot) {
+  if (prompt.shared_tokens < kMinSavedTokens) return {};
   const Backend* best = nullptr;
   double highest = 0;
   for (const Backend& backend : snapshot.backends) {
--- a/src/gateway/import_source.h
+++ b/src/gateway/import_source.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file From where an engine takes cached parts of a prompt that it lacks.
+/// @file Selects the source from which an engine imports cached prompt parts that it does not hold.
 
 #include <cstdint>
 #include <string>
@@ -10,27 +10,27 @@
 
 namespace crankspur::gateway {
 
-/// What an engine imports before it reads the rest of a prompt.
+/// Import of cached parts before the prefill of the rest of a prompt.
 struct Import {
   std::string from;          ///< "IP:port"; empty: nothing to import.
-  std::uint32_t cached = 0;  ///< Tokens that the engine holds once it is done.
+  std::uint32_t cached = 0;  ///< Tokens that the engine holds after the import.
   double seconds = 0;
 };
 
-/// @return an import from the engine or store that answers, holds the longest prefix and gives it away
-/// soonest, if that is longer than what the engine holds itself.
+/// @return an import from the responsive engine or store that holds the longest prefix, among equals the one
+/// with the fastest transfer, if that prefix is longer than the one that the engine holds itself.
 /// @param pool of the engine.
 /// @param prompt_tokens of the whole prompt.
 Import findImport(const EngineView& engine, const Pool& pool, std::uint32_t prompt_tokens,
                   const ScopedPrompt& prompt, const GatewaySnapshot& snapshot, const BackendTable& table,
                   TimePoint now);
 
-/// @return the address of the store that is to keep the prompt's shared parts: one for each part, alike in
-/// all gateways. Empty: no store answers, the parts are short or kept already.
-std::string storeFor(const ScopedPrompt& prompt, const GatewaySnapshot& snapshot);
+/// @return the address of the store to which the prompt's shared parts are to be saved; all gateways select
+/// the same store for a part. Empty: no store is live, the parts are short, or a store already holds them.
+std::string selectStore(const ScopedPrompt& prompt, const GatewaySnapshot& snapshot);
 
-/// @return a number in [0, 1) for a key at an engine; the same in every gateway, since the engine's
-/// incarnation is.
+/// @return a number in [0, 1) for a key at an engine. It is the same in all gateways, since it is a hash of
+/// the key and the engine's incarnation.
 double affinity(std::uint64_t key, const EngineView& engine);
 
 }  // namespace crankspur::gateway
--- a/src/gateway/load_meter.h
+++ b/src/gateway/load_meter.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file How busy a gateway's traffic thread is: requests a second, and whether its machine falls behind.
-/// Pure decision code: the driver calls at fixed steps and says how late it was.
+/// @file Measures the load of a gateway's traffic thread: requests per second, and whether its machine is
+/// overloaded. It reads no clock: the driver calls it at a fixed interval and passes the due and actual time.
 
 #include <cstdint>
 
@@ -8,31 +8,31 @@
 
 namespace crankspur::gateway {
 
-/// What the meter shows.
+/// Measured load.
 struct OwnLoad {
   double requests_per_second = 0;
-  bool pressed = false;  ///< The thread runs late: its machine has more work than it can do.
+  bool pressed = false;  ///< The thread runs late: its machine is overloaded.
 };
 
-/// The meter. Not thread-safe.
+/// Measures load from requests and timer lateness. Not thread-safe.
 class LoadMeter {
 public:
-  /// Between two ticks.
+  /// Interval of ticks.
   static constexpr Duration kTick = std::chrono::milliseconds(200);
 
   void onRequest() { ++requests_; }
   /// A tick that was due at `due` runs at `now`.
   void onTick(TimePoint due, TimePoint now);
   OwnLoad load() const;
-  /// @return whether no request came for so long that ticks tell nothing new.
-  bool idle() const { return quiet_ticks_ >= kQuietTicks; }
+  /// @return whether there has been no request for kIdleTicks, so that further ticks do not change the load.
+  bool idle() const { return idle_ticks_ >= kIdleTicks; }
 
 private:
-  static constexpr std::uint32_t kQuietTicks = 10;
+  static constexpr std::uint32_t kIdleTicks = 10;
 
   std::uint64_t requests_ = 0;  ///< Since the last tick.
-  std::uint32_t quiet_ticks_ = 0;
-  double rate_ = 0;      ///< Requests a second, smoothed.
+  std::uint32_t idle_ticks_ = 0;
+  double rate_ = 0;      ///< Requests per second, smoothed.
   double lateness_ = 0;  ///< Seconds, smoothed.
 };
 
--- a/src/gateway/named_weights.cc
+++ b/src/gateway/named_weights.cc
@@ -7,22 +7,22 @@
     std::vector<Named>& known = models_[named.model];
     const TimePoint named_at = named.named_at == TimePoint{} ? now : named.named_at;
     if (known.empty() || named.version > known.back().version) known.push_back({named.version, named_at});
-    // Of those whose grace is over only the newest matters.
-    while (known.size() > 1 && known[1].heard_at + grace_ <= now) known.erase(known.begin());
+    // Only the newest of the versions whose grace period is over is needed.
+    while (known.size() > 1 && known[1].named_at + grace_ <= now) known.erase(known.begin());
   }
 }
 
-std::optional<std::uint64_t> WeightsClock::leastWeights(const std::string& model, TimePoint now) const {
+std::optional<std::uint64_t> WeightsClock::minWeightsVersion(const std::string& model, TimePoint now) const {
   const auto found = models_.find(model);
   if (found == models_.end()) return std::nullopt;
-  std::optional<std::uint64_t> least;
+  std::optional<std::uint64_t> min_version;
   for (const Named& named : found->second) {
-    if (named.heard_at + grace_ <= now) least = named.version;
+    if (named.named_at + grace_ <= now) min_version = named.version;
   }
-  return least;
+  return min_version;
 }
 
-std::optional<std::uint64_t> WeightsClock::newestWeights(const std::string& model) const {
+std::optional<std::uint64_t> WeightsClock::newestWeightsVersion(const std::string& model) const {
   const auto found = models_.find(model);
   if (found == models_.end() || found->second.empty()) return std::nullopt;
   return found->second.back().version;
--- a/src/gateway/named_weights.h
+++ b/src/gateway/named_weights.h
@@ -1,5 +1,6 @@
 #pragma once
-/// @file Which weights are too old for new requests: a newer version was named long enough ago.
+/// @file Decides which weights are too old for new requests: a newer version was named longer ago than the
+/// grace period.
 
 #include <absl/container/flat_hash_map.h>
 
@@ -11,24 +12,24 @@
 
 namespace crankspur::gateway {
 
-/// Remembers when each version was first heard of. Not thread-safe.
+/// Stores when each version was named. Not thread-safe.
 class WeightsClock {
 public:
-  /// @param grace time for which older weights may still begin requests.
+  /// @param grace time during which requests may still start on older weights.
   explicit WeightsClock(Duration grace) : grace_(grace) {}
   void onSnapshot(const GatewaySnapshot& snapshot, TimePoint now);
-  /// @return the oldest version that may begin a request; empty: any.
-  std::optional<std::uint64_t> leastWeights(const std::string& model, TimePoint now) const;
+  /// @return the oldest version on which a request may start; empty: any.
+  std::optional<std::uint64_t> minWeightsVersion(const std::string& model, TimePoint now) const;
   /// @return the newest version named for the model; empty: none was.
-  std::optional<std::uint64_t> newestWeights(const std::string& model) const;
+  std::optional<std::uint64_t> newestWeightsVersion(const std::string& model) const;
 
 private:
   struct Named {
     std::uint64_t version = 0;
-    TimePoint heard_at{};
+    TimePoint named_at{};
   };
   Duration grace_;
-  absl::flat_hash_map<std::string, std::vector<Named>> models_;  ///< Versions rising.
+  absl::flat_hash_map<std::string, std::vector<Named>> models_;  ///< Ascending by version.
 };
 
 }  // namespace crankspur::gateway
--- a/src/gateway/part_index.cc
+++ b/src/gateway/part_index.cc
@@ -33,22 +33,22 @@
 void PartIndex::setIncarnation(EngineSlot engine, std::uint64_t incarnation) {
   if (engine >= engines_.size()) engines_.resize(engine + 1U);
   if (engines_[engine].incarnation == incarnation) return;
-  forgetAll(engine);
+  removeAll(engine);
   engines_[engine].incarnation = incarnation;
 }
 
-PartIndex::EngineParts* PartIndex::present(EngineSlot engine, std::uint64_t incarnation) {
+PartIndex::EngineParts* PartIndex::findCurrent(EngineSlot engine, std::uint64_t incarnation) {
   if (engine >= engines_.size() || incarnation == 0) return nullptr;
   EngineParts& parts = engines_[engine];
   return parts.incarnation == incarnation ? &parts : nullptr;
 }
 
-void PartIndex::forgetAll(EngineSlot engine) {
+void PartIndex::removeAll(EngineSlot engine) {
   const absl::flat_hash_set<std::uint64_t> keys = std::exchange(engines_[engine].keys, {});
   for (const std::uint64_t key : keys) erase(engine, key);
 }
 
-/// Takes the engine from the holders of a part; its own set of keys is left to the caller.
+/// Removes the engine from the holders of a part. The caller updates the engine's set of keys.
 void PartIndex::erase(EngineSlot engine, std::uint64_t key) {
   const auto place = holders_.find(key);
   Holders& holders = place->second;
@@ -60,7 +60,7 @@
   --entries_;
 }
 
-void PartIndex::makeRoom() {
+void PartIndex::evictIfFull() {
   if (entries_ < maximum_entries_) return;
   while (engines_[next_evicted_ % engines_.size()].keys.empty()) ++next_evicted_;
   const std::size_t engine = next_evicted_++ % engines_.size();
@@ -71,14 +71,14 @@
 }
 
 void PartIndex::set(EngineSlot engine, std::uint64_t incarnation, KeyedPart part) {
-  EngineParts* parts = present(engine, incarnation);
+  EngineParts* parts = findCurrent(engine, incarnation);
   if (parts == nullptr) return;
   if (part.tokens == 0) {
     if (parts->keys.erase(part.key) > 0) erase(engine, part.key);
     return;
   }
   if (!parts->keys.contains(part.key)) {
-    makeRoom();
+    evictIfFull();
     parts->keys.insert(part.key);
     holders_[part.key].push_back({engine, part.tokens});
     ++entries_;
@@ -90,13 +90,13 @@
 }
 
 void PartIndex::clear(EngineSlot engine, std::uint64_t incarnation) {
-  if (present(engine, incarnation) != nullptr) forgetAll(engine);
+  if (findCurrent(engine, incarnation) != nullptr) removeAll(engine);
 }
 
-/// An engine's prefix goes on into a part only if it holds the whole of each part before.
+/// An engine's prefix extends into a part only if the engine holds all previous parts completely.
 std::vector<HeldPrefix> PartIndex::match(std::span<const KeyedPart> prompt) const {
   std::vector<HeldPrefix> matches;
-  whole_parts_.assign(engines_.size(), 0);
+  complete_parts_.assign(engines_.size(), 0);
   match_of_.resize(engines_.size());
   std::uint32_t before = 0;
   for (std::uint32_t position = 0; position < prompt.size(); ++position) {
@@ -104,13 +104,13 @@
     const auto place = holders_.find(part.key);
     if (place == holders_.end()) break;
     for (const Holder& holder : place->second) {
-      if (whole_parts_[holder.engine] != position) continue;
+      if (complete_parts_[holder.engine] != position) continue;
       if (position == 0) {
         match_of_[holder.engine] = static_cast<std::uint32_t>(matches.size());
         matches.push_back({holder.engine, 0});
       }
       matches[match_of_[holder.engine]].tokens = before + std::min(holder.tokens, part.tokens);
-      if (blocksOf(holder.tokens) >= blocksOf(part.tokens)) whole_parts_[holder.engine] = position + 1;
+      if (blocksOf(holder.tokens) >= blocksOf(part.tokens)) complete_parts_[holder.engine] = position + 1;
     }
     before += part.tokens;
   }
--- a/src/gateway/part_index.h
+++ b/src/gateway/part_index.h
@@ -1,6 +1,7 @@
 #pragma once
-/// @file Which engine holds which part of prompts, as far as a gateway knows. Clients name prompts by parts
-/// and engines tell their caches by parts, so that a part is one entry, however many blocks it takes.
+/// @file Index of the engines that hold each prompt part, as known to a gateway. Clients describe prompts as
+/// parts and engines report their caches by parts, so that a part is one entry regardless of its number of
+/// blocks.
 
 #include <absl/container/flat_hash_map.h>
 #include <absl/container/flat_hash_set.h>
@@ -16,18 +17,17 @@
 
 namespace crankspur::gateway {
 
-/// A part as caches keep it: parts of another scope or model have another key, so that none is ever found
-/// there.
+/// A part with its cache key. The key covers scope and model, so that a part is never found under another
+/// scope or model.
 struct KeyedPart {
   std::uint64_t key = 0;
   std::uint32_t tokens = 0;
 };
 
-/// @return memory blocks of an engine that `tokens` tokens take.
+/// @return KV cache blocks of an engine that `tokens` tokens take.
 std::uint32_t blocksOf(std::uint32_t tokens);
 
-/// @return the text that cached parts are kept under: parts of other weights are never found, nor are those
-/// of another tenant when either is isolated.
+/// @return the scope of cached parts. It separates weights versions, and isolated tenants from all others.
 std::string cacheScope(const std::string& weights_version, const std::string& isolated_tenant);
 
 /// @return the key of a part.
@@ -37,31 +37,29 @@
 std::vector<KeyedPart> keyedParts(const std::string& scope, const std::string& model,
                                   const std::vector<PromptPart>& prompt);
 
-/// How much of the beginning of a prompt an engine holds.
+/// Length of the prompt prefix that an engine holds.
 struct HeldPrefix {
   EngineSlot engine = 0;
   std::uint32_t tokens = 0;
 };
 
-/// The index. Entries belong to (engine, incarnation): a change of the incarnation forgets them at once. Not
-/// thread-safe.
+/// The index. Entries belong to an incarnation of an engine and are removed when it changes. Not thread-safe.
 class PartIndex {
 public:
-  /// @param maximum_entries an entry is one part at one engine; beyond it arbitrary ones are forgotten, from
-  /// one engine after the other.
+  /// @param maximum_entries limit of entries; an entry is one part at one engine. At the limit, arbitrary
+  /// entries are evicted from the engines in turn.
   explicit PartIndex(std::size_t maximum_entries) : maximum_entries_(maximum_entries) {}
 
-  /// Declares the engine's present incarnation; a change forgets every entry of the slot.
+  /// Sets the engine's current incarnation; a change removes all entries of the slot.
   void setIncarnation(EngineSlot engine, std::uint64_t incarnation);
-  /// The engine holds this many leading tokens of the part now; 0: none. Ignored unless the incarnation is
-  /// the present one.
+  /// Sets the number of leading tokens of the part that the engine holds; 0: none. Ignored unless the
+  /// incarnation is the current one.
   void set(EngineSlot engine, std::uint64_t incarnation, KeyedPart part);
-  /// Forgets every entry of the engine. Ignored unless the incarnation is the present one.
+  /// Removes all entries of the engine. Ignored unless the incarnation is the current one.
   void clear(EngineSlot engine, std::uint64_t incarnation);
-  /// @return engines that hold some of the beginning of the prompt, the longest prefix first, equal ones by
-  /// slot.
+  /// @return engines that hold a prefix of the prompt, sorted by descending prefix length, then by slot.
   std::vector<HeldPrefix> match(std::span<const KeyedPart> prompt) const;
-  /// @return entries held.
+  /// @return the number of entries.
   std::size_t size() const { return entries_; }
 
 private:
@@ -75,19 +73,19 @@
     absl::flat_hash_set<std::uint64_t> keys;
   };
 
-  EngineParts* present(EngineSlot engine, std::uint64_t incarnation);
-  void forgetAll(EngineSlot engine);
+  EngineParts* findCurrent(EngineSlot engine, std::uint64_t incarnation);
+  void removeAll(EngineSlot engine);
   void erase(EngineSlot engine, std::uint64_t key);
-  void makeRoom();
+  void evictIfFull();
 
   std::size_t maximum_entries_;
   std::size_t entries_ = 0;
-  std::size_t next_evicted_ = 0;                         ///< Engine slot that gives way next.
+  std::size_t next_evicted_ = 0;                         ///< Engine slot of the next eviction.
   absl::flat_hash_map<std::uint64_t, Holders> holders_;  ///< By part key.
   std::vector<EngineParts> engines_;                     ///< By engine slot.
-  // Scratch of match(), by engine slot.
-  mutable std::vector<std::uint32_t> whole_parts_;  ///< Leading parts that it was found to hold whole.
-  mutable std::vector<std::uint32_t> match_of_;     ///< Its place among the matches.
+  // Scratch buffers of match(), by engine slot.
+  mutable std::vector<std::uint32_t> complete_parts_;  ///< Number of leading parts that it holds completely.
+  mutable std::vector<std::uint32_t> match_of_;        ///< Its index in the matches.
 };
 
 }  // namespace crankspur::gateway
--- a/src/gateway/peer_load_table.h
+++ b/src/gateway/peer_load_table.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file What the other gateways have at each engine, as their digests tell: without it all of them would
-/// send to the engine that looks idle to each.
+/// @file The load of the other gateways at each engine, from the digests that they send. Without it, all
+/// gateways would send to the same engine that looks idle to each of them.
 
 #include <absl/container/flat_hash_map.h>
 
@@ -13,35 +13,36 @@
 
 namespace crankspur::gateway {
 
-/// Work at one engine.
+/// Load at one engine.
 struct PendingLoad {
-  double waiting_tokens = 0;  ///< Prompt tokens sent whose first answer byte has not come.
-  double in_flight = 0;       ///< Requests sent whose answer has not ended.
+  double waiting_tokens = 0;  ///< Prompt tokens of requests without a first response byte.
+  double in_flight = 0;       ///< Requests whose response has not ended.
 };
 
-/// The work of the gateways that tell theirs. Not thread-safe.
+/// The load of the gateways that report theirs. Not thread-safe.
 class PeerLoadTable {
 public:
-  /// Takes a digest in place of the teller's one before.
-  void onDigest(const std::string& teller, const LoadDigest& digest, TimePoint now);
-  /// @return gateways whose work is told, those included that have had nothing to tell for some seconds.
-  std::size_t tellers(TimePoint now) const;
-  /// @return what they have at the engine together.
+  /// Replaces the previous digest of the peer.
+  void onDigest(const std::string& peer, const LoadDigest& digest, TimePoint now);
+  /// @return gateways that report their load, including those that have had none to report for some seconds.
+  std::size_t activePeers(TimePoint now) const;
+  /// @return the total load of the peers at the engine.
   PendingLoad at(std::uint64_t incarnation, TimePoint now) const;
 
 private:
-  struct Told {
+  struct PeerLoad {
     std::uint32_t waiting_tokens = 0;
     std::uint32_t in_flight = 0;
-    TimePoint told_at{};
+    TimePoint received_at{};
   };
-  struct Teller {
-    TimePoint told_at{};
-    std::vector<std::uint64_t> engines;  ///< With an entry of this teller.
+  struct Peer {
+    TimePoint received_at{};
+    std::vector<std::uint64_t> engines;  ///< Incarnations with an entry of this peer.
   };
 
-  absl::flat_hash_map<std::string, Teller> tellers_;
-  absl::flat_hash_map<std::uint64_t, absl::flat_hash_map<std::string, Told>> engines_;  ///< By incarnation.
+  absl::flat_hash_map<std::string, Peer> peers_;
+  /// By incarnation of the engine, then by peer.
+  absl::flat_hash_map<std::uint64_t, absl::flat_hash_map<std::string, PeerLoad>> engines_;
 };
 
 }  // namespace crankspur::gateway
--- a/src/gateway/prefill_rate.h
+++ b/src/gateway/prefill_rate.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file How fast the engines of each pool read prompts, learnt from the first bytes of answers: no engine
-/// states it.
+/// @file Estimates the prefill rate of each pool's engines from the time to the first byte of responses,
+/// since engines do not report it.
 
 #include <absl/container/flat_hash_map.h>
 
@@ -11,11 +11,11 @@
 
 namespace crankspur::gateway {
 
-/// Follows the upper end of what is observed, since waiting in queues that are not seen only ever makes an
-/// engine look slower. Not thread-safe.
+/// Follows the upper end of the observed rates, since unobserved queue delays can only make an engine look
+/// slower. Not thread-safe.
 class PrefillRates {
 public:
-  /// @param tokens prompt tokens that the engine had to read.
+  /// @param tokens uncached prompt tokens, which needed a prefill.
   /// @param taken from dispatch to the first byte.
   void observe(const std::string& pool, std::uint32_t tokens, Duration taken);
   /// @return tokens per second.
--- a/src/gateway/prompt_size_partition.cc
+++ b/src/gateway/prompt_size_partition.cc
@@ -9,10 +9,11 @@
 namespace crankspur::gateway {
 namespace {
 
-/// A kind of prompts with less than this share of the reading gets no engines of its own.
-constexpr double kLeastShare = 0.05;
-/// Either kind has at least this part of the engines, so that none drowns and the loss of one is borne.
-constexpr double kLeastEngines = 0.25;
+/// Long or short prompts with less than this share of the prefill time get no engines of their own.
+constexpr double kMinShare = 0.05;
+/// Minimum share of the engines for long and for short prompts, so that neither group is overloaded and each
+/// tolerates the loss of an engine.
+constexpr double kMinEngineShare = 0.25;
 
 }  // namespace
 
@@ -43,10 +44,10 @@
   const auto rank = ranks_.find(engine.slot);
   if (pool == pools_.end() || rank == ranks_.end() || pool->second.engines < 2) return true;
   const double share = pool->second.long_share;
-  if (share < kLeastShare || share > 1 - kLeastShare) return true;
+  if (share < kMinShare || share > 1 - kMinShare) return true;
   const auto engines = static_cast<double>(pool->second.engines);
-  const double least = std::max(std::floor(kLeastEngines * engines), 1.0);
-  const double for_long = std::clamp(std::round(share * engines), least, engines - least);
+  const double min_engines = std::max(std::floor(kMinEngineShare * engines), 1.0);
+  const double for_long = std::clamp(std::round(share * engines), min_engines, engines - min_engines);
   return (static_cast<double>(rank->second) < for_long) == is_long;
 }
 
--- a/src/gateway/prompt_size_partition.h
+++ b/src/gateway/prompt_size_partition.h
@@ -1,6 +1,7 @@
 #pragma once
-/// @file Keeps long prompts apart from short ones: an engine reads a prompt in pieces between the tokens of
-/// its other requests, so that a long one makes every stream beside it pause.
+/// @file Places long prompts and short ones on different engines. An engine interleaves the chunks of a
+/// prefill with the decode steps of its other requests, so that a long prompt delays all other streams of the
+/// engine.
 
 #include <absl/container/flat_hash_map.h>
 
@@ -11,25 +12,26 @@
 
 namespace crankspur::gateway {
 
-/// Divides the engines of a pool by the time that reading long and short prompts takes. All gateways rank
-/// engines alike. Not thread-safe.
+/// Divides the engines of a pool in proportion to the prefill time of long and short prompts. All gateways
+/// use the same order of engines. Not thread-safe.
 class PromptSizePartition {
 public:
-  /// Ranks the engines.
+  /// Orders the engines of each pool by the hash of their names.
   void onSnapshot(const GatewaySnapshot& snapshot);
-  /// Counts a prompt that an engine of the pool has to read.
+  /// Records the prefill time of a prompt that was sent to the pool.
   void observe(const std::string& pool, bool is_long, double seconds, TimePoint now);
-  /// @return whether the engine is for prompts of the kind; true for all as long as only one kind comes.
+  /// @return whether the engine takes long or short prompts, as given; true for all engines while only one of
+  /// the two kinds is received.
   bool suits(const EngineView& engine, bool is_long) const;
 
 private:
   struct Pool {
-    DecayingRate long_prompts{kMemory};
-    DecayingRate short_prompts{kMemory};
+    DecayingRate long_prompts{kRateWindow};
+    DecayingRate short_prompts{kRateWindow};
     double long_share = 0;
     std::size_t engines = 0;
   };
-  static constexpr Duration kMemory = std::chrono::seconds(10);
+  static constexpr Duration kRateWindow = std::chrono::seconds(10);
 
   absl::flat_hash_map<std::string, Pool> pools_;
   absl::flat_hash_map<EngineSlot, std::size_t> ranks_;  ///< Within the pool.
--- a/src/gateway/request_check.h
+++ b/src/gateway/request_check.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Whether a client's request may be served at all, by the accepted configuration.
+/// @file Checks whether the accepted configuration allows a client's request to be served.
 
 #include <optional>
 #include <string>
@@ -11,7 +11,7 @@
 
 namespace crankspur::gateway {
 
-/// A request as it came from a client.
+/// A request as received from a client.
 struct IncomingRequest {
   std::string host;
   std::string path;
@@ -21,13 +21,13 @@
 
 /// Outcome of the check.
 struct CheckedRequest {
-  int refusal = 0;  ///< Status to refuse with; 0: it may be served.
+  int refusal = 0;  ///< HTTP status of the refusal; 0: the request may be served.
   const Route* route = nullptr;
   const GatewayTenant* tenant = nullptr;    ///< Null: the route needs none.
   RequestCause cause = RequestCause::none;  ///< Of the refusal.
 };
 
-/// Checks route and key. Pointers are into the snapshot's configuration.
+/// Checks the route and the API key. The returned pointers point into the snapshot's configuration.
 CheckedRequest checkRequest(const IncomingRequest& request, const GatewaySnapshot* snapshot, TimePoint now);
 
 }  // namespace crankspur::gateway
--- a/src/gateway/request_fingerprint.h
+++ b/src/gateway/request_fingerprint.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file What tells that two client attempts are the same request: attempts have ids of their own.
+/// @file Identifies client attempts of the same request, which have different request ids.
 
 #include <cstdint>
 #include <string>
@@ -8,9 +8,9 @@
 
 namespace crankspur::gateway {
 
-/// Identity of a request, equal in all attempts of it at all gateways. 128 bits of a SHA-256 digest: a caller
-/// cannot make a body whose fingerprint is that of another caller's request, so that no evidence against a
-/// request can be aimed at somebody else's.
+/// Identity of a request, equal for all its attempts at all gateways. It is 128 bits of a SHA-256 digest, so
+/// that a caller cannot craft a body with the fingerprint of another caller's request and cause evidence
+/// against that request.
 struct RequestFingerprint {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
@@ -25,11 +25,12 @@
   }
 };
 
-/// @param tenant of the caller, so that a rotated key changes nothing; empty on routes that need none.
+/// @param tenant of the caller, rather than its API key, so that key rotation does not change the
+/// fingerprint; empty on routes that need none.
 RequestFingerprint fingerprintOf(std::string_view host, std::string_view path, std::string_view tenant,
                                  std::string_view body);
 
-/// @return the fingerprint as 32 hexadecimal digits, as it stands in logs.
+/// @return the fingerprint as 32 hexadecimal digits, the form used in logs.
 std::string toHex(const RequestFingerprint& fingerprint);
 
 }  // namespace crankspur::gateway
--- a/src/gateway/retry_budget.cc
+++ b/src/gateway/retry_budget.cc
@@ -25,17 +25,17 @@
   const std::int64_t current = numberOf(now);
   const auto window = static_cast<std::int64_t>(kSlices);
   double requests = 0;
-  double repeats = 0;
+  double retries = 0;
   for (const Slice& one : slices_) {
     if (one.number > current - window) requests += one.requests;
-    if (one.number >= current - window) repeats += one.repeats;
+    if (one.number >= current - window) retries += one.retries;
   }
-  return settings_.ratio * requests + settings_.slack / std::max(share_divisor, 1U) - repeats;
+  return settings_.ratio * requests + settings_.slack / std::max(share_divisor, 1U) - retries;
 }
 
 bool RetryBudget::tryRetry(std::uint32_t share_divisor, TimePoint now) {
   if (left(share_divisor, now) < 1) return false;
-  ++slice(now).repeats;
+  ++slice(now).retries;
   return true;
 }
 
--- a/src/gateway/retry_budget.h
+++ b/src/gateway/retry_budget.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file How often requests for one pool may be sent once more, within what all gateways together may do.
+/// @file Limits the retries of requests for one pool to this gateway's share of the budget of all gateways.
 
 #include <array>
 #include <cstdint>
@@ -9,17 +9,18 @@
 
 namespace crankspur::gateway {
 
-/// Counts requests and repeats of one pool over a sliding window, in slices. Repeats are counted over a slice
-/// more than the window, and requests over a slice less, so that any window keeps to the budget.
+/// Counts requests and retries of one pool over a sliding window that is divided into slices. Retries are
+/// counted over the window and up to one slice more, requests over the window less up to one slice, so that
+/// the budget holds for any window.
 class RetryBudget {
 public:
   explicit RetryBudget(const RetryBudgetSettings& settings) : settings_(settings) {}
   /// Counts a client's request for the pool.
   void onRequest(TimePoint now);
-  /// Takes one repeat out of this gateway's share.
-  /// @return false when the share is used up; nothing is taken then.
+  /// Consumes one retry of this gateway's share.
+  /// @return false if the share is used up; nothing is consumed then.
   bool tryRetry(std::uint32_t share_divisor, TimePoint now);
-  /// @return repeats that this gateway's share still allows; below 1: none.
+  /// @return retries that this gateway's share still allows; below 1: none.
   double left(std::uint32_t share_divisor, TimePoint now) const;
 
 private:
@@ -27,7 +28,7 @@
   struct Slice {
     std::int64_t number = -1;
     std::uint32_t requests = 0;
-    std::uint32_t repeats = 0;
+    std::uint32_t retries = 0;
   };
   std::int64_t numberOf(TimePoint now) const;
   Slice& slice(TimePoint now);
--- a/src/gateway/route_shares.h
+++ b/src/gateway/route_shares.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Which pool of a route gets the next request, so that each gets its share at any time, not just on
-/// average.
+/// @file Selects the pool of a route for the next request, so that each pool gets its share at any time, not
+/// only on average.
 
 #include <absl/container/flat_hash_map.h>
 
@@ -13,14 +13,14 @@
 namespace crankspur::gateway {
 
 /// Smooth weighted round robin for each route: after any number of requests each pool is less than one
-/// request away from its share. Each gateway begins at a point of its own, so that the sum over gateways is
+/// request away from its share. Each gateway starts with random credits, so that the sum over all gateways is
 /// smooth too.
 class RouteShares {
 public:
   explicit RouteShares(RandomSource& random) : random_(random) {}
-  /// Forgets routes that the configuration lacks, and the state of those whose shares changed.
+  /// Removes the state of routes that are not in the configuration or whose shares changed.
   void configure(const Configuration& configuration);
-  /// @return the index into `route.pools` of the pool whose turn it is; `route.pools` is not empty.
+  /// @return the index into `route.pools` of the pool for the next request; `route.pools` must not be empty.
   std::size_t next(const Route& route);
 
 private:
--- a/src/gateway/scoped_prompt.cc
+++ b/src/gateway/scoped_prompt.cc
@@ -16,7 +16,7 @@
   return place == by_engine.end() || place->engine != engine ? 0 : place->tokens;
 }
 
-std::uint32_t ScopedPrompt::readAgainTokens(std::uint32_t cached) const {
+std::uint32_t ScopedPrompt::recomputedTokens(std::uint32_t cached) const {
   const std::uint32_t here = std::min(cached, shared_tokens);
   return std::max(held_shared_tokens, here) - here;
 }
--- a/src/gateway/scoped_prompt.h
+++ b/src/gateway/scoped_prompt.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file A prompt as the caches of one weights version see it.
+/// @file A prompt in the cache scope of one weights version.
 
 #include <cstdint>
 #include <optional>
@@ -10,26 +10,26 @@
 
 namespace crankspur::gateway {
 
-/// The prompt under one weights version: what it hashes to and who holds it.
+/// The prompt under one weights version: the keys of its parts and the engines that hold them.
 struct ScopedPrompt {
   std::optional<std::uint64_t> weights;
   std::string scope;
   std::vector<KeyedPart> parts;
-  std::vector<HeldPrefix> matches;       ///< The longest first.
-  std::vector<HeldPrefix> by_engine;     ///< The same by slot.
-  std::uint32_t shared_tokens = 0;       ///< Of the parts that other prompts may have too.
-  std::uint32_t held_shared_tokens = 0;  ///< Of these, held by some engine.
+  std::vector<HeldPrefix> matches;       ///< Longest first.
+  std::vector<HeldPrefix> by_engine;     ///< The same, sorted by slot.
+  std::uint32_t shared_tokens = 0;       ///< Tokens of the parts that other prompts may share.
+  std::uint32_t held_shared_tokens = 0;  ///< Those of them that some engine holds.
   bool superseded = false;               ///< Newer weights have been named.
-  EngineSlot first_reader = 0;           ///< Engine that first reads the shared parts which none holds.
+  EngineSlot prefill_engine = 0;         ///< Engine for the first prefill of shared parts without a holder.
 
   /// @return leading tokens of the prompt that the engine holds.
   std::uint32_t heldBy(EngineSlot engine) const;
-  /// @param cached tokens that an engine holds, what it imports included.
-  /// @return shared tokens that it would read although another engine holds them.
-  std::uint32_t readAgainTokens(std::uint32_t cached) const;
+  /// @param cached tokens that an engine holds, including those that it imports.
+  /// @return shared tokens that it would prefill although another engine holds them.
+  std::uint32_t recomputedTokens(std::uint32_t cached) const;
 };
 
-/// Looks the prompt up.
+/// Looks up the prompt in the index.
 /// @param isolated_tenant empty: the tenant shares cached prefixes with all others.
 ScopedPrompt scopePrompt(const PartIndex& index, std::optional<std::uint64_t> weights,
                          const std::string& isolated_tenant, const std::string& model,
--- a/src/gateway/stream_cursor.cc
+++ b/src/gateway/stream_cursor.cc
@@ -18,7 +18,7 @@
 }  // namespace
 
 std::string StreamCursor::feed(std::string_view bytes) {
-  std::string passed;
+  std::string output;
   while (!bytes.empty()) {
     const std::size_t feed_at = bytes.find('\n');
     if (feed_at == std::string_view::npos) {
@@ -30,19 +30,19 @@
     std::string_view line = std::string_view(event_).substr(line_start_);
     line.remove_suffix(1);
     if (line.ends_with('\r')) line.remove_suffix(1);
-    takeLine(line, passed);
+    processLine(line, output);
   }
-  return passed;
+  return output;
 }
 
-void StreamCursor::takeLine(std::string_view line, std::string& passed) {
+void StreamCursor::processLine(std::string_view line, std::string& output) {
   if (!line.empty()) {
     if (line.starts_with(kIdField)) event_id_ = parseId(line.substr(kIdField.size()));
     line_start_ = event_.size();
     return;
   }
   const bool known = event_id_ && last_event_ && *event_id_ <= *last_event_;
-  if (!known) passed += event_;
+  if (!known) output += event_;
   if (event_id_ && !known) last_event_ = event_id_;
   restart();
 }
--- a/src/gateway/stream_cursor.h
+++ b/src/gateway/stream_cursor.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Follows a server-sent event stream on its way to the client, so that another back end can go on with
-/// it.
+/// @file Tracks a server-sent event stream that is forwarded to the client, so that another back end can
+/// continue it.
 
 #include <cstdint>
 #include <optional>
@@ -9,28 +9,28 @@
 
 namespace crankspur::gateway {
 
-/// Gives out whole events only; remembers the id of the last one. Events whose id does not rise are dropped,
-/// so that a back end that repeats one after a resumption adds nothing to the answer.
+/// Forwards only complete events and stores the id of the last one. Events whose id does not increase are
+/// dropped, so that an event that a back end repeats after a resumption is not duplicated in the response.
 class StreamCursor {
 public:
-  /// @param last_event what the client already has.
+  /// @param last_event id of the last event that the client already has.
   explicit StreamCursor(std::optional<std::uint64_t> last_event) : last_event_(last_event) {}
-  /// Takes bytes as they came.
-  /// @return the whole events that they complete, to be passed on; may be empty.
+  /// Consumes received bytes.
+  /// @return the events that they complete, to be forwarded; may be empty.
   std::string feed(std::string_view bytes);
-  /// Drops the bytes of an event that was not completed: the stream goes on from another back end.
+  /// Drops the bytes of an incomplete event, since another back end continues the stream.
   void restart();
-  /// @return the id of the last event given out, or what the client had.
+  /// @return the id of the last forwarded event; before the first one, the id given to the constructor.
   std::optional<std::uint64_t> lastEvent() const { return last_event_; }
-  /// @return bytes of an event not complete; a stream that ends with some was cut.
+  /// @return whether there are bytes of an incomplete event; a stream that ends with some was truncated.
   bool hasPartialEvent() const { return !event_.empty(); }
 
 private:
-  void takeLine(std::string_view line, std::string& passed);
+  void processLine(std::string_view line, std::string& output);
 
   std::optional<std::uint64_t> last_event_;
-  std::optional<std::uint64_t> event_id_;  ///< Of the event not yet complete.
-  std::string event_;                      ///< Its bytes so far.
+  std::optional<std::uint64_t> event_id_;  ///< Of the incomplete event.
+  std::string event_;                      ///< Received bytes of the incomplete event.
   std::size_t line_start_ = 0;             ///< Within `event_`.
 };
 
--- a/tests/unit/gateway/crash_suspects_test.cc
+++ b/tests/unit/gateway/crash_suspects_test.cc
@@ -16,12 +16,12 @@
 const RequestFingerprint kRequest{1, 2};
 const TimePoint kStart{seconds(1000)};
 
-/// The request was sent to the back end at `sent` and the back end broke off 0.1 s later.
+/// The request was sent to the back end at `sent`, and the back end crashed 0.1 s later.
 CrashEvidence crash(std::uint64_t backend, Duration sent, const RequestFingerprint& request = kRequest) {
   return {request, backend, kStart + sent, kStart + sent + milliseconds(100)};
 }
 
-/// Back ends 1 to `count` ended under the request, one each second.
+/// Back ends 1 to `count` crashed while they ran the request, one each second.
 CrashSuspects suspectsWith(int count) {
   CrashSuspects suspects;
   for (int end = 0; end < count; ++end)
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-TEST_CASE("suspicion grows with each end and is of one request alone", "[gateway][crash_suspects]") {
+TEST_CASE("suspicion rises with each crash and only for the request that ran", "[gateway][crash_suspects]") {
   CHECK(suspicionOf(suspectsWith(0), seconds(5)) == Suspicion::none);
   CHECK(suspicionOf(suspectsWith(1), seconds(5)) == Suspicion::none);
   CHECK(suspicionOf(suspectsWith(2), seconds(5)) == Suspicion::isolated);
@@ -44,50 +44,51 @@
   CHECK(suspicionOf(suspectsWith(3), seconds(5), {1, 3}) == Suspicion::none);
 }
 
-TEST_CASE("one start of a back end ends once, whoever saw it", "[gateway][crash_suspects]") {
+TEST_CASE("a crash of one incarnation that is seen twice counts once", "[gateway][crash_suspects]") {
   CrashSuspects suspects = suspectsWith(2);
   CHECK_FALSE(suspects.onCrash(crash(2, milliseconds(1010)), kStart + seconds(2)));
   CHECK(suspicionOf(suspects, seconds(2)) == Suspicion::isolated);
 }
 
-TEST_CASE("what is sent to a back end after it can be back ends its next start",
+TEST_CASE("a crash under a request that was sent after a possible restart counts as another crash",
           "[gateway][crash_suspects]") {
   CrashSuspects suspects = suspectsWith(2);
   CHECK(suspects.onCrash(crash(2, seconds(3)), kStart + seconds(4)));
   CHECK(suspicionOf(suspects, seconds(4)) == Suspicion::quarantined);
 }
 
-// The record of quarantined requests was read from a slow store: its crashes looked 1.2 s later than they
-// were, and each counted once more, as one of the back end's next start. The quarantine lasted four times as
-// long.
-TEST_CASE("a crash that is told with an inexact age counts once", "[gateway][crash_suspects]") {
+// A slow read of the quarantine record from the store shifts its crash times, for example by 1.2 s. If each
+// crash then counted once more, as one of the back end's next incarnation, the quarantine would last four
+// times as long.
+TEST_CASE("a crash that is received with an inexact time counts once", "[gateway][crash_suspects]") {
   const Duration error =
       GENERATE(milliseconds(-1500), milliseconds(-700), milliseconds(700), milliseconds(1500));
   CrashSuspects suspects = suspectsWith(3);
-  CrashUpdate told;
+  CrashUpdate received;
   for (CrashEvidence evidence : suspects.allEvidence().crashes) {
     evidence.sent_at += error;
     evidence.crashed_at += error;
-    told.crashes.push_back(evidence);
+    received.crashes.push_back(evidence);
   }
-  CHECK_FALSE(suspects.merge(told, kStart + seconds(5)));
+  CHECK_FALSE(suspects.merge(received, kStart + seconds(5)));
   CHECK(suspects.judge(kRequest, kStart + seconds(5)).crashes == 3);
 }
 
-TEST_CASE("ends of two starts of a back end count in whatever order they are told",
+TEST_CASE("crashes of several incarnations of a back end count in any order of arrival",
           "[gateway][crash_suspects]") {
-  const std::vector<CrashEvidence> told = {crash(7, seconds(0)), crash(7, seconds(4)), crash(7, seconds(8))};
+  const std::vector<CrashEvidence> received = {crash(7, seconds(0)), crash(7, seconds(4)),
+                                               crash(7, seconds(8))};
   CrashSuspects forwards;
   CrashSuspects backwards;
-  for (std::size_t index = 0; index < told.size(); ++index) {
-    CHECK(forwards.onCrash(told[index], kStart + seconds(10)));
-    CHECK(backwards.onCrash(told[told.size() - 1 - index], kStart + seconds(10)));
+  for (std::size_t index = 0; index < received.size(); ++index) {
+    CHECK(forwards.onCrash(received[index], kStart + seconds(10)));
+    CHECK(backwards.onCrash(received[received.size() - 1 - index], kStart + seconds(10)));
   }
   CHECK(forwards.digest() == backwards.digest());
   CHECK(suspicionOf(backwards, seconds(10)) == Suspicion::quarantined);
 }
 
-TEST_CASE("back ends that end together count once", "[gateway][crash_suspects]") {
+TEST_CASE("back ends that crash at the same time count once", "[gateway][crash_suspects]") {
   CrashSuspects suspects;
   for (std::uint64_t backend = 1; backend <= 3; ++backend) {
     suspects.onCrash(crash(backend, milliseconds(10 * backend)), kStart + seconds(1));
@@ -95,7 +96,7 @@
   CHECK(suspicionOf(suspects, seconds(1)) == Suspicion::none);
 }
 
-TEST_CASE("attempts at once at several gateways are quarantined after two rounds",
+TEST_CASE("a request with concurrent attempts at several gateways is quarantined after two rounds",
           "[gateway][crash_suspects]") {
   CrashSuspects suspects;
   for (std::uint64_t backend = 1; backend <= 4; ++backend) {
@@ -104,7 +105,8 @@
   CHECK(suspicionOf(suspects, seconds(2)) == Suspicion::quarantined);
 }
 
-TEST_CASE("a whole answer clears a request, also of evidence that comes later", "[gateway][crash_suspects]") {
+TEST_CASE("a complete response clears a request, also of evidence that arrives later",
+          "[gateway][crash_suspects]") {
   CrashSuspects suspects = suspectsWith(2);
   CHECK(suspects.onCompleteResponse(kRequest, kStart + seconds(3)));
   CHECK(suspicionOf(suspects, seconds(3)) == Suspicion::none);
@@ -113,16 +115,16 @@
   CHECK(suspects.digest() != 0);
 }
 
-TEST_CASE("a back end that lives clears all requests that it had", "[gateway][crash_suspects]") {
+TEST_CASE("a sign of life of a back end clears all requests that it ran", "[gateway][crash_suspects]") {
   const RequestFingerprint other{5, 6};
   CrashSuspects suspects = suspectsWith(2);
   suspects.onCrash(crash(2, seconds(1), other), kStart + seconds(2));
-  SECTION("by bytes on a connection of before") {
-    CHECK_FALSE(
-        suspects.onSignOfLife(2, kStart, kStart + milliseconds(1200)));  // May have waited to be read.
+  SECTION("bytes on a connection from before the crash") {
+    // The first bytes may have been sent before the crash.
+    CHECK_FALSE(suspects.onSignOfLife(2, kStart, kStart + milliseconds(1200)));
     CHECK(suspects.onSignOfLife(2, kStart, kStart + seconds(8)));
   }
-  SECTION("by an answer sooner than it could be back") {
+  SECTION("a response before it could have restarted") {
     CHECK_FALSE(suspects.onSignOfLife(2, kStart + seconds(2), kStart + seconds(8)));
     CHECK(suspects.onSignOfLife(2, kStart + milliseconds(1200), kStart + milliseconds(1400)));
   }
@@ -131,7 +133,7 @@
   CHECK_FALSE(suspects.onCrash(crash(2, seconds(1), other), kStart + seconds(8)));
 }
 
-TEST_CASE("a quarantine ends, grows with each further end, and is forgotten", "[gateway][crash_suspects]") {
+TEST_CASE("a quarantine ends, is longer after each further crash, and expires", "[gateway][crash_suspects]") {
   CrashSuspects suspects = suspectsWith(3);
   CHECK(suspicionOf(suspects, seconds(61)) == Suspicion::quarantined);
   CHECK(suspicionOf(suspects, seconds(63)) == Suspicion::isolated);
@@ -143,10 +145,10 @@
   CHECK(suspects.digest() == 0);
 }
 
-TEST_CASE("what gateways know merges in any order to the same", "[gateway][crash_suspects]") {
+TEST_CASE("updates that are merged in any order give the same evidence", "[gateway][crash_suspects]") {
   RandomSource random(11);
   for (int round = 0; round < 200; ++round) {
-    std::vector<CrashUpdate> told;
+    std::vector<CrashUpdate> received;
     for (int event = 0; event < 12; ++event) {
       const RequestFingerprint request{random.uniform(1, 3), 0};
       const std::uint64_t backend = random.uniform(1, 5);
@@ -156,16 +158,16 @@
       if (kind < 8) update.crashes.push_back(crash(backend, milliseconds(100 * backend), request));
       if (kind == 8) update.cleared.push_back({request, kStart + at});
       if (kind == 9) update.alive.push_back({backend, kStart + at});
-      told.push_back(update);
+      received.push_back(update);
     }
     CrashSuspects one;
     CrashSuspects other;
     const TimePoint now = kStart + seconds(10);
-    for (const CrashUpdate& update : told) one.merge(update, now);
-    for (std::size_t left = told.size(); left > 0; --left) {
+    for (const CrashUpdate& update : received) one.merge(update, now);
+    for (std::size_t left = received.size(); left > 0; --left) {
       const std::size_t pick = random.uniform(0, left - 1);
-      other.merge(told[pick], now);
-      std::swap(told[pick], told[left - 1]);
+      other.merge(received[pick], now);
+      std::swap(received[pick], received[left - 1]);
     }
     CHECK(one.digest() == other.digest());
     CrashSuspects third;
@@ -175,7 +177,7 @@
   }
 }
 
-TEST_CASE("memory is bounded, and those with most ends are kept", "[gateway][crash_suspects]") {
+TEST_CASE("memory is bounded, and requests with the most crashes are kept", "[gateway][crash_suspects]") {
   CrashSuspects suspects = suspectsWith(3);
   for (std::uint64_t request = 0; request < 9000; ++request) {
     suspects.onCrash(crash(50, seconds(5), {request, 77}), kStart + seconds(6));
@@ -186,9 +188,10 @@
   CHECK(suspects.allEvidence().crashes.front().request == kRequest);
 }
 
-// A gateway that had stood still for three seconds read that a connection was broken, asked the engine for
-// its health and was answered by its next start. What others had seen at the time of the crash stays.
-TEST_CASE("a sign of life after a late notice voids no evidence of the time of the crash",
+// A gateway that was suspended for three seconds detects a broken connection, sends a health probe and gets a
+// response from the engine's next incarnation. Evidence that other gateways recorded at the time of the crash
+// must stay.
+TEST_CASE("a sign of life after a late detection keeps evidence from the time of the crash",
           "[gateway][crash_suspects]") {
   CrashSuspects prompt;
   prompt.onCrash(crash(1, seconds(0)), kStart + milliseconds(100));
@@ -204,8 +207,7 @@
   CHECK(late.size() == 1);
 }
 
-// A connection to an engine was reset, which its answer to a probe showed; a fifth of a second later it did
-// crash.
+// Only a connection to the engine is reset, as its response to a probe shows. The engine crashes 0.2 s later.
 TEST_CASE("a crash after a sign of life counts", "[gateway][crash_suspects]") {
   CrashSuspects suspects;
   suspects.onCrash(crash(1, seconds(0)), kStart + milliseconds(100));
--- a/tests/unit/gateway/kv_store_test.cc
+++ b/tests/unit/gateway/kv_store_test.cc
@@ -29,8 +29,8 @@
     choice.onSnapshot(snapshot);
   }
   Choice choose() const { return choice.choose(request, snapshot, BackendTable(), kNow); }
-  /// The back end in a slot holds the shared part.
-  void holds(EngineSlot slot) {
+  /// Reports to the gateway that the back end in a slot holds the shared part.
+  void addCachedPart(EngineSlot slot) {
     choice.onCachedParts({slot, 1000U + slot, false, {{cacheScope("1", ""), "m", 11, 3'200}}}, kNow);
   }
 
@@ -44,17 +44,17 @@
 
 }  // namespace
 
-TEST_CASE("shared parts that no store holds are saved in one", "[gateway][kv_store]") {
+TEST_CASE("shared parts that no store holds are saved to one", "[gateway][kv_store]") {
   FleetWithStore fleet;
   const Choice first = fleet.choose();
   CHECK(first.backend->view.slot != kStore);
   CHECK(first.save_to == fleet.snapshot.backends[2].view.address);
   CHECK(first.import_from.empty());
-  fleet.holds(kStore);
+  fleet.addCachedPart(kStore);
   CHECK(fleet.choose().save_to.empty());
 }
 
-TEST_CASE("short shared parts and prompts without any are not saved", "[gateway][kv_store]") {
+TEST_CASE("short shared parts and prompts without shared parts are not saved", "[gateway][kv_store]") {
   FleetWithStore fleet;
   fleet.client.prompt = {{11, 90}, {12, 3'000}};
   CHECK(fleet.choose().save_to.empty());
@@ -62,18 +62,18 @@
   CHECK(fleet.choose().save_to.empty());
 }
 
-TEST_CASE("what a store holds is fetched from it, unless the engine or a nearer one has it",
+TEST_CASE("parts are imported from a store unless the engine or a nearer one holds them",
           "[gateway][kv_store]") {
   FleetWithStore fleet;
-  fleet.holds(kStore);
+  fleet.addCachedPart(kStore);
   const Choice choice = fleet.choose();
   CHECK(choice.import_from == fleet.snapshot.backends[2].view.address);
   CHECK(choice.uncached_tokens == 100);
   CHECK(choice.shared_tokens_again == 0);
-  fleet.holds(3);
+  fleet.addCachedPart(3);
   CHECK(fleet.choose().backend->view.slot == 3);
   CHECK(fleet.choose().import_from.empty());
-  // The engine that holds the part is excluded, the store lies in another zone.
+  // The engine that holds the part is excluded, and the store is in another zone.
   fleet.request.excluded = {3};
   fleet.snapshot.backends[2].view.zone = "there";
   CHECK(fleet.choose().import_from == fleet.snapshot.backends[0].view.address);
@@ -82,22 +82,22 @@
   CHECK(fleet.choose().import_from == fleet.snapshot.backends[2].view.address);
 }
 
-TEST_CASE("of sources that hold the same, the one that gives it away sooner is named",
+TEST_CASE("of sources that hold the same prefix, the one with the faster transfer is chosen",
           "[gateway][kv_store]") {
   FleetWithStore fleet;
   fleet.snapshot.backends[2].link_bits_per_second = 1e9;
-  fleet.holds(kStore);
-  fleet.holds(3);
+  fleet.addCachedPart(kStore);
+  fleet.addCachedPart(3);
   fleet.request.excluded = {3};
   CHECK(fleet.choose().import_from == fleet.snapshot.backends[0].view.address);
-  // Its own link is what the other way makes slower than the engine in another zone.
+  // The store's slow link makes it slower than the engine in another zone, too.
   fleet.snapshot.backends[0].view.zone = "there";
   CHECK(fleet.choose().import_from == fleet.snapshot.backends[0].view.address);
 }
 
-TEST_CASE("a store's slow link makes the answer expected later", "[gateway][kv_store]") {
+TEST_CASE("a slow link of a store delays the expected first byte", "[gateway][kv_store]") {
   FleetWithStore fleet;
-  fleet.holds(kStore);
+  fleet.addCachedPart(kStore);
   const Duration fast = fleet.choose().expected_first_byte;
   // 3,200 tokens of 1,000 bytes are 25.6 Mbit.
   fleet.snapshot.backends[2].link_bits_per_second = 2.56e8;
@@ -106,29 +106,30 @@
   CHECK(slow - fast < milliseconds(110));
 }
 
-TEST_CASE("a store that does not answer is neither a source nor a place to save", "[gateway][kv_store]") {
+TEST_CASE("an ejected store is not used for imports or saves", "[gateway][kv_store]") {
   FleetWithStore fleet;
   fleet.snapshot.backends[2].view.state = EngineState::Ejected;
   CHECK(fleet.choose().save_to.empty());
-  fleet.holds(kStore);
+  fleet.addCachedPart(kStore);
   CHECK(fleet.choose().import_from.empty());
 }
 
-TEST_CASE("a store that restarted empty is not taken to hold what it held", "[gateway][kv_store]") {
+TEST_CASE("parts that a store held before an empty restart are not found", "[gateway][kv_store]") {
   FleetWithStore fleet;
-  fleet.holds(kStore);
+  fleet.addCachedPart(kStore);
   fleet.choice.onCachedParts({kStore, 1000U + kStore, true, {}}, kNow);
   CHECK(fleet.choose().import_from.empty());
   CHECK_FALSE(fleet.choose().save_to.empty());
 }
 
-TEST_CASE("what was saved under older weights or behind a wall is not fetched", "[gateway][kv_store]") {
+TEST_CASE("parts saved under older weights or for other tenants than an isolated one are not imported",
+          "[gateway][kv_store]") {
   FleetWithStore fleet;
-  fleet.holds(kStore);
+  fleet.addCachedPart(kStore);
   SECTION("weights") {
     for (std::size_t index : {0U, 1U}) fleet.snapshot.backends[index].view.models = {{"m", "2", {}}};
   }
-  SECTION("wall") {
+  SECTION("isolated tenant") {
     fleet.request.isolated_tenant = "island";
   }
   CHECK(fleet.choose().import_from.empty());
--- a/tests/unit/gateway/part_index_test.cc
+++ b/tests/unit/gateway/part_index_test.cc
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-TEST_CASE("a prefix goes into a part only where all parts before are whole", "[gateway][part_index]") {
+TEST_CASE("a prefix extends into a part only if all previous parts are complete", "[gateway][part_index]") {
   PartIndex index = makeIndex();
   index.set(1, kIncarnation, {10, 320});
   index.set(1, kIncarnation, {20, 64});
@@ -46,7 +46,7 @@
   CHECK(matches[2].engine == 2);
 }
 
-TEST_CASE("a part that lacks less than a block counts as whole", "[gateway][part_index]") {
+TEST_CASE("a part that lacks less than a block counts as complete", "[gateway][part_index]") {
   PartIndex index = makeIndex();
   index.set(1, kIncarnation, {30, 97});
   index.set(2, kIncarnation, {30, 96});
@@ -56,13 +56,13 @@
   CHECK(held(index, prompt) == std::map<EngineSlot, std::uint32_t>{{1, 420}, {2, 96}});
 }
 
-TEST_CASE("what an engine dropped, and what its incarnation before held, is not found",
+TEST_CASE("parts that an engine evicted or that its previous incarnation held are not found",
           "[gateway][part_index]") {
   PartIndex index = makeIndex();
   for (EngineSlot engine = 1; engine <= 3; ++engine) index.set(engine, kIncarnation, {10, 320});
   index.set(1, kIncarnation, {10, 0});
   index.setIncarnation(2, kIncarnation + 1);
-  index.set(2, kIncarnation, {10, 320});  // Told late, of the incarnation before.
+  index.set(2, kIncarnation, {10, 320});  // Late update from the previous incarnation.
   index.clear(2, kIncarnation);
   CHECK(held(index, kPrompt) == std::map<EngineSlot, std::uint32_t>{{3, 320}});
   index.clear(3, kIncarnation);
@@ -70,7 +70,8 @@
   CHECK(index.size() == 0);
 }
 
-TEST_CASE("parts of other weights, another model or a wall have other keys", "[gateway][part_index]") {
+TEST_CASE("parts of other weights, another model or an isolated tenant have other keys",
+          "[gateway][part_index]") {
   const std::uint64_t key = partKey(cacheScope("1", ""), "model", 10);
   CHECK(partKey(cacheScope("2", ""), "model", 10) != key);
   CHECK(partKey(cacheScope("1", "tenant"), "model", 10) != key);
@@ -81,8 +82,7 @@
   CHECK(parts[0].tokens == 320);
 }
 
-TEST_CASE("a full index forgets from one engine after the other and stays consistent",
-          "[gateway][part_index]") {
+TEST_CASE("a full index evicts from the engines in turn and stays consistent", "[gateway][part_index]") {
   PartIndex index = makeIndex(40);
   RandomSource random(1);
   for (int step = 0; step < 20'000; ++step) {
--- a/tests/unit/gateway/peer_load_table_test.cc
+++ b/tests/unit/gateway/peer_load_table_test.cc
@@ -19,7 +19,7 @@
   return {"", incarnation, tokens, running, 0};
 }
 
-/// Two engines that look alike to this gateway, and a prompt that none of them holds.
+/// Two engines with equal load from this gateway, and a prompt that neither of them holds.
 struct TwoEngines {
   TwoEngines() {
     snapshot.backends = {makeBackend(3, "lm"), makeBackend(4, "lm")};
@@ -45,12 +45,12 @@
 
 }  // namespace
 
-TEST_CASE("the newest digest of each teller counts, for a while", "[gateway][peer_work]") {
+TEST_CASE("the newest digest of each peer counts until it expires", "[gateway][peer_work]") {
   PeerLoadTable peers;
-  CHECK(peers.tellers(kNow) == 0);
+  CHECK(peers.activePeers(kNow) == 0);
   peers.onDigest("a", digestOf({load(1, 100, 2), load(2, 50, 1)}), kNow);
   peers.onDigest("b", digestOf({load(1, 30, 1)}), kNow);
-  CHECK(peers.tellers(kNow) == 2);
+  CHECK(peers.activePeers(kNow) == 2);
   CHECK(peers.at(1, kNow).waiting_tokens == 130);
   CHECK(peers.at(1, kNow).in_flight == 3);
   CHECK(peers.at(2, kNow).waiting_tokens == 50);
@@ -60,20 +60,20 @@
   CHECK(peers.at(2, kNow + milliseconds(100)).waiting_tokens == 10);
   CHECK(peers.at(1, kNow + milliseconds(750)).waiting_tokens == 0);
   CHECK(peers.at(2, kNow + milliseconds(750)).waiting_tokens == 10);
-  CHECK(peers.tellers(kNow + milliseconds(750)) == 2);
-  CHECK(peers.tellers(kNow + milliseconds(5'050)) == 1);
+  CHECK(peers.activePeers(kNow + milliseconds(750)) == 2);
+  CHECK(peers.activePeers(kNow + milliseconds(5'050)) == 1);
 }
 
-TEST_CASE("a digest that names an engine twice leaves nothing behind", "[gateway][peer_work]") {
+TEST_CASE("the next digest removes all entries of one that names an engine twice", "[gateway][peer_work]") {
   PeerLoadTable peers;
   peers.onDigest("a", digestOf({load(1, 100, 2), load(1, 70, 1)}), kNow);
   CHECK(peers.at(1, kNow).waiting_tokens == 70);
   peers.onDigest("a", digestOf({}), kNow);
   CHECK(peers.at(1, kNow).waiting_tokens == 0);
-  CHECK(peers.tellers(kNow) == 1);
+  CHECK(peers.activePeers(kNow) == 1);
 }
 
-TEST_CASE("a request goes where the other gateways have less", "[gateway][peer_work]") {
+TEST_CASE("a request goes to the engine with less load from other gateways", "[gateway][peer_work]") {
   TwoEngines fleet;
   const Choice first = fleet.choose();
   const std::uint64_t busy = first.backend->view.incarnation;
@@ -83,7 +83,8 @@
   CHECK(second.expected_first_byte < seconds(1));
 }
 
-TEST_CASE("gateways that do not tell are taken to be like those that do", "[gateway][peer_work]") {
+TEST_CASE("gateways without load reports are assumed to have the load of those with reports",
+          "[gateway][peer_work]") {
   const auto expected = [](std::uint32_t peers) {
     TwoEngines fleet;
     fleet.snapshot.peer_count = peers;
@@ -93,7 +94,7 @@
   CHECK(expected(10) > expected(1));
 }
 
-TEST_CASE("application runners are chosen by what all gateways have there", "[gateway][peer_work]") {
+TEST_CASE("application runners are chosen by the load from all gateways", "[gateway][peer_work]") {
   TwoEngines fleet;
   fleet.snapshot.backends = {makeBackend(1, "app"), makeBackend(2, "app")};
   fleet.choice.onSnapshot(fleet.snapshot);
@@ -105,7 +106,7 @@
   }
 }
 
-TEST_CASE("a gateway tells what it has at each engine", "[gateway][peer_work]") {
+TEST_CASE("a gateway reports its load at each engine", "[gateway][peer_work]") {
   TwoEngines fleet;
   CHECK(fleet.choice.ownLoadDigest().loads.empty());
   const Choice choice = fleet.choose();
--- a/tests/unit/gateway/prefill_rate_test.cc
+++ b/tests/unit/gateway/prefill_rate_test.cc
@@ -6,13 +6,14 @@
 using namespace crankspur::gateway;
 using namespace std::chrono_literals;
 
-TEST_CASE("until a rate is learnt a long prompt does not look hopeless", "[gateway][prefill_rate]") {
+TEST_CASE("before a rate is observed, a long prompt is expected to meet a two-second deadline",
+          "[gateway][prefill_rate]") {
   const PrefillRates rates;
   // 40,000 tokens within two seconds.
   CHECK(rates.rate("lm") >= 20'000);
 }
 
-TEST_CASE("the rate follows what is observed, faster up than down", "[gateway][prefill_rate]") {
+TEST_CASE("the estimate follows the observed rate, faster up than down", "[gateway][prefill_rate]") {
   PrefillRates rates;
   const double first = rates.rate("lm");
   for (int count = 0; count < 20; ++count) rates.observe("lm", 10'000, 200ms);
--- a/tests/unit/gateway/request_fingerprint_test.cc
+++ b/tests/unit/gateway/request_fingerprint_test.cc
@@ -4,7 +4,7 @@
 
 using namespace crankspur::gateway;
 
-TEST_CASE("a fingerprint tells requests apart by each of its fields", "[gateway][fingerprint]") {
+TEST_CASE("requests that differ in one field have different fingerprints", "[gateway][fingerprint]") {
   const RequestFingerprint one = fingerprintOf("desk", "/a/", "tenant", "body");
   CHECK(one == fingerprintOf("desk", "/a/", "tenant", "body"));
   CHECK(one != fingerprintOf("desk2", "/a/", "tenant", "body"));
@@ -13,11 +13,11 @@
   CHECK(one != fingerprintOf("desk", "/a/", "tenant", "body2"));
 }
 
-TEST_CASE("bytes that move from one field to the next make another fingerprint", "[gateway][fingerprint]") {
+TEST_CASE("bytes that move from one field to the next change the fingerprint", "[gateway][fingerprint]") {
   CHECK(fingerprintOf("desk", "/a/", "tenant", "body") != fingerprintOf("desk", "/a/t", "enant", "body"));
   CHECK(fingerprintOf("", "", "", "x") != fingerprintOf("", "", "x", ""));
 }
 
-TEST_CASE("a fingerprint is 32 hexadecimal digits in logs", "[gateway][fingerprint]") {
+TEST_CASE("a fingerprint is written as 32 hexadecimal digits", "[gateway][fingerprint]") {
   CHECK(toHex(fingerprintOf("", "", "", "")).size() == 32);
 }
--- a/tests/unit/gateway/silent_backend_test.cc
+++ b/tests/unit/gateway/silent_backend_test.cc
@@ -11,8 +11,8 @@
                                                             : site.backends[2].view.address;
 }
 
-/// Tells the gateway that the engine of the last dispatch has been silent since `since`.
-void silenceLast(GatewayFixture& site, TimePoint since) {
+/// Publishes that the engine of the last dispatch has been unresponsive since `since`.
+void markLastUnresponsive(GatewayFixture& site, TimePoint since) {
   for (Backend& backend : site.backends) {
     if (backend.view.address == site.last.address) backend.silent_since = since;
   }
@@ -22,19 +22,19 @@
 
 }  // namespace
 
-TEST_CASE("a silent engine gets nothing new as long as another one answers", "[gateway][silence]") {
+TEST_CASE("an unresponsive engine gets no new requests while another one responds", "[gateway][silence]") {
   GatewayFixture site;
   site.publish();
   site.send("review");
   const std::string other = otherEngine(site);
-  silenceLast(site, site.now);
+  markLastUnresponsive(site, site.now);
   for (int count = 0; count < 2; ++count) {
     site.send("answer");
     CHECK(site.only<Dispatch>().address == other);
   }
 }
 
-TEST_CASE("a silent engine is used when there is no other", "[gateway][silence]") {
+TEST_CASE("an unresponsive engine is used if there is no other", "[gateway][silence]") {
   GatewayFixture site;
   for (Backend& backend : site.backends) backend.silent_since = site.now;
   site.publish();
@@ -42,7 +42,7 @@
   CHECK(site.has<Dispatch>());
 }
 
-TEST_CASE("a silent engine is no source of cached parts", "[gateway][silence]") {
+TEST_CASE("an unresponsive engine is not used as a source of cached parts", "[gateway][silence]") {
   GatewayFixture site;
   for (Pool& pool : site.configuration.pools) pool.link_bits_per_second = 1e11;
   site.publish();
@@ -52,50 +52,53 @@
   site.end();
   const std::string holder = site.last.address;
   site.now += milliseconds(50);
-  silenceLast(site, site.now);
+  markLastUnresponsive(site, site.now);
   site.send("review");
   const Dispatch dispatch = site.only<Dispatch>();
   CHECK(dispatch.address != holder);
   CHECK(dispatch.terms.import_from.empty());
 }
 
-TEST_CASE("a stream that may be resumed leaves an engine that fell silent soon", "[gateway][silence]") {
+TEST_CASE("a resumable stream is moved from an unresponsive engine after the short limit",
+          "[gateway][silence]") {
   GatewayFixture site;
   site.publish();
   site.send("review");
   const std::string other = otherEngine(site);
   site.now += milliseconds(500);
-  silenceLast(site, site.now - milliseconds(400));
+  markLastUnresponsive(site, site.now - milliseconds(400));
   site.pass(milliseconds(1));
   REQUIRE(site.has<Dispatch>());
   CHECK(site.only<Dispatch>().address == other);
   CHECK(site.observer.moved.back().cause == RequestCause::silence);
 }
 
-TEST_CASE("a stream that has just been sent to a silent engine is given some time", "[gateway][silence]") {
+TEST_CASE("a stream that was just sent to an unresponsive engine stays until the short limit",
+          "[gateway][silence]") {
   GatewayFixture site;
   site.publish();
   site.send("review");
   site.now += milliseconds(100);
-  silenceLast(site, site.now - milliseconds(100));
+  markLastUnresponsive(site, site.now - milliseconds(100));
   site.pass(milliseconds(150));
   CHECK_FALSE(site.has<Dispatch>());
   site.pass(milliseconds(200));
   CHECK(site.has<Dispatch>());
 }
 
-TEST_CASE("what may run once stays with a silent engine", "[gateway][silence]") {
+TEST_CASE("a request that may run only once stays at an unresponsive engine", "[gateway][silence]") {
   GatewayFixture site;
   site.publish();
   site.send("answer");
   site.now += milliseconds(500);
-  silenceLast(site, site.now - milliseconds(400));
+  markLastUnresponsive(site, site.now - milliseconds(400));
   site.pass(milliseconds(100));
   CHECK_FALSE(site.has<Dispatch>());
   CHECK_FALSE(site.has<Refuse>());
 }
 
-TEST_CASE("an engine that was heard after its silence began is not silent", "[gateway][silence]") {
+TEST_CASE("an engine that sent bytes after it became unresponsive counts as responsive",
+          "[gateway][silence]") {
   GatewayFixture site;
   site.publish();
   site.send("review");
@@ -103,7 +106,7 @@
   const TimePoint since = site.now;
   site.now += milliseconds(400);
   site.head(200);
-  silenceLast(site, since);
+  markLastUnresponsive(site, since);
   site.pass(milliseconds(100));
   CHECK_FALSE(site.has<Dispatch>());
   site.bytes("id: 1\ndata: x\n\n");
--- a/tests/unit/gateway/superseded_weights_test.cc
+++ b/tests/unit/gateway/superseded_weights_test.cc
@@ -9,7 +9,7 @@
 constexpr EngineSlot kOld = 3;
 constexpr EngineSlot kNew = 4;
 
-/// Two engines, one of which has loaded the weights that were named last.
+/// Two engines, one of which has loaded the newest named weights.
 struct HalfLoadedFleet {
   HalfLoadedFleet() {
     snapshot.backends = {makeBackend(kOld, "lm"), makeBackend(kNew, "lm")};
@@ -34,7 +34,7 @@
     for (std::uint64_t part = 0; part < 100; part += 2) count += choose(part) == kNew ? 1 : 0;
     return count;
   }
-  void holds(EngineSlot slot, const std::string& weights, std::uint64_t part) {
+  void addCachedPart(EngineSlot slot, const std::string& weights, std::uint64_t part) {
     choice.onCachedParts({slot, 1000U + slot, false, {{cacheScope(weights, ""), "m", part, 800}}}, kNow);
   }
 
@@ -49,19 +49,19 @@
 
 }  // namespace
 
-TEST_CASE("the clock tells the newest weights", "[gateway][superseded]") {
+TEST_CASE("the clock returns the newest weights", "[gateway][superseded]") {
   const HalfLoadedFleet fleet;
-  CHECK(fleet.clock.newestWeights("m") == 2);
-  CHECK_FALSE(fleet.clock.newestWeights("other"));
+  CHECK(fleet.clock.newestWeightsVersion("m") == 2);
+  CHECK_FALSE(fleet.clock.newestWeightsVersion("other"));
 }
 
-TEST_CASE("new prompts go to engines with the weights named last while these have room",
+TEST_CASE("new prompts go to engines with the newest weights while these have capacity",
           "[gateway][superseded]") {
   HalfLoadedFleet fleet;
   CHECK(fleet.chosenNew() == 50);
 }
 
-TEST_CASE("a long queue weighs more than newer weights", "[gateway][superseded]") {
+TEST_CASE("a long queue costs more than superseded weights", "[gateway][superseded]") {
   HalfLoadedFleet fleet;
   LoadDigest digest;
   digest.loads = {{"", 1000U + kNew, 80'000, 1, 0}};
@@ -69,10 +69,10 @@
   CHECK(fleet.chosenNew() == 0);
 }
 
-TEST_CASE("what is cached under superseded weights is still used when the newer ones are busy",
+TEST_CASE("parts cached under superseded weights are used while engines with newer weights are busy",
           "[gateway][superseded]") {
   HalfLoadedFleet fleet;
-  fleet.holds(kOld, "1", 10);
+  fleet.addCachedPart(kOld, "1", 10);
   LoadDigest digest;
   digest.loads = {{"", 1000U + kNew, 4'000, 1, 0}};
   fleet.choice.onPeerLoad("other", digest, kNow);
