--- a/src/gateway/backend_table.cc
+++ b/src/gateway/backend_table.cc
@@ -56,7 +56,7 @@
   switch (outcome) {
     case DispatchOutcome::Answered:
       return recordOutcome(state, false, now);
-    case DispatchOutcome::ErrorAnswer:
+    case DispatchOutcome::ErrorResponse:
       return recordOutcome(state, true, now);
     case DispatchOutcome::Failed:
       state.health.onOutcome(OutcomeKind::Lost, Duration(0), now);
--- a/src/gateway/backend_table.h
+++ b/src/gateway/backend_table.h
@@ -15,7 +15,7 @@
 /// How one dispatch at a back end ended.
 enum class DispatchOutcome {
   Answered,       ///< Its own response was complete.
-  ErrorAnswer,    ///< It responded with an error.
+  ErrorResponse,  ///< It responded with an error.
   Failed,         ///< It sent bytes that are not a response of its own, or the connection broke.
   ConnectFailed,  ///< No connection could be made.
   Full,           ///< It refused to run the request because it is at capacity.
--- a/src/gateway/engine_choice.cc
+++ b/src/gateway/engine_choice.cc
@@ -145,8 +145,8 @@
       at_capacity = true;
       continue;
     }
-    const bool answers = table.isHealthy(backend.view.slot, now) && !table.isUnresponsive(backend);
-    (answers ? healthy : unhealthy).push_back(usable);
+    const bool is_responsive = table.isHealthy(backend.view.slot, now) && !table.isUnresponsive(backend);
+    (is_responsive ? healthy : unhealthy).push_back(usable);
   }
   return healthy.empty() && !at_capacity ? unhealthy : healthy;
 }
@@ -157,9 +157,9 @@
                                      const BackendTable& table, TimePoint now) const {
   if (request.weights_clock == nullptr) return true;
   const Duration queue = toDuration(table.responseTime(usable.backend->view.slot) * kQueueSafety);
-  const TimePoint begins = now + std::max(Duration(0), queue - request.weights_margin);
+  const TimePoint starts_at = now + std::max(Duration(0), queue - request.weights_margin);
   const std::optional<std::uint64_t> min_version =
-      request.weights_clock->minWeightsVersion(request.client->model, begins);
+      request.weights_clock->minWeightsVersion(request.client->model, starts_at);
   return !min_version || usable.weights.value_or(0) >= *min_version;
 }
 
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -188,7 +188,7 @@
   terms.expected_backend = choice.backend->view.name;
   terms.tenant = entry.tenant;
   terms.expected_weights = choice.weights;
-  terms.deadline = entry.ends_at - now - settings_.answer_margin;
+  terms.deadline = entry.ends_at - now - settings_.deadline_margin;
   terms.priority = std::min(entry.priority, kLeastUrgent);
   terms.cache_scope = choice.cache_scope;
   terms.import_from = choice.import_from;
--- a/src/gateway/gateway_answers.cc
+++ b/src/gateway/gateway_answers.cc
@@ -105,7 +105,7 @@
   const int status = entry->running.status;
   const RequestOutcome outcome = isSuccess(status) ? RequestOutcome::answered : RequestOutcome::error_passed;
   tellEnded(*entry, outcome, status, Duration(0), now);
-  endExchange(*entry, error ? DispatchOutcome::ErrorAnswer : DispatchOutcome::Answered, now);
+  endExchange(*entry, error ? DispatchOutcome::ErrorResponse : DispatchOutcome::Answered, now);
   if (begun) {
     actions_.emplace_back(EndAnswer{entry->id});
   } else {
@@ -164,13 +164,13 @@
   entry.failed.push_back(entry.running.slot);
   const bool repeats = isServerError(status) && mayRepeat(entry) && takeRepeat(entry, now);
   if (repeats) {
-    discardAnswer(entry, DispatchOutcome::ErrorAnswer, now);
+    discardAnswer(entry, DispatchOutcome::ErrorResponse, now);
     return moveOn(entry, running, status, now);
   }
   const bool once = entry.route->repeatability == Repeatability::AtMostOnce;
   const bool passes = !entry.head_passed && !(once && promisesNotRun(status));
   if (passes) return;  // Whole, once it is here.
-  discardAnswer(entry, DispatchOutcome::ErrorAnswer, now);
+  discardAnswer(entry, DispatchOutcome::ErrorResponse, now);
   tellMoved(entry, running, status, false, now);
   giveUp(entry, now);
 }
--- a/src/gateway/gateway_settings.h
+++ b/src/gateway/gateway_settings.h
@@ -37,7 +37,7 @@
   CrashPolicy crash_policy;
   std::size_t index_entries = 100'000;  ///< Cached prompt parts in the index, over all back ends.
   /// Subtracted from the deadline sent to a back end, so that its own refusal arrives in time.
-  Duration answer_margin = std::chrono::milliseconds(5);
+  Duration deadline_margin = std::chrono::milliseconds(5);
 };
 
 }  // namespace crankspur::gateway
--- a/src/gateway/prompt_size_partition.h
+++ b/src/gateway/prompt_size_partition.h
@@ -26,12 +26,12 @@
 
 private:
   struct Pool {
-    DecayingRate long_prompts{kRateWindow};
-    DecayingRate short_prompts{kRateWindow};
+    DecayingRate long_prompts{kRateTimeConstant};
+    DecayingRate short_prompts{kRateTimeConstant};
     double long_share = 0;
     std::size_t engines = 0;
   };
-  static constexpr Duration kRateWindow = std::chrono::seconds(10);
+  static constexpr Duration kRateTimeConstant = std::chrono::seconds(10);
 
   absl::flat_hash_map<std::string, Pool> pools_;
   absl::flat_hash_map<EngineSlot, std::size_t> ranks_;  ///< Within the pool.
