--- /dev/null
+++ b/src/gateway/retry_budget.h
@@ -0,0 +1,40 @@
+#pragma once
+/// @file Limits the retries of requests for one pool to this gateway's share of the budget of all gateways.
+
+#include <array>
+#include <cstdint>
+
+#include "base/time.h"
+#include "gateway/gateway_settings.h"
+
+namespace crankspur::gateway {
+
+/// Counts requests and retries of one pool over a sliding window that is divided into slices. Retries are
+/// counted over the window and up to one slice more, requests over the window less up to one slice, so that
+/// the budget holds for any window.
+class RetryBudget {
+public:
+  explicit RetryBudget(const RetryBudgetSettings& settings) : settings_(settings) {}
+  /// Counts a client's request for the pool.
+  void onRequest(TimePoint now);
+  /// Consumes one retry of this gateway's share.
+  /// @return false if the share is used up; nothing is consumed then.
+  bool tryRetry(std::uint32_t share_divisor, TimePoint now);
+  /// @return retries that this gateway's share still allows; below 1: none.
+  double left(std::uint32_t share_divisor, TimePoint now) const;
+
+private:
+  static constexpr std::size_t kSlices = 10;  ///< In one window.
+  struct Slice {
+    std::int64_t number = -1;
+    std::uint32_t requests = 0;
+    std::uint32_t retries = 0;
+  };
+  std::int64_t numberOf(TimePoint now) const;
+  Slice& slice(TimePoint now);
+
+  RetryBudgetSettings settings_;
+  std::array<Slice, kSlices + 1> slices_{};
+};
+
+}  // namespace crankspur::gateway
--- a/src/prefix_index/prefix_index.cc
+++ b/src/prefix_index/prefix_index.cc
@@ -57,14 +57,14 @@
   void store(EngineSlot engine, BlockHash hash, bool optimistic, std::uint32_t now_tick);
   void remove(EngineSlot engine, BlockHash hash, std::uint32_t now_tick);
   /// Extends the prefixes of the engines that hold every block before step `step` and are among `holders`;
-  /// the first step adds every holder that counts as cached to `matches`.
+  /// the first step adds every holder that countsAsCached as cached to `matches`.
   /// @return whether any prefix was extended.
   bool extend(std::span<const Holder> holders, std::uint32_t step, std::uint32_t now_tick,
               std::vector<PrefixMatch>& matches) const;
   /// Prefetches the slots and holders that match() needs a few blocks later.
   void prefetchAhead(std::span<const BlockHash> blocks, std::size_t position) const;
   void evictIfFull();
-  /// Updates the entry counts for an entry that leaves the table.
+  /// Updates the entry countsAsCached for an entry that leaves the table.
   void recordRemoval(const Holder& entry);
 
   BlockTable table_;
