--- a/sim/gateway_world/gateway_node.h
+++ b/sim/gateway_world/gateway_node.h
@@ -100,12 +100,12 @@
   void carryOut(const gateway::Refuse& action);
   void carryOut(const gateway::Dispatch& action);
   void carryOut(const gateway::CancelExchange& action);
-  void carryOut(const gateway::DiscardAnswer& action);
-  void carryOut(const gateway::PassWhole& action);
-  void carryOut(const gateway::PassHead& action);
-  void carryOut(const gateway::PassBytes& action);
-  void carryOut(const gateway::EndAnswer& action);
-  void carryOut(const gateway::AbortAnswer& action);
+  void carryOut(const gateway::DiscardResponse& action);
+  void carryOut(const gateway::ForwardResponse& action);
+  void carryOut(const gateway::ForwardHead& action);
+  void carryOut(const gateway::ForwardBytes& action);
+  void carryOut(const gateway::EndResponse& action);
+  void carryOut(const gateway::AbortResponse& action);
   void carryOut(const gateway::ReportUnreachable& action);
   void carryOut(const gateway::ReportWrongBackend& action);
   void carryOut(const gateway::ProbeBackend& action);
--- a/sim/gateway_world/gateway_node_traffic.cc
+++ b/sim/gateway_world/gateway_node_traffic.cc
@@ -150,7 +150,7 @@
 void GatewayNode::onEngineBytes(gateway::ExchangeId id, const std::string& bytes) {
   const auto found = process_->exchanges.find(id);
   if (found == process_->exchanges.end()) return;
-  if (!process_->traffic.passesBytes(id)) {
+  if (!process_->traffic.streamsBody(id)) {
     found->second.body += bytes;
     return;
   }
@@ -183,44 +183,44 @@
   if (channel) channel->close(sim::Side::Client);
 }
 
-void GatewayNode::carryOut(const gateway::DiscardAnswer& action) {
+void GatewayNode::carryOut(const gateway::DiscardResponse& action) {
   process_->exchanges.erase(action.exchange);
 }
 
-void GatewayNode::carryOut(const gateway::PassWhole& action) {
+void GatewayNode::carryOut(const gateway::ForwardResponse& action) {
   const auto found = process_->clients.find(action.client);
   if (found == process_->clients.end()) return;
   answerCaller(found->second, found->second.handlers.on_end);
   forgetClient(action.client, false);
 }
 
-void GatewayNode::carryOut(const gateway::PassHead& action) {
+void GatewayNode::carryOut(const gateway::ForwardHead& action) {
   const auto exchange = process_->exchanges.find(action.exchange);
   if (exchange == process_->exchanges.end() || exchange->second.body.empty()) return;
-  carryOut(gateway::PassBytes{action.client, std::exchange(exchange->second.body, {})});
+  carryOut(gateway::ForwardBytes{action.client, std::exchange(exchange->second.body, {})});
 }
 
-void GatewayNode::carryOut(const gateway::PassBytes& action) {
+void GatewayNode::carryOut(const gateway::ForwardBytes& action) {
   const auto found = process_->clients.find(action.client);
   if (found == process_->clients.end()) return;
   const auto told = found->second.handlers.on_bytes;
   answerCaller(found->second, [told, bytes = action.bytes] { told(bytes); });
 }
 
-void GatewayNode::carryOut(const gateway::EndAnswer& action) {
+void GatewayNode::carryOut(const gateway::EndResponse& action) {
   const auto found = process_->clients.find(action.client);
   if (found == process_->clients.end()) return;
   answerCaller(found->second, found->second.handlers.on_end);
   forgetClient(action.client, false);
 }
 
-void GatewayNode::carryOut(const gateway::AbortAnswer& action) {
+void GatewayNode::carryOut(const gateway::AbortResponse& action) {
   forgetClient(action.client, true);
 }
 
 void GatewayNode::carryOut(const gateway::ProbeBackend& action) {
   const auto probed = [this, probe = action.probe](bool answered) {
-    process_->traffic.onProbed(probe, answered, now());
+    process_->traffic.onProbeResult(probe, answered, now());
     pump();
   };
   EngineProcess& engine = world_.engineAt(action.address);
--- a/sim/gateway_world/suspicion_trace.h
+++ b/sim/gateway_world/suspicion_trace.h
@@ -24,7 +24,7 @@
   }
   void onSuspicionWithdrawn(const gateway::SuspicionWithdrawn& record) override {
     context_.trace.note(host_.name(), "withdraws evidence by {} at {}, it lives: {}", record.request_id,
-                        record.backend, record.backend_lives);
+                        record.backend, record.backend_live);
   }
 
 private:
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -44,7 +44,7 @@
 public:
   /// @param observer hears of each decision; it must outlive the gateway.
   Gateway(const GatewaySettings& settings, std::uint64_t random_seed,
-          RequestObserver& observer = noObserver());
+          RequestObserver& observer = noopObserver());
   Gateway(const Gateway&) = delete;  // Its parts share its random source.
   Gateway& operator=(const Gateway&) = delete;
 
@@ -69,17 +69,17 @@
   /// The driver answered a request itself that could not be read whole, or had no connection left for it.
   /// @param request_id as far as it was read; may be empty.
   /// @param status that the client got.
-  void onUnread(const std::string& request_id, int status, TimePoint now);
+  void onUnreadableRequest(const std::string& request_id, int status, TimePoint now);
   void onClientGone(ClientId client, TimePoint now);
 
-  /// The head of an answer came. Until PassHead the driver keeps what comes of the body.
+  /// The head of an answer came. Until ForwardHead the driver keeps what comes of the body.
   void onHead(ExchangeId exchange, int status, const BackendAnswer& answer, TimePoint now);
-  /// Bytes came of an answer for which passesBytes() holds.
+  /// Bytes came of an answer for which streamsBody() holds.
   void onBytes(ExchangeId exchange, std::string_view bytes, TimePoint now);
   /// @return whether the driver gives the body's bytes to onBytes(); otherwise it keeps them.
-  bool passesBytes(ExchangeId exchange) const;
+  bool streamsBody(ExchangeId exchange) const;
   /// The body has become larger than the driver keeps.
-  void onLargeBody(ExchangeId exchange, TimePoint now);
+  void onBodyBufferFull(ExchangeId exchange, TimePoint now);
   /// The answer is complete.
   void onEnd(ExchangeId exchange, TimePoint now);
   /// The exchange broke.
@@ -87,7 +87,7 @@
   void onLost(ExchangeId exchange, bool sent, TimePoint now);
 
   /// @param answered whether the back end answered, whatever it said.
-  void onProbed(std::uint64_t probe, bool answered, TimePoint now);
+  void onProbeResult(std::uint64_t probe, bool answered, TimePoint now);
 
   /// Open connections to several peers have gone silent for good, while new ones may work. Requests under way
   /// that may be repeated move once they have heard nothing for a while after this.
@@ -180,7 +180,7 @@
   void tellAdmitted(const Entry& entry, TimePoint now);
   void tellPlaced(const Entry& entry, const Choice& choice, TimePoint now);
   void tellWaiting(const Entry& entry, TimePoint now);
-  void tellMoved(const Entry& entry, const Running& running, int status, bool goes_on, TimePoint now);
+  void tellMoved(const Entry& entry, const Running& running, int status, bool will_retry, TimePoint now);
   void tellEnded(const Entry& entry, RequestOutcome outcome, int status, Duration retry_after, TimePoint now);
 
   // Answers and failures (gateway_answers.cc).
--- a/src/gateway/gateway_actions.h
+++ b/src/gateway/gateway_actions.h
@@ -41,35 +41,35 @@
 
 /// Nothing more of the exchange is wanted, but its answer is short: the connection may be used again after
 /// it.
-struct DiscardAnswer {
+struct DiscardResponse {
   ExchangeId exchange = 0;
 };
 
 /// Passes the whole answer on: the head and the body kept until now.
-struct PassWhole {
+struct ForwardResponse {
   ClientId client = 0;
   ExchangeId exchange = 0;
 };
 
 /// Begins the answer with the head of an exchange, and what of its body was kept until now.
-struct PassHead {
+struct ForwardHead {
   ClientId client = 0;
   ExchangeId exchange = 0;
 };
 
 /// Passes bytes of the body on.
-struct PassBytes {
+struct ForwardBytes {
   ClientId client = 0;
   std::string bytes;
 };
 
 /// Ends an answer that was begun, as complete.
-struct EndAnswer {
+struct EndResponse {
   ClientId client = 0;
 };
 
 /// Cuts an answer that was begun, so that it looks incomplete.
-struct AbortAnswer {
+struct AbortResponse {
   ClientId client = 0;
 };
 
@@ -86,15 +86,15 @@
   std::optional<std::uint64_t> weights_version;
 };
 
-/// Asks a back end that broke off for its health; answered by Gateway::onProbed().
+/// Asks a back end that broke off for its health; answered by Gateway::onProbeResult().
 struct ProbeBackend {
   std::uint64_t probe = 0;  ///< Chosen by Gateway, never used again.
   std::string address;
   std::string path;
 };
 
-using GatewayAction =
-    std::variant<Refuse, Dispatch, CancelExchange, DiscardAnswer, PassWhole, PassHead, PassBytes, EndAnswer,
-                 AbortAnswer, ReportUnreachable, ReportWrongBackend, ProbeBackend>;
+using GatewayAction = std::variant<Refuse, Dispatch, CancelExchange, DiscardResponse, ForwardResponse,
+                                   ForwardHead, ForwardBytes, EndResponse, AbortResponse, ReportUnreachable,
+                                   ReportWrongBackend, ProbeBackend>;
 
 }  // namespace crankspur::gateway
--- a/src/gateway/gateway_answers.cc
+++ b/src/gateway/gateway_answers.cc
@@ -42,7 +42,7 @@
   return const_cast<Entry*>(std::as_const(*this).findExchange(exchange));
 }
 
-bool Gateway::passesBytes(ExchangeId exchange) const {
+bool Gateway::streamsBody(ExchangeId exchange) const {
   const Entry* entry = findExchange(exchange);
   return entry != nullptr && entry->running.passes_bytes;
 }
@@ -70,17 +70,17 @@
   running.passes_bytes = true;
   if (entry->head_passed) return;
   entry->head_passed = true;
-  actions_.emplace_back(PassHead{entry->id, exchange});
+  actions_.emplace_back(ForwardHead{entry->id, exchange});
 }
 
-void Gateway::onLargeBody(ExchangeId exchange, TimePoint now) {
+void Gateway::onBodyBufferFull(ExchangeId exchange, TimePoint now) {
   Entry* entry = findExchange(exchange);
   if (entry == nullptr || entry->running.passes_bytes) return;
   entry->running.heard_at = now;
   entry->running.passes_bytes = true;
   entry->head_passed = true;
   entry->cursor.reset();
-  actions_.emplace_back(PassHead{entry->id, exchange});
+  actions_.emplace_back(ForwardHead{entry->id, exchange});
 }
 
 void Gateway::onBytes(ExchangeId exchange, std::string_view bytes, TimePoint now) {
@@ -92,7 +92,7 @@
   if (!entry->running.passes_bytes) return;
   noteFirstByte(*entry, now);
   std::string passed = entry->cursor ? entry->cursor->feed(bytes) : std::string(bytes);
-  if (!passed.empty()) actions_.emplace_back(PassBytes{entry->id, std::move(passed)});
+  if (!passed.empty()) actions_.emplace_back(ForwardBytes{entry->id, std::move(passed)});
 }
 
 void Gateway::onEnd(ExchangeId exchange, TimePoint now) {
@@ -107,9 +107,9 @@
   tellEnded(*entry, outcome, status, Duration(0), now);
   endExchange(*entry, error ? DispatchOutcome::ErrorAnswer : DispatchOutcome::Answered, now);
   if (begun) {
-    actions_.emplace_back(EndAnswer{entry->id});
+    actions_.emplace_back(EndResponse{entry->id});
   } else {
-    actions_.emplace_back(PassWhole{entry->id, exchange});
+    actions_.emplace_back(ForwardResponse{entry->id, exchange});
   }
   finish(*entry);
   serveQueue(now);
@@ -277,7 +277,7 @@
 }
 
 void Gateway::discardAnswer(Entry& entry, DispatchOutcome outcome, TimePoint now) {
-  actions_.emplace_back(DiscardAnswer{entry.running.exchange});
+  actions_.emplace_back(DiscardResponse{entry.running.exchange});
   endExchange(entry, outcome, now);
 }
 
@@ -310,7 +310,7 @@
   cancelExchange(entry, DispatchOutcome::Ended, now);
   if (entry.head_passed) {
     ++counters_.failed;
-    actions_.emplace_back(AbortAnswer{entry.id});
+    actions_.emplace_back(AbortResponse{entry.id});
     tellEnded(entry, RequestOutcome::cut, 0, Duration(0), now);
   } else if (entry.may_have_run) {
     ++counters_.failed;
--- a/src/gateway/gateway_records.cc
+++ b/src/gateway/gateway_records.cc
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-void Gateway::onUnread(const std::string& request_id, int status, TimePoint now) {
+void Gateway::onUnreadableRequest(const std::string& request_id, int status, TimePoint now) {
   ++counters_.requests;
   ++counters_.refused;
   Entry entry;
@@ -96,11 +96,12 @@
   record.route = entry.route->name;
   record.pool = entry.pool->name;
   record.cause = entry.cause;
-  record.longest = entry.queued_until - now;
+  record.max_wait = entry.queued_until - now;
   observer_.onWaiting(record);
 }
 
-void Gateway::tellMoved(const Entry& entry, const Running& running, int status, bool goes_on, TimePoint now) {
+void Gateway::tellMoved(const Entry& entry, const Running& running, int status, bool will_retry,
+                        TimePoint now) {
   RequestMoved record;
   record.request_id = entry.client.request_id;
   record.fingerprint = entry.fingerprint;
@@ -108,9 +109,9 @@
   record.cause = entry.cause;
   record.status = status;
   record.after = now - running.sent_at;
-  record.goes_on = goes_on;
-  record.resumes = goes_on && entry.head_passed;
-  record.back_ends = entry.sends;
+  record.will_retry = will_retry;
+  record.resumes = will_retry && entry.head_passed;
+  record.backends_reached = entry.sends;
   const auto budget = budgets_.find(entry.pool->name);
   if (budget != budgets_.end()) record.budget_left = budget->second.left(snapshot_->share_divisor, now);
   observer_.onMoved(record);
--- a/src/gateway/gateway_suspects.cc
+++ b/src/gateway/gateway_suspects.cc
@@ -96,7 +96,7 @@
   });
 }
 
-void Gateway::onProbed(std::uint64_t probe, bool answered, TimePoint now) {
+void Gateway::onProbeResult(std::uint64_t probe, bool answered, TimePoint now) {
   const auto found = probes_.find(probe);
   if (found == probes_.end()) return;
   const Probe asked = std::move(found->second);
--- a/src/gateway/request_observer.cc
+++ b/src/gateway/request_observer.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-RequestObserver& noObserver() {
+RequestObserver& noopObserver() {
   static SilentObserver observer;
   return observer;
 }
--- a/src/gateway/request_observer.h
+++ b/src/gateway/request_observer.h
@@ -107,7 +107,7 @@
   std::string_view route;
   std::string_view pool;
   RequestCause cause = RequestCause::none;
-  Duration longest{0};  ///< It is refused after this time.
+  Duration max_wait{0};  ///< It is refused after this time.
 };
 
 /// A back end did not serve a request, which goes on elsewhere if that may be.
@@ -118,10 +118,10 @@
   RequestCause cause = RequestCause::none;
   int status = 0;     ///< Of the back end's answer; 0: none.
   Duration after{0};  ///< Since it was sent there.
-  bool goes_on = false;
-  bool resumes = false;         ///< A stream that was begun goes on after the last event delivered.
-  std::uint32_t back_ends = 0;  ///< Reached so far.
-  double budget_left = 0;       ///< Repeats that this gateway may still make to the pool.
+  bool will_retry = false;
+  bool resumes = false;                ///< A stream that was begun goes on after the last event delivered.
+  std::uint32_t backends_reached = 0;  ///< Reached so far.
+  double budget_left = 0;              ///< Repeats that this gateway may still make to the pool.
 };
 
 /// A request ended.
@@ -147,7 +147,7 @@
 struct BackendDistrusted {
   std::string_view backend;
   RequestCause cause = RequestCause::none;  ///< Of the last failure.
-  Duration for_time{0};                     ///< It is tried again after this time.
+  Duration distrusted_for{0};               ///< It is tried again after this time.
 };
 
 /// A back end broke off while it had the request, and may have crashed because of it.
@@ -167,7 +167,7 @@
   std::string_view request_id;  ///< Of the attempt that showed it.
   RequestFingerprint fingerprint;
   std::string_view backend;
-  bool backend_lives = false;  ///< True: the back end did not crash. False: the request got a whole answer.
+  bool backend_live = false;  ///< True: the back end did not crash. False: the request got a whole answer.
 };
 
 /// Hears of decisions, on the thread that makes them. Views are valid during the call only.
@@ -185,6 +185,6 @@
 };
 
 /// @return an observer that does nothing.
-RequestObserver& noObserver();
+RequestObserver& noopObserver();
 
 }  // namespace crankspur::gateway
--- a/src/gateway_process/gateway_process.h
+++ b/src/gateway_process/gateway_process.h
@@ -49,7 +49,7 @@
 public:
   /// @param observer hears of each decision on the traffic thread; it must outlive the process.
   GatewayProcess(const GatewayProcessSettings& settings, std::shared_ptr<const Dialect> dialect,
-                 GatewayFacts facts, RequestObserver& observer = noObserver());
+                 GatewayFacts facts, RequestObserver& observer = noopObserver());
   /// Ends the traffic thread; what is in flight is dropped.
   ~GatewayProcess();
   GatewayProcess(const GatewayProcess&) = delete;
--- a/src/gateway_process/request_log.cc
+++ b/src/gateway_process/request_log.cc
@@ -83,7 +83,7 @@
                                               {"route", record.route},
                                               {"pool", record.pool},
                                               {"cause", nameOf(record.cause)},
-                                              {"longest_ms", milliseconds(record.longest)}});
+                                              {"longest_ms", milliseconds(record.max_wait)}});
 }
 
 void RequestLog::onMoved(const RequestMoved& record) {
@@ -93,9 +93,9 @@
                                             {"cause", nameOf(record.cause)},
                                             {"status", record.status},
                                             {"after_ms", milliseconds(record.after)},
-                                            {"goes_on", record.goes_on},
+                                            {"goes_on", record.will_retry},
                                             {"resumes", record.resumes},
-                                            {"back_ends", record.back_ends},
+                                            {"back_ends", record.backends_reached},
                                             {"budget_left", fmt::format("{:.1f}", record.budget_left)}});
 }
 
@@ -120,7 +120,7 @@
 void RequestLog::onDistrusted(const BackendDistrusted& record) {
   log_.write(EventId::GatewayBackendDistrusted, {{"backend", record.backend},
                                                  {"cause", nameOf(record.cause)},
-                                                 {"for_ms", milliseconds(record.for_time)}});
+                                                 {"for_ms", milliseconds(record.distrusted_for)}});
 }
 
 void RequestLog::onSuspected(const RequestSuspected& record) {
@@ -138,7 +138,7 @@
              {{"request_id", record.request_id},
               {"fingerprint", toHex(record.fingerprint)},
               {"backend", record.backend},
-              {"cause", record.backend_lives ? "back_end_lives" : "whole_answer"}});
+              {"cause", record.backend_live ? "back_end_lives" : "whole_answer"}});
 }
 
 }  // namespace crankspur::gateway
--- a/src/gateway_process/traffic_loop.cc
+++ b/src/gateway_process/traffic_loop.cc
@@ -100,7 +100,8 @@
     onRequest(std::move(request), std::move(writer));
   };
   server_ = http::listen(executor_, settings_.listen_address, handler, error, limits);
-  if (server_) server_->setUnreadHandler([this](const http::UnreadRequest& unread) { onUnread(unread); });
+  if (server_)
+    server_->setUnreadHandler([this](const http::UnreadRequest& unread) { onUnreadableRequest(unread); });
   return error;
 }
 
@@ -237,9 +238,9 @@
   pump();
 }
 
-void TrafficLoop::onUnread(const http::UnreadRequest& unread) {
+void TrafficLoop::onUnreadableRequest(const http::UnreadRequest& unread) {
   const std::optional<ClientRequest> client = dialect_->readRequest(unread.head);
-  gateway_.onUnread(client ? client->request_id : std::string(), unread.status, now());
+  gateway_.onUnreadableRequest(client ? client->request_id : std::string(), unread.status, now());
 }
 
 void TrafficLoop::pump() {
@@ -322,11 +323,11 @@
   }
 }
 
-void TrafficLoop::carryOut(const DiscardAnswer& action) {
+void TrafficLoop::carryOut(const DiscardResponse& action) {
   running_.erase(action.exchange);
 }
 
-void TrafficLoop::carryOut(const PassWhole& action) {
+void TrafficLoop::carryOut(const ForwardResponse& action) {
   const auto found = running_.find(action.exchange);
   Client* client = findClient(action.client);
   if (found == running_.end() || client == nullptr) return;
@@ -341,7 +342,7 @@
   writer->respond(std::move(response));
 }
 
-void TrafficLoop::carryOut(const PassHead& action) {
+void TrafficLoop::carryOut(const ForwardHead& action) {
   const auto found = running_.find(action.exchange);
   const Client* client = findClient(action.client);
   if (found == running_.end() || client == nullptr) return;
@@ -351,7 +352,7 @@
   if (!found->second.body.empty()) client->writer->write(std::exchange(found->second.body, {}));
 }
 
-void TrafficLoop::carryOut(PassBytes& action) {
+void TrafficLoop::carryOut(ForwardBytes& action) {
   const Client* client = findClient(action.client);
   if (client == nullptr) return;
   client->writer->write(std::move(action.bytes));
@@ -362,7 +363,7 @@
   gateway_.onClientGone(action.client, now());
 }
 
-void TrafficLoop::carryOut(const EndAnswer& action) {
+void TrafficLoop::carryOut(const EndResponse& action) {
   Client* client = findClient(action.client);
   if (client == nullptr) return;
   const auto writer = client->writer;
@@ -370,7 +371,7 @@
   writer->end();
 }
 
-void TrafficLoop::carryOut(const AbortAnswer& action) {
+void TrafficLoop::carryOut(const AbortResponse& action) {
   Client* client = findClient(action.client);
   if (client == nullptr) return;
   const auto writer = client->writer;
@@ -395,17 +396,19 @@
   options.connect_timeout = kProbeTimeout;
   options.idle_timeout = kProbeTimeout;
   http::ExchangeCallbacks callbacks;
-  callbacks.on_headers = [this, probe = action.probe](int, const http::Headers&) { onProbed(probe, true); };
+  callbacks.on_headers = [this, probe = action.probe](int, const http::Headers&) {
+    onProbeResult(probe, true);
+  };
   callbacks.on_done = [this, probe = action.probe](std::error_code, http::SendState, const http::Response&) {
-    onProbed(probe, false);
+    onProbeResult(probe, false);
     probes_.erase(probe);
   };
   probes_[action.probe] = http_->start(action.address, std::move(request), callbacks, options);
 }
 
 /// The gateway hears of the first outcome only.
-void TrafficLoop::onProbed(std::uint64_t probe, bool answered) {
-  gateway_.onProbed(probe, answered, now());
+void TrafficLoop::onProbeResult(std::uint64_t probe, bool answered) {
+  gateway_.onProbeResult(probe, answered, now());
   pump();
 }
 
@@ -439,13 +442,13 @@
 void TrafficLoop::onData(ExchangeId exchange, std::string_view bytes) {
   const auto found = running_.find(exchange);
   if (found == running_.end()) return;
-  if (gateway_.passesBytes(exchange)) {
+  if (gateway_.streamsBody(exchange)) {
     gateway_.onBytes(exchange, bytes, now());
     return pump();
   }
   found->second.body += bytes;
   if (found->second.body.size() <= kKeptBodyBytes) return;
-  gateway_.onLargeBody(exchange, now());
+  gateway_.onBodyBufferFull(exchange, now());
   pump();
 }
 
--- a/src/gateway_process/traffic_loop.h
+++ b/src/gateway_process/traffic_loop.h
@@ -64,7 +64,7 @@
   void countInFlight();
   void watchDrain();
 
-  void onUnread(const http::UnreadRequest& unread);
+  void onUnreadableRequest(const http::UnreadRequest& unread);
   void tellWorkSoon();
   void tellCrashesSoon();
   void tellWork();
@@ -74,16 +74,16 @@
   void carryOut(const Refuse& action);
   void carryOut(const Dispatch& action);
   void carryOut(const CancelExchange& action);
-  void carryOut(const DiscardAnswer& action);
-  void carryOut(const PassWhole& action);
-  void carryOut(const PassHead& action);
-  void carryOut(PassBytes& action);
-  void carryOut(const EndAnswer& action);
-  void carryOut(const AbortAnswer& action);
+  void carryOut(const DiscardResponse& action);
+  void carryOut(const ForwardResponse& action);
+  void carryOut(const ForwardHead& action);
+  void carryOut(ForwardBytes& action);
+  void carryOut(const EndResponse& action);
+  void carryOut(const AbortResponse& action);
   void carryOut(const ReportUnreachable& action);
   void carryOut(const ReportWrongBackend& action);
   void carryOut(const ProbeBackend& action);
-  void onProbed(std::uint64_t probe, bool answered);
+  void onProbeResult(std::uint64_t probe, bool answered);
 
   http::ExchangeCallbacks callbacksOf(ExchangeId exchange, const std::string& request_id);
   void onHead(ExchangeId exchange, const std::string& request_id, int status, const http::Headers& headers);
--- a/tests/unit/gateway/crash_suspects_gateway_test.cc
+++ b/tests/unit/gateway/crash_suspects_gateway_test.cc
@@ -246,13 +246,13 @@
   CHECK_FALSE(site.has<Refuse>());
   site.now += milliseconds(3);
   SECTION("it lives: the request runs") {
-    site.gateway.onProbed(probe.probe, true, site.now);
+    site.gateway.onProbeResult(probe.probe, true, site.now);
     site.take();
     CHECK(site.has<Dispatch>());
     CHECK(site.observer.withdrawn.size() == 1);
   }
   SECTION("it does not: the request is refused at once") {
-    site.gateway.onProbed(probe.probe, false, site.now);
+    site.gateway.onProbeResult(probe.probe, false, site.now);
     site.take();
     CHECK(site.only<Refuse>().cause == RequestCause::quarantined);
   }
--- a/tests/unit/gateway/gateway_failure_test.cc
+++ b/tests/unit/gateway/gateway_failure_test.cc
@@ -42,7 +42,7 @@
   const std::string first = fixture.last.address;
   fixture.notRun();
   CHECK(fixture.only<Dispatch>().address != first);
-  CHECK(fixture.has<DiscardAnswer>());
+  CHECK(fixture.has<DiscardResponse>());
   fixture.notRun();
   CHECK(fixture.only<Refuse>().status == 503);
   CHECK(fixture.only<Refuse>().retry_after > Duration(0));
@@ -81,7 +81,7 @@
     repeats += fixture.has<Dispatch>() ? 1 : 0;
     if (fixture.has<Dispatch>()) fixture.head(200);
     fixture.end();
-    CHECK(fixture.has<PassWhole>());
+    CHECK(fixture.has<ForwardResponse>());
   }
   CHECK(repeats >= 1);
   CHECK(repeats <= 3);
@@ -105,7 +105,7 @@
   fixture.head(500);
   CHECK(fixture.actions.empty());
   fixture.end();
-  CHECK(fixture.only<PassWhole>().exchange == fixture.last.exchange);
+  CHECK(fixture.only<ForwardResponse>().exchange == fixture.last.exchange);
 }
 
 TEST_CASE("an answer without the back end's marks is never passed on", "[gateway]") {
@@ -128,7 +128,7 @@
   CHECK(fixture.has<Dispatch>());
   fixture.head(200);
   fixture.end();
-  CHECK(fixture.has<PassWhole>());
+  CHECK(fixture.has<ForwardResponse>());
 }
 
 TEST_CASE("a back end with other weights is asked once more with those it has", "[gateway]") {
--- a/tests/unit/gateway/gateway_records_test.cc
+++ b/tests/unit/gateway/gateway_records_test.cc
@@ -93,7 +93,7 @@
       {503, RequestCause::too_many_connections, RequestOutcome::refused},
   }));
   GatewayFixture fixture;
-  fixture.gateway.onUnread("id", unread.status, TimePoint{});
+  fixture.gateway.onUnreadableRequest("id", unread.status, TimePoint{});
   const RequestEnded ended = onlyEnd(fixture);
   CHECK(ended.cause == unread.cause);
   CHECK(ended.outcome == unread.outcome);
@@ -109,7 +109,7 @@
   fixture.lose(true);
   REQUIRE(fixture.observer.moved.size() == 1);
   CHECK(fixture.observer.moved.front().cause == RequestCause::answer_broke_off);
-  CHECK_FALSE(fixture.observer.moved.front().goes_on);
+  CHECK_FALSE(fixture.observer.moved.front().will_retry);
   const RequestEnded ended = onlyEnd(fixture);
   CHECK(ended.outcome == RequestOutcome::failed);
   CHECK(ended.status == 502);
@@ -126,7 +126,7 @@
   const RequestMoved& moved = fixture.observer.moved.front();
   CHECK(moved.cause == RequestCause::error_answer);
   CHECK(moved.status == 500);
-  CHECK(moved.goes_on);
+  CHECK(moved.will_retry);
   CHECK(moved.budget_left > 0);
   REQUIRE(fixture.observer.placed.size() == 2);
   CHECK(fixture.observer.placed.back().dispatch == 2);
--- a/tests/unit/gateway/gateway_request_test.cc
+++ b/tests/unit/gateway/gateway_request_test.cc
@@ -230,7 +230,7 @@
     fixture.head(200);
     fixture.pass(seconds(1));
     CHECK(fixture.has<CancelExchange>());
-    CHECK(fixture.has<AbortAnswer>());
+    CHECK(fixture.has<AbortResponse>());
     CHECK_FALSE(fixture.has<Refuse>());
   }
 }
--- a/tests/unit/gateway/gateway_silent_connections_test.cc
+++ b/tests/unit/gateway/gateway_silent_connections_test.cc
@@ -78,7 +78,7 @@
   // An answer that comes after all is passed on.
   fixture.head(200);
   fixture.end();
-  CHECK(fixture.has<PassWhole>());
+  CHECK(fixture.has<ForwardResponse>());
 }
 
 }  // namespace crankspur::gateway
--- a/tests/unit/gateway/gateway_stream_test.cc
+++ b/tests/unit/gateway/gateway_stream_test.cc
@@ -9,16 +9,16 @@
   fixture.publish();
   fixture.send("answer");
   fixture.head(200);
-  CHECK(fixture.only<PassHead>().exchange == fixture.last.exchange);
+  CHECK(fixture.only<ForwardHead>().exchange == fixture.last.exchange);
   fixture.bytes("id: 1\nda");
-  CHECK(fixture.only<PassBytes>().bytes == "id: 1\nda");
+  CHECK(fixture.only<ForwardBytes>().bytes == "id: 1\nda");
   SECTION("it ends") {
     fixture.end();
-    CHECK(fixture.has<EndAnswer>());
+    CHECK(fixture.has<EndResponse>());
   }
   SECTION("it breaks") {
     fixture.lose(true);
-    CHECK(fixture.has<AbortAnswer>());
+    CHECK(fixture.has<AbortResponse>());
     CHECK_FALSE(fixture.has<Dispatch>());
   }
 }
@@ -29,9 +29,9 @@
   fixture.send("review");
   const std::string first = fixture.last.address;
   fixture.head(200);
-  CHECK(fixture.has<PassHead>());
+  CHECK(fixture.has<ForwardHead>());
   fixture.bytes("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda");
-  CHECK(fixture.only<PassBytes>().bytes == "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
+  CHECK(fixture.only<ForwardBytes>().bytes == "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
   SECTION("it breaks") {
     fixture.lose(true);
   }
@@ -41,11 +41,11 @@
   CHECK(fixture.only<Dispatch>().terms.resume_after == 2);
   CHECK(fixture.last.address != first);
   fixture.head(200);
-  CHECK_FALSE(fixture.has<PassHead>());
+  CHECK_FALSE(fixture.has<ForwardHead>());
   fixture.bytes("id: 2\ndata: b\n\nid: 3\ndata: c\n\n");
-  CHECK(fixture.only<PassBytes>().bytes == "id: 3\ndata: c\n\n");
+  CHECK(fixture.only<ForwardBytes>().bytes == "id: 3\ndata: c\n\n");
   fixture.end();
-  CHECK(fixture.has<EndAnswer>());
+  CHECK(fixture.has<EndResponse>());
 }
 
 TEST_CASE("a resumption that fails cuts the stream", "[gateway]") {
@@ -64,7 +64,7 @@
   SECTION("as not run") {
     fixture.notRun();
   }
-  CHECK(fixture.has<AbortAnswer>());
+  CHECK(fixture.has<AbortResponse>());
   CHECK_FALSE(fixture.has<Refuse>());
 }
 
