--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -8,18 +8,18 @@
 constexpr int kUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
 /// Share of the first-byte target that a request may wait for a place.
-constexpr int kQueueShare = 4;
+constexpr int kQueueTimeDivisor = 4;
 /// Time that a request which was dispatched before may wait for a further back end.
-constexpr Duration kMoveWait = std::chrono::milliseconds(400);
+constexpr Duration kMaxRetryQueueTime = std::chrono::milliseconds(400);
 /// Pause after which a waiting request looks for a place again, besides when one becomes free.
-constexpr Duration kQueueLook = std::chrono::milliseconds(30);
+constexpr Duration kQueueRetryInterval = std::chrono::milliseconds(30);
 /// Least time left with which a request is still sent.
-constexpr Duration kLeastDeadline = std::chrono::milliseconds(20);
-constexpr std::uint32_t kLeastUrgent = 9;
+constexpr Duration kMinTimeLeft = std::chrono::milliseconds(20);
+constexpr std::uint32_t kLowestPriority = 9;
 /// Longest time that a request is held on a route that states none.
-constexpr Duration kTimeoutUnstated = std::chrono::seconds(60);
-constexpr Duration kLeastRetryAfter = std::chrono::milliseconds(100);
-constexpr Duration kMostRetryAfter = std::chrono::seconds(1);
+constexpr Duration kDefaultRouteTimeout = std::chrono::seconds(60);
+constexpr Duration kMinRetryAfter = std::chrono::milliseconds(100);
+constexpr Duration kMaxRetryAfter = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -39,21 +39,21 @@
   weights_.onSnapshot(*snapshot_, now);
   suspects_.forgetOld(now);
   if (snapshot_->configuration) shares_.configure(*snapshot_->configuration);
-  lookAtSilent(now);
+  recheckUnresponsiveBackends(now);
   serveQueue(now);
 }
 
 /// Requests at a back end that has fallen silent look soon whether they are to go elsewhere.
-void Gateway::lookAtSilent(TimePoint now) {
+void Gateway::recheckUnresponsiveBackends(TimePoint now) {
   const auto is_silent = [this](const Backend& backend) { return table_.isSilent(backend); };
   if (std::none_of(snapshot_->backends.begin(), snapshot_->backends.end(), is_silent)) return;
   for (const auto& [exchange, client] : exchanges_) {
     Entry* entry = findClient(client);
-    if (entry == nullptr || entry->running.exchange != exchange) continue;
-    const Backend* backend = snapshot_->backend(entry->running.slot);
+    if (entry == nullptr || entry->active.exchange != exchange) continue;
+    const Backend* backend = snapshot_->backend(entry->active.slot);
     if (backend == nullptr || !table_.isSilent(*backend)) continue;
-    wakeAt(*entry, std::min(entry->wakes_at,
-                            std::max(now, entry->running.sent_at + silenceLimit(entry->running, now))));
+    scheduleTimer(*entry, std::min(entry->timer_at,
+                                   std::max(now, entry->active.sent_at + silenceLimit(entry->active, now))));
   }
 }
 
@@ -71,7 +71,7 @@
 void Gateway::onRequest(ClientId client, IncomingRequest request, TimePoint now) {
   ++counters_.requests;
   const CheckedRequest checked = checkRequest(request, snapshot_.get(), now);
-  if (checked.refusal != 0) return refuseUnchecked(client, request, checked, now);
+  if (checked.refusal != 0) return refuseInadmissible(client, request, checked, now);
   auto owned = std::make_unique<Entry>();
   Entry& entry = *owned;
   entry.id = client;
@@ -81,8 +81,8 @@
   entries_.emplace(client, std::move(owned));
   admit(entry, checked, now);
   if (entry.pool == nullptr) return giveUpFor(entry, RequestCause::route_without_pool, now);
-  tellAdmitted(entry, now);
-  if (entry.ends_at - now < kLeastDeadline) return giveUpFor(entry, RequestCause::no_time_left, now);
+  reportAdmitted(entry, now);
+  if (entry.deadline - now < kMinTimeLeft) return giveUpFor(entry, RequestCause::no_time_left, now);
   budgetOf(entry.pool->name).onRequest(now);
   place(entry, now);
 }
@@ -99,8 +99,8 @@
     if (checked.tenant->isolated) entry.isolated_tenant = checked.tenant->name;
   }
   entry.arrived_at = now;
-  entry.ends_at = now + (route.timeout > Duration(0) ? route.timeout : kTimeoutUnstated);
-  if (entry.client.deadline) entry.ends_at = std::min(entry.ends_at, now + *entry.client.deadline);
+  entry.deadline = now + (route.timeout > Duration(0) ? route.timeout : kDefaultRouteTimeout);
+  if (entry.client.deadline) entry.deadline = std::min(entry.deadline, now + *entry.client.deadline);
   if (route.repeatability == Repeatability::ResumableStream) entry.cursor.emplace(entry.client.resume_after);
 }
 
@@ -113,7 +113,7 @@
   request.excluded = entry.failed;
   if (entry.isolated) {
     request.least_at_risk = true;
-    request.avoided = slotsOfIsolated();
+    request.avoided = slotsOfIsolatedRequests();
   }
   if (request.uses_prefixes) {
     request.weights_clock = &weights_;
@@ -138,14 +138,14 @@
 }
 
 void Gateway::place(Entry& entry, TimePoint now) {
-  if (!passesQuarantine(entry, now)) return;
+  if (!checkQuarantine(entry, now)) return;
   const Choice choice = choose(entry, now);
   if (choice.backend == nullptr) {
     entry.cause = choice.lacks_room ? RequestCause::back_ends_full : RequestCause::no_back_end;
     return wait(entry, now);
   }
-  if (entry.ends_at - now < kLeastDeadline) return giveUpFor(entry, RequestCause::no_time_left, now);
-  if (now + choice.expected_first_byte >= entry.ends_at) {
+  if (entry.deadline - now < kMinTimeLeft) return giveUpFor(entry, RequestCause::no_time_left, now);
+  if (now + choice.expected_first_byte >= entry.deadline) {
     return giveUpFor(entry, RequestCause::expected_too_late, now);
   }
   dispatch(entry, choice, now);
@@ -157,13 +157,13 @@
   if (!entry.waiting) {
     entry.waiting = true;
     queue_.insert({entry.priority, entry.id});
-    const TimePoint first = entry.arrived_at + entry.route->first_byte_target / kQueueShare;
-    const TimePoint until = entry.dispatches > 0 ? now + kMoveWait : std::max(now, first);
-    entry.queued_until = std::min(until, entry.ends_at);
-    if (now < entry.queued_until) tellWaiting(entry, now);
+    const TimePoint first = entry.arrived_at + entry.route->first_byte_target / kQueueTimeDivisor;
+    const TimePoint until = entry.dispatches > 0 ? now + kMaxRetryQueueTime : std::max(now, first);
+    entry.queued_until = std::min(until, entry.deadline);
+    if (now < entry.queued_until) reportWaiting(entry, now);
   }
   if (now >= entry.queued_until) return giveUp(entry, now);
-  wakeAt(entry, std::min(entry.queued_until, now + kQueueLook));
+  scheduleTimer(entry, std::min(entry.queued_until, now + kQueueRetryInterval));
 }
 
 void Gateway::serveQueue(TimePoint now) {
@@ -188,8 +188,8 @@
   terms.expected_backend = choice.backend->view.name;
   terms.tenant = entry.tenant;
   terms.expected_weights = choice.weights;
-  terms.deadline = entry.ends_at - now - settings_.answer_margin;
-  terms.priority = std::min(entry.priority, kLeastUrgent);
+  terms.deadline = entry.deadline - now - settings_.answer_margin;
+  terms.priority = std::min(entry.priority, kLowestPriority);
   terms.cache_scope = choice.cache_scope;
   terms.import_from = choice.import_from;
   terms.save_to = choice.save_to;
@@ -201,26 +201,26 @@
   if (entry.waiting) queue_.erase({entry.priority, entry.id});
   entry.waiting = false;
   const EngineView& backend = choice.backend->view;
-  Running running;
-  running.exchange = next_exchange_++;
-  running.slot = backend.slot;
-  running.incarnation = backend.incarnation;
-  running.sent_at = now;
-  running.heard_at = now;
-  running.expected = choice.expected_first_byte;
-  running.prompt = choice_.onDispatch(choice, running.exchange, now);
-  ++entry.sends;
+  ActiveExchange active;
+  active.exchange = next_exchange_++;
+  active.slot = backend.slot;
+  active.incarnation = backend.incarnation;
+  active.sent_at = now;
+  active.last_received_at = now;
+  active.expected = choice.expected_first_byte;
+  active.prompt = choice_.onDispatch(choice, active.exchange, now);
+  ++entry.backends_reached;
   ++entry.dispatches;
   ++counters_.dispatches;
-  if (entry.arrived_before) ++counters_.repeats;
-  exchanges_[running.exchange] = entry.id;
+  if (entry.may_have_arrived) ++counters_.repeats;
+  exchanges_[active.exchange] = entry.id;
   entry.last_backend = backend.name;
-  tellPlaced(entry, choice, now);
+  reportPlaced(entry, choice, now);
   table_.onDispatch(backend.slot);
-  wakeAt(entry, std::min(entry.ends_at, now + settings_.silence_limit));
+  scheduleTimer(entry, std::min(entry.deadline, now + settings_.silence_limit));
   actions_.emplace_back(
-      Dispatch{running.exchange, entry.id, backend.address, forwardTerms(entry, choice, now)});
-  entry.running = std::move(running);
+      Dispatch{active.exchange, entry.id, backend.address, forwardTerms(entry, choice, now)});
+  entry.active = std::move(active);
 }
 
 // Ends.
@@ -230,15 +230,15 @@
   ++counters_.refused;
   const Duration retry_after = retryAfter(entry, now);
   actions_.emplace_back(Refuse{entry.id, kUnavailable, retry_after, entry.cause});
-  tellEnded(entry, RequestOutcome::refused, kUnavailable, retry_after, now);
+  reportEnded(entry, RequestOutcome::refused, kUnavailable, retry_after, now);
 }
 
 /// Refuses a request that may not be served at all.
-void Gateway::refuseUnchecked(ClientId client, const IncomingRequest& request, const CheckedRequest& checked,
-                              TimePoint now) {
+void Gateway::refuseInadmissible(ClientId client, const IncomingRequest& request,
+                                 const CheckedRequest& checked, TimePoint now) {
   ++counters_.refused;
-  const bool comes_back = checked.refusal == kUnavailable;
-  const Duration retry_after = comes_back ? kMostRetryAfter : Duration(0);
+  const bool retryable = checked.refusal == kUnavailable;
+  const Duration retry_after = retryable ? kMaxRetryAfter : Duration(0);
   actions_.emplace_back(Refuse{client, checked.refusal, retry_after, checked.cause});
   Entry entry;
   entry.id = client;
@@ -247,8 +247,8 @@
   entry.configuration = snapshot_ == nullptr ? nullptr : snapshot_->configuration;
   entry.cause = checked.cause;
   entry.arrived_at = now;
-  const RequestOutcome outcome = comes_back ? RequestOutcome::refused : RequestOutcome::rejected;
-  tellEnded(entry, outcome, checked.refusal, retry_after, now);
+  const RequestOutcome outcome = retryable ? RequestOutcome::refused : RequestOutcome::rejected;
+  reportEnded(entry, outcome, checked.refusal, retry_after, now);
 }
 
 void Gateway::giveUpFor(Entry& entry, RequestCause cause, TimePoint now) {
@@ -261,13 +261,13 @@
 Duration Gateway::retryAfter(const Entry& entry, TimePoint now) {
   if (entry.cause == RequestCause::quarantined) return entry.quarantined_until - now;
   const Duration base = entry.route->first_byte_target / 2;
-  const Duration bounded = std::clamp(base, kLeastRetryAfter, kMostRetryAfter);
+  const Duration bounded = std::clamp(base, kMinRetryAfter, kMaxRetryAfter);
   return Duration(static_cast<std::int64_t>(static_cast<double>(bounded.count()) * (0.5 + random_.unit())));
 }
 
 void Gateway::finish(Entry& entry) {
   if (entry.waiting) queue_.erase({entry.priority, entry.id});
-  timers_.erase({entry.wakes_at, entry.id});
+  timers_.erase({entry.timer_at, entry.id});
   const ClientId id = entry.id;  // The entry is gone after the next line.
   entries_.erase(id);
 }
@@ -277,8 +277,8 @@
   if (entry == nullptr) return;
   ++counters_.abandoned;
   entry->cause = RequestCause::client_left;
-  tellEnded(*entry, RequestOutcome::abandoned, entry->head_passed ? entry->running.status : 0, Duration(0),
-            now);
+  reportEnded(*entry, RequestOutcome::abandoned, entry->head_forwarded ? entry->active.status : 0,
+              Duration(0), now);
   cancelExchange(*entry, DispatchOutcome::Ended, now);
   finish(*entry);
   serveQueue(now);
@@ -286,15 +286,15 @@
 
 /// Neither the client nor the route waits any longer.
 void Gateway::expire(Entry& entry, TimePoint now) {
-  if (entry.running.exchange != 0) {
+  if (entry.active.exchange != 0) {
     entry.may_have_run = true;
     entry.cause = RequestCause::time_ran_out;
   }
   cancelExchange(entry, DispatchOutcome::Ended, now);
-  if (!entry.head_passed && entry.may_have_run) {
+  if (!entry.head_forwarded && entry.may_have_run) {
     ++counters_.failed;
     actions_.emplace_back(Refuse{entry.id, kGatewayTimeout, Duration(0), entry.cause});
-    tellEnded(entry, RequestOutcome::failed, kGatewayTimeout, Duration(0), now);
+    reportEnded(entry, RequestOutcome::failed, kGatewayTimeout, Duration(0), now);
     return finish(entry);
   }
   giveUp(entry, now);
@@ -302,9 +302,9 @@
 
 // Timers.
 
-void Gateway::wakeAt(Entry& entry, TimePoint when) {
-  timers_.erase({entry.wakes_at, entry.id});
-  entry.wakes_at = when;
+void Gateway::scheduleTimer(Entry& entry, TimePoint when) {
+  timers_.erase({entry.timer_at, entry.id});
+  entry.timer_at = when;
   timers_.insert({when, entry.id});
 }
 
@@ -319,16 +319,16 @@
     Entry* entry = findClient(client);
     timers_.erase(timers_.begin());
     if (entry == nullptr) continue;
-    entry->wakes_at = TimePoint::max();
-    onWake(*entry, now);
+    entry->timer_at = TimePoint::max();
+    onRequestTimer(*entry, now);
   }
 }
 
-void Gateway::onWake(Entry& entry, TimePoint now) {
-  if (now >= entry.ends_at) return expire(entry, now);
+void Gateway::onRequestTimer(Entry& entry, TimePoint now) {
+  if (now >= entry.deadline) return expire(entry, now);
   if (entry.waiting) return place(entry, now);
-  if (entry.running.exchange != 0) return checkSilence(entry, now);
-  wakeAt(entry, entry.ends_at);
+  if (entry.active.exchange != 0) return checkSilence(entry, now);
+  scheduleTimer(entry, entry.deadline);
 }
 
 }  // namespace crankspur::gateway
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -102,16 +102,16 @@
 
 private:
   /// The exchange that a request has under way; exchange 0: none.
-  struct Running {
+  struct ActiveExchange {
     ExchangeId exchange = 0;
     EngineSlot slot = 0;
     std::uint64_t incarnation = 0;
     TimePoint sent_at{};
-    TimePoint heard_at{};
+    TimePoint last_received_at{};
     Duration expected{0};
     DispatchedPrompt prompt;
     bool first_byte = false;
-    bool passes_bytes = false;  ///< Bytes go on as they come.
+    bool streams_body = false;  ///< Bytes go on as they come.
     bool error_answer = false;
     int status = 0;  ///< Of the answer; 0: none came yet.
   };
@@ -126,20 +126,20 @@
     std::string isolated_tenant;
     std::uint32_t priority = 0;
     TimePoint arrived_at{};
-    TimePoint ends_at{};       ///< When the client or the route waits no longer.
+    TimePoint deadline{};      ///< When the client or the route waits no longer.
     TimePoint queued_until{};  ///< Set while it waits for a place.
-    TimePoint wakes_at = TimePoint::max();
-    std::vector<EngineSlot> failed;  ///< Back ends that failed it.
-    bool isolated = false;           ///< Back ends may have ended because of it.
-    TimePoint quarantined_until{};   ///< Set once it is given up for that.
-    std::uint32_t sends = 0;         ///< Back ends that it reached.
+    TimePoint timer_at = TimePoint::max();
+    std::vector<EngineSlot> failed;      ///< Back ends that failed it.
+    bool isolated = false;               ///< Back ends may have ended because of it.
+    TimePoint quarantined_until{};       ///< Set once it is given up for that.
+    std::uint32_t backends_reached = 0;  ///< Back ends that it reached.
     std::uint32_t dispatches = 0;
     bool waiting = false;
     bool may_have_run = false;
-    bool arrived_before = false;  ///< Some back end may have got it: a further dispatch is a repeat.
-    bool head_passed = false;
+    bool may_have_arrived = false;  ///< Some back end may have got it: a further dispatch is a repeat.
+    bool head_forwarded = false;
     std::optional<StreamCursor> cursor;  ///< Of a resumable stream.
-    Running running;
+    ActiveExchange active;
     std::string last_backend;                 ///< Id of the one that it was sent to last.
     RequestCause cause = RequestCause::none;  ///< Of the last thing that went wrong.
     std::optional<TimePoint> first_byte_at;   ///< Set once a back end's answer began.
@@ -155,55 +155,57 @@
   void dispatch(Entry& entry, const Choice& choice, TimePoint now);
   ForwardTerms forwardTerms(const Entry& entry, const Choice& choice, TimePoint now) const;
   void refuse(Entry& entry, TimePoint now);
-  void refuseUnchecked(ClientId client, const IncomingRequest& request, const CheckedRequest& checked,
-                       TimePoint now);
+  void refuseInadmissible(ClientId client, const IncomingRequest& request, const CheckedRequest& checked,
+                          TimePoint now);
   Duration retryAfter(const Entry& entry, TimePoint now);
   void finish(Entry& entry);
   void giveUpFor(Entry& entry, RequestCause cause, TimePoint now);
-  void wakeAt(Entry& entry, TimePoint when);
-  void onWake(Entry& entry, TimePoint now);
+  void scheduleTimer(Entry& entry, TimePoint when);
+  void onRequestTimer(Entry& entry, TimePoint now);
   void expire(Entry& entry, TimePoint now);
   Entry* findClient(ClientId client);
   RepeatBudget& budgetOf(const std::string& pool);
 
   // Requests that end back ends (gateway_suspects.cc).
-  bool passesQuarantine(Entry& entry, TimePoint now);
-  bool runsElsewhere(const Entry& entry);
-  std::vector<EngineSlot> slotsOfIsolated();
-  void noteCrash(const Entry& entry, const Running& running, TimePoint now);
-  void probe(const Entry& entry, const Running& running, TimePoint now);
+  bool checkQuarantine(Entry& entry, TimePoint now);
+  bool hasConcurrentAttempt(const Entry& entry);
+  std::vector<EngineSlot> slotsOfIsolatedRequests();
+  void recordCrash(const Entry& entry, const ActiveExchange& active, TimePoint now);
+  void probe(const Entry& entry, const ActiveExchange& active, TimePoint now);
   bool isProbing(const RequestFingerprint& request, TimePoint now) const;
-  void noteSignOfLife(const Entry& entry, TimePoint now);
-  void noteWholeAnswer(const Entry& entry, TimePoint now);
+  void recordSignOfLife(const Entry& entry, TimePoint now);
+  void recordCompleteResponse(const Entry& entry, TimePoint now);
 
   // Records for the observer (gateway_records.cc).
-  void tellAdmitted(const Entry& entry, TimePoint now);
-  void tellPlaced(const Entry& entry, const Choice& choice, TimePoint now);
-  void tellWaiting(const Entry& entry, TimePoint now);
-  void tellMoved(const Entry& entry, const Running& running, int status, bool will_retry, TimePoint now);
-  void tellEnded(const Entry& entry, RequestOutcome outcome, int status, Duration retry_after, TimePoint now);
+  void reportAdmitted(const Entry& entry, TimePoint now);
+  void reportPlaced(const Entry& entry, const Choice& choice, TimePoint now);
+  void reportWaiting(const Entry& entry, TimePoint now);
+  void reportMoved(const Entry& entry, const ActiveExchange& active, int status, bool will_retry,
+                   TimePoint now);
+  void reportEnded(const Entry& entry, RequestOutcome outcome, int status, Duration retry_after,
+                   TimePoint now);
 
   // Answers and failures (gateway_answers.cc).
   Entry* findExchange(ExchangeId exchange);
   const Entry* findExchange(ExchangeId exchange) const;
   void onNotRun(Entry& entry, int status, const BackendAnswer& answer, TimePoint now);
   void onWrongBackend(Entry& entry, int status, const BackendAnswer& answer, TimePoint now);
-  void onErrorAnswer(Entry& entry, int status, TimePoint now);
-  void onBrokenAnswer(Entry& entry, int status, TimePoint now);
+  void onErrorResponse(Entry& entry, int status, TimePoint now);
+  void onInvalidResponse(Entry& entry, int status, TimePoint now);
   void endExchange(Entry& entry, DispatchOutcome outcome, TimePoint now);
   void cancelExchange(Entry& entry, DispatchOutcome outcome, TimePoint now, bool unanswered = false);
-  void discardAnswer(Entry& entry, DispatchOutcome outcome, TimePoint now);
+  void discardResponse(Entry& entry, DispatchOutcome outcome, TimePoint now);
   bool mayRepeat(const Entry& entry) const;
-  bool takeRepeat(Entry& entry, TimePoint now);
-  void goOn(Entry& entry, const Running& failed, int status, TimePoint now);
-  void moveOn(Entry& entry, const Running& failed, int status, TimePoint now);
+  bool consumeRepeatBudget(Entry& entry, TimePoint now);
+  void retryOrGiveUp(Entry& entry, const ActiveExchange& failed, int status, TimePoint now);
+  void retryElsewhere(Entry& entry, const ActiveExchange& failed, int status, TimePoint now);
   void giveUp(Entry& entry, TimePoint now);
-  void noteFirstByte(Entry& entry, TimePoint now);
-  TimePoint silentFrom(const Running& running, TimePoint now) const;
-  bool mayBeCut(const Running& running) const;
-  Duration silenceLimit(const Running& running, TimePoint now) const;
+  void recordFirstByte(Entry& entry, TimePoint now);
+  TimePoint silenceDeadline(const ActiveExchange& active, TimePoint now) const;
+  bool mayBeOnSilentConnection(const ActiveExchange& active) const;
+  Duration silenceLimit(const ActiveExchange& active, TimePoint now) const;
   void checkSilence(Entry& entry, TimePoint now);
-  void lookAtSilent(TimePoint now);
+  void recheckUnresponsiveBackends(TimePoint now);
 
   GatewaySettings settings_;
   RandomSource random_;
--- a/src/gateway/gateway_answers.cc
+++ b/src/gateway/gateway_answers.cc
@@ -13,7 +13,7 @@
 constexpr int kBadGateway = 502;
 constexpr int kUnavailable = 503;
 /// Dispatches of one request, those that reached nobody included.
-constexpr std::uint32_t kMaximumDispatches = 6;
+constexpr std::uint32_t kMaxDispatches = 6;
 
 bool isSuccess(int status) {
   return status / 100 == 2;
@@ -24,7 +24,7 @@
 }
 
 /// @return whether clients take the status as a promise that nothing ran.
-bool promisesNotRun(int status) {
+bool impliesNotRun(int status) {
   return status == kRequestTimeout || status == kMisdirected || status == kTooManyRequests ||
          status == kUnavailable;
 }
@@ -44,7 +44,7 @@
 
 bool Gateway::streamsBody(ExchangeId exchange) const {
   const Entry* entry = findExchange(exchange);
-  return entry != nullptr && entry->running.passes_bytes;
+  return entry != nullptr && entry->active.streams_body;
 }
 
 // Answers.
@@ -52,33 +52,33 @@
 void Gateway::onHead(ExchangeId exchange, int status, const BackendAnswer& answer, TimePoint now) {
   Entry* entry = findExchange(exchange);
   if (entry == nullptr) return;
-  Running& running = entry->running;
-  running.heard_at = now;
-  running.status = status;
-  table_.onHeard(running.slot, now);
+  ActiveExchange& active = entry->active;
+  active.last_received_at = now;
+  active.status = status;
+  table_.onHeard(active.slot, now);
   // A start of the back end that refuses what is meant for another says nothing of the one before it.
   const bool is_other_start = answer.wrong_backend && !answer.weights_version;
-  if (!is_other_start) noteSignOfLife(*entry, now);
+  if (!is_other_start) recordSignOfLife(*entry, now);
   if (answer.not_run || answer.wrong_backend) return onNotRun(*entry, status, answer, now);
   if (answer.weights_version) {
-    choice_.onWeights(running.slot, running.incarnation, entry->client.model, *answer.weights_version);
+    choice_.onWeights(active.slot, active.incarnation, entry->client.model, *answer.weights_version);
   }
   entry->may_have_run = true;
-  if (!answer.genuine) return onBrokenAnswer(*entry, status, now);
-  if (!isSuccess(status)) return onErrorAnswer(*entry, status, now);
-  if (!entry->route->streaming) return noteFirstByte(*entry, now);
-  running.passes_bytes = true;
-  if (entry->head_passed) return;
-  entry->head_passed = true;
+  if (!answer.genuine) return onInvalidResponse(*entry, status, now);
+  if (!isSuccess(status)) return onErrorResponse(*entry, status, now);
+  if (!entry->route->streaming) return recordFirstByte(*entry, now);
+  active.streams_body = true;
+  if (entry->head_forwarded) return;
+  entry->head_forwarded = true;
   actions_.emplace_back(ForwardHead{entry->id, exchange});
 }
 
 void Gateway::onBodyBufferFull(ExchangeId exchange, TimePoint now) {
   Entry* entry = findExchange(exchange);
-  if (entry == nullptr || entry->running.passes_bytes) return;
-  entry->running.heard_at = now;
-  entry->running.passes_bytes = true;
-  entry->head_passed = true;
+  if (entry == nullptr || entry->active.streams_body) return;
+  entry->active.last_received_at = now;
+  entry->active.streams_body = true;
+  entry->head_forwarded = true;
   entry->cursor.reset();
   actions_.emplace_back(ForwardHead{entry->id, exchange});
 }
@@ -86,11 +86,11 @@
 void Gateway::onBytes(ExchangeId exchange, std::string_view bytes, TimePoint now) {
   Entry* entry = findExchange(exchange);
   if (entry == nullptr) return;
-  entry->running.heard_at = now;
-  table_.onHeard(entry->running.slot, now);
-  noteSignOfLife(*entry, now);
-  if (!entry->running.passes_bytes) return;
-  noteFirstByte(*entry, now);
+  entry->active.last_received_at = now;
+  table_.onHeard(entry->active.slot, now);
+  recordSignOfLife(*entry, now);
+  if (!entry->active.streams_body) return;
+  recordFirstByte(*entry, now);
   std::string passed = entry->cursor ? entry->cursor->feed(bytes) : std::string(bytes);
   if (!passed.empty()) actions_.emplace_back(ForwardBytes{entry->id, std::move(passed)});
 }
@@ -99,12 +99,12 @@
   Entry* entry = findExchange(exchange);
   if (entry == nullptr) return;
   if (entry->cursor && entry->cursor->insideEvent()) return onLost(exchange, true, now);
-  noteWholeAnswer(*entry, now);
-  const bool error = entry->running.error_answer;
-  const bool begun = entry->head_passed;
-  const int status = entry->running.status;
+  recordCompleteResponse(*entry, now);
+  const bool error = entry->active.error_answer;
+  const bool begun = entry->head_forwarded;
+  const int status = entry->active.status;
   const RequestOutcome outcome = isSuccess(status) ? RequestOutcome::answered : RequestOutcome::error_passed;
-  tellEnded(*entry, outcome, status, Duration(0), now);
+  reportEnded(*entry, outcome, status, Duration(0), now);
   endExchange(*entry, error ? DispatchOutcome::ErrorAnswer : DispatchOutcome::Answered, now);
   if (begun) {
     actions_.emplace_back(EndResponse{entry->id});
@@ -115,92 +115,92 @@
   serveQueue(now);
 }
 
-void Gateway::noteFirstByte(Entry& entry, TimePoint now) {
-  Running& running = entry.running;
-  if (running.first_byte) return;
-  running.first_byte = true;
+void Gateway::recordFirstByte(Entry& entry, TimePoint now) {
+  ActiveExchange& active = entry.active;
+  if (active.first_byte) return;
+  active.first_byte = true;
   if (!entry.first_byte_at) entry.first_byte_at = now;
-  const Duration taken = now - running.sent_at;
-  choice_.onFirstByte(*entry.pool, running.prompt, running.exchange, taken, now);
-  table_.onFirstByte(running.slot, running.incarnation, taken, running.expected, now);
+  const Duration taken = now - active.sent_at;
+  choice_.onFirstByte(*entry.pool, active.prompt, active.exchange, taken, now);
+  table_.onFirstByte(active.slot, active.incarnation, taken, active.expected, now);
 }
 
 // Failures.
 
 void Gateway::onNotRun(Entry& entry, int status, const BackendAnswer& answer, TimePoint now) {
-  entry.arrived_before = true;
+  entry.may_have_arrived = true;
   if (answer.wrong_backend) return onWrongBackend(entry, status, answer, now);
-  const Running running = entry.running;
+  const ActiveExchange active = entry.active;
   entry.cause = RequestCause::back_end_full;
-  entry.failed.push_back(running.slot);
-  discardAnswer(entry, DispatchOutcome::Full, now);
-  goOn(entry, running, status, now);
+  entry.failed.push_back(active.slot);
+  discardResponse(entry, DispatchOutcome::Full, now);
+  retryOrGiveUp(entry, active, status, now);
 }
 
 /// The back end is not what the snapshot says. A new attempt that counts with what it really is does not
 /// count as one at a further back end.
 void Gateway::onWrongBackend(Entry& entry, int status, const BackendAnswer& answer, TimePoint now) {
-  const Running running = entry.running;
-  const Backend* backend = snapshot_->backend(running.slot);
+  const ActiveExchange active = entry.active;
+  const Backend* backend = snapshot_->backend(active.slot);
   const bool other_weights = answer.weights_version.has_value();
   entry.cause = other_weights ? RequestCause::other_weights : RequestCause::back_end_replaced;
-  actions_.emplace_back(ReportWrongBackend{running.slot, running.incarnation, answer.weights_version});
-  if (entry.sends > 0) --entry.sends;
+  actions_.emplace_back(ReportWrongBackend{active.slot, active.incarnation, answer.weights_version});
+  if (entry.backends_reached > 0) --entry.backends_reached;
   if (other_weights) {
-    choice_.onWeights(running.slot, running.incarnation, entry.client.model, *answer.weights_version);
+    choice_.onWeights(active.slot, active.incarnation, entry.client.model, *answer.weights_version);
   }
-  const bool same = backend != nullptr && backend->view.incarnation == running.incarnation;
-  if (!other_weights && same) entry.failed.push_back(running.slot);
-  discardAnswer(entry, other_weights ? DispatchOutcome::Ended : DispatchOutcome::ConnectFailed, now);
-  goOn(entry, running, status, now);
+  const bool same = backend != nullptr && backend->view.incarnation == active.incarnation;
+  if (!other_weights && same) entry.failed.push_back(active.slot);
+  discardResponse(entry, other_weights ? DispatchOutcome::Ended : DispatchOutcome::ConnectFailed, now);
+  retryOrGiveUp(entry, active, status, now);
 }
 
 /// The back end answered that it failed.
-void Gateway::onErrorAnswer(Entry& entry, int status, TimePoint now) {
-  const Running running = entry.running;
-  entry.running.error_answer = isServerError(status);
-  entry.arrived_before = true;
+void Gateway::onErrorResponse(Entry& entry, int status, TimePoint now) {
+  const ActiveExchange active = entry.active;
+  entry.active.error_answer = isServerError(status);
+  entry.may_have_arrived = true;
   entry.cause = RequestCause::error_answer;
-  entry.failed.push_back(entry.running.slot);
-  const bool repeats = isServerError(status) && mayRepeat(entry) && takeRepeat(entry, now);
+  entry.failed.push_back(entry.active.slot);
+  const bool repeats = isServerError(status) && mayRepeat(entry) && consumeRepeatBudget(entry, now);
   if (repeats) {
-    discardAnswer(entry, DispatchOutcome::ErrorAnswer, now);
-    return moveOn(entry, running, status, now);
+    discardResponse(entry, DispatchOutcome::ErrorAnswer, now);
+    return retryElsewhere(entry, active, status, now);
   }
   const bool once = entry.route->repeatability == Repeatability::AtMostOnce;
-  const bool passes = !entry.head_passed && !(once && promisesNotRun(status));
+  const bool passes = !entry.head_forwarded && !(once && impliesNotRun(status));
   if (passes) return;  // Whole, once it is here.
-  discardAnswer(entry, DispatchOutcome::ErrorAnswer, now);
-  tellMoved(entry, running, status, false, now);
+  discardResponse(entry, DispatchOutcome::ErrorAnswer, now);
+  reportMoved(entry, active, status, false, now);
   giveUp(entry, now);
 }
 
 /// Bytes that are no answer of the back end's own.
-void Gateway::onBrokenAnswer(Entry& entry, int status, TimePoint now) {
-  const Running running = entry.running;
-  entry.arrived_before = true;
+void Gateway::onInvalidResponse(Entry& entry, int status, TimePoint now) {
+  const ActiveExchange active = entry.active;
+  entry.may_have_arrived = true;
   entry.cause = RequestCause::answer_not_genuine;
-  entry.failed.push_back(running.slot);
+  entry.failed.push_back(active.slot);
   cancelExchange(entry, DispatchOutcome::Failed, now);
-  goOn(entry, running, status, now);
+  retryOrGiveUp(entry, active, status, now);
 }
 
 void Gateway::onLost(ExchangeId exchange, bool sent, TimePoint now) {
   Entry* entry = findExchange(exchange);
   if (entry == nullptr) return;
-  const Running running = entry->running;
+  const ActiveExchange active = entry->active;
   entry->cause = sent ? RequestCause::answer_broke_off : RequestCause::back_end_unreachable;
-  entry->failed.push_back(running.slot);
+  entry->failed.push_back(active.slot);
   if (sent) {
-    entry->arrived_before = true;
+    entry->may_have_arrived = true;
     entry->may_have_run = true;
-    noteCrash(*entry, running, now);
+    recordCrash(*entry, active, now);
   } else {
-    --entry->sends;
-    actions_.emplace_back(ReportUnreachable{running.slot, running.incarnation});
+    --entry->backends_reached;
+    actions_.emplace_back(ReportUnreachable{active.slot, active.incarnation});
   }
   endExchange(*entry, sent ? DispatchOutcome::Failed : DispatchOutcome::ConnectFailed, now);
-  goOn(*entry, running, running.status, now);
+  retryOrGiveUp(*entry, active, active.status, now);
   serveQueue(now);
 }
 
@@ -208,99 +208,101 @@
   connections_silent_at_ = now;
   for (const auto& [exchange, client] : exchanges_) {
     Entry* entry = findClient(client);
-    if (entry == nullptr || entry->running.exchange != exchange) continue;
-    wakeAt(*entry, std::min(entry->wakes_at, silentFrom(entry->running, now)));
+    if (entry == nullptr || entry->active.exchange != exchange) continue;
+    scheduleTimer(*entry, std::min(entry->timer_at, silenceDeadline(entry->active, now)));
   }
 }
 
 /// @return whether the request runs on a connection of before the last silence and has heard nothing since.
 /// What the back end tells others says nothing of that connection.
-bool Gateway::mayBeCut(const Running& running) const {
-  return running.sent_at < connections_silent_at_ && running.heard_at <= connections_silent_at_;
+bool Gateway::mayBeOnSilentConnection(const ActiveExchange& active) const {
+  return active.sent_at < connections_silent_at_ && active.last_received_at <= connections_silent_at_;
 }
 
 /// @return when the request counts as left alone by its back end, if nothing more is heard. Where its
 /// connection may have gone silent it takes a fifth of the usual time: beyond the time in which the first
 /// byte was expected, since some connections may be sound and their back ends still read a prompt.
-TimePoint Gateway::silentFrom(const Running& running, TimePoint now) const {
-  const TimePoint heard = std::max(running.heard_at, running.sent_at);
-  if (!mayBeCut(running)) return std::max(heard, table_.heardAt(running.slot)) + silenceLimit(running, now);
-  const TimePoint expected = running.first_byte ? heard : running.sent_at + running.expected;
+TimePoint Gateway::silenceDeadline(const ActiveExchange& active, TimePoint now) const {
+  const TimePoint heard = std::max(active.last_received_at, active.sent_at);
+  if (!mayBeOnSilentConnection(active))
+    return std::max(heard, table_.heardAt(active.slot)) + silenceLimit(active, now);
+  const TimePoint expected = active.first_byte ? heard : active.sent_at + active.expected;
   return std::max(connections_silent_at_, expected) + settings_.silence_limit_of_silent;
 }
 
 /// @return how long the back end may be silent towards the request.
-Duration Gateway::silenceLimit(const Running& running, TimePoint now) const {
-  const Backend* backend = snapshot_->backend(running.slot);
-  const bool present = backend != nullptr && backend->view.incarnation == running.incarnation;
-  if (present && table_.isSilent(*backend)) return settings_.silence_limit_of_silent;
-  const bool reads_yet = !running.first_byte && table_.isHealthy(running.slot, now);
-  if (!reads_yet) return settings_.silence_limit;
-  const double expected = toSeconds(running.expected) * settings_.silence_per_expected;
+Duration Gateway::silenceLimit(const ActiveExchange& active, TimePoint now) const {
+  const Backend* backend = snapshot_->backend(active.slot);
+  const bool same_incarnation = backend != nullptr && backend->view.incarnation == active.incarnation;
+  if (same_incarnation && table_.isSilent(*backend)) return settings_.silence_limit_of_silent;
+  const bool awaits_first_byte = !active.first_byte && table_.isHealthy(active.slot, now);
+  if (!awaits_first_byte) return settings_.silence_limit;
+  const double expected = toSeconds(active.expected) * settings_.silence_per_expected;
   return std::max(settings_.silence_limit, Duration(static_cast<std::int64_t>(expected * 1e6)));
 }
 
 /// Nothing at all has come from the back end for a while: those that may be repeated go elsewhere.
 void Gateway::checkSilence(Entry& entry, TimePoint now) {
-  const Running running = entry.running;
-  const TimePoint due = silentFrom(running, now);
+  const ActiveExchange active = entry.active;
+  const TimePoint due = silenceDeadline(active, now);
   const bool elsewhere = snapshot_->backends.size() > 1;
-  if (now < due) return wakeAt(entry, std::min(entry.ends_at, due));
-  entry.arrived_before = true;
+  if (now < due) return scheduleTimer(entry, std::min(entry.deadline, due));
+  entry.may_have_arrived = true;
   entry.may_have_run = true;
-  if (!elsewhere || !mayRepeat(entry) || !takeRepeat(entry, now)) return wakeAt(entry, entry.ends_at);
+  if (!elsewhere || !mayRepeat(entry) || !consumeRepeatBudget(entry, now))
+    return scheduleTimer(entry, entry.deadline);
   entry.cause = RequestCause::silence;
   // A connection that went silent says nothing of its back end, which may hold the prompt by now.
-  const bool cut = mayBeCut(running);
-  if (!cut) entry.failed.push_back(running.slot);
+  const bool cut = mayBeOnSilentConnection(active);
+  if (!cut) entry.failed.push_back(active.slot);
   cancelExchange(entry, cut ? DispatchOutcome::Ended : DispatchOutcome::Failed, now, true);
-  moveOn(entry, running, running.status, now);
+  retryElsewhere(entry, active, active.status, now);
 }
 
 // Going on.
 
 void Gateway::endExchange(Entry& entry, DispatchOutcome outcome, TimePoint now) {
-  const Running running = std::exchange(entry.running, Running());
-  if (running.exchange == 0) return;
-  exchanges_.erase(running.exchange);
-  choice_.onEnd(running.slot, running.exchange);
-  const bool trusted = table_.isHealthy(running.slot, now);
-  table_.onOutcome(running.slot, running.incarnation, outcome, now);
-  if (!trusted || table_.isHealthy(running.slot, now)) return;
-  observer_.onDistrusted({entry.last_backend, entry.cause, table_.distrustedFor(running.slot, now)});
+  const ActiveExchange active = std::exchange(entry.active, ActiveExchange());
+  if (active.exchange == 0) return;
+  exchanges_.erase(active.exchange);
+  choice_.onEnd(active.slot, active.exchange);
+  const bool trusted = table_.isHealthy(active.slot, now);
+  table_.onOutcome(active.slot, active.incarnation, outcome, now);
+  if (!trusted || table_.isHealthy(active.slot, now)) return;
+  observer_.onDistrusted({entry.last_backend, entry.cause, table_.distrustedFor(active.slot, now)});
 }
 
 void Gateway::cancelExchange(Entry& entry, DispatchOutcome outcome, TimePoint now, bool unanswered) {
-  if (entry.running.exchange == 0) return;
-  actions_.emplace_back(CancelExchange{entry.running.exchange, unanswered});
+  if (entry.active.exchange == 0) return;
+  actions_.emplace_back(CancelExchange{entry.active.exchange, unanswered});
   endExchange(entry, outcome, now);
 }
 
-void Gateway::discardAnswer(Entry& entry, DispatchOutcome outcome, TimePoint now) {
-  actions_.emplace_back(DiscardResponse{entry.running.exchange});
+void Gateway::discardResponse(Entry& entry, DispatchOutcome outcome, TimePoint now) {
+  actions_.emplace_back(DiscardResponse{entry.active.exchange});
   endExchange(entry, outcome, now);
 }
 
 bool Gateway::mayRepeat(const Entry& entry) const {
   if (entry.may_have_run && entry.route->repeatability == Repeatability::AtMostOnce) return false;
-  if (entry.head_passed && !entry.cursor) return false;
-  return entry.sends < entry.route->maximum_attempts && entry.dispatches < kMaximumDispatches;
+  if (entry.head_forwarded && !entry.cursor) return false;
+  return entry.backends_reached < entry.route->maximum_attempts && entry.dispatches < kMaxDispatches;
 }
 
 /// A repeat is paid for out of the budget, unless no back end got the request.
-bool Gateway::takeRepeat(Entry& entry, TimePoint now) {
-  if (!entry.arrived_before) return true;
+bool Gateway::consumeRepeatBudget(Entry& entry, TimePoint now) {
+  if (!entry.may_have_arrived) return true;
   return budgetOf(entry.pool->name).tryRepeat(snapshot_->share_divisor, now);
 }
 
-void Gateway::goOn(Entry& entry, const Running& failed, int status, TimePoint now) {
-  if (mayRepeat(entry) && takeRepeat(entry, now)) return moveOn(entry, failed, status, now);
-  tellMoved(entry, failed, status, false, now);
+void Gateway::retryOrGiveUp(Entry& entry, const ActiveExchange& failed, int status, TimePoint now) {
+  if (mayRepeat(entry) && consumeRepeatBudget(entry, now)) return retryElsewhere(entry, failed, status, now);
+  reportMoved(entry, failed, status, false, now);
   giveUp(entry, now);
 }
 
-void Gateway::moveOn(Entry& entry, const Running& failed, int status, TimePoint now) {
-  tellMoved(entry, failed, status, true, now);
+void Gateway::retryElsewhere(Entry& entry, const ActiveExchange& failed, int status, TimePoint now) {
+  reportMoved(entry, failed, status, true, now);
   if (entry.cursor) entry.cursor->restart();
   place(entry, now);
 }
@@ -308,14 +310,14 @@
 /// The final answer, at once. Only a request that has not run is refused as such.
 void Gateway::giveUp(Entry& entry, TimePoint now) {
   cancelExchange(entry, DispatchOutcome::Ended, now);
-  if (entry.head_passed) {
+  if (entry.head_forwarded) {
     ++counters_.failed;
     actions_.emplace_back(AbortResponse{entry.id});
-    tellEnded(entry, RequestOutcome::cut, 0, Duration(0), now);
+    reportEnded(entry, RequestOutcome::cut, 0, Duration(0), now);
   } else if (entry.may_have_run) {
     ++counters_.failed;
     actions_.emplace_back(Refuse{entry.id, kBadGateway, Duration(0), entry.cause});
-    tellEnded(entry, RequestOutcome::failed, kBadGateway, Duration(0), now);
+    reportEnded(entry, RequestOutcome::failed, kBadGateway, Duration(0), now);
   } else {
     refuse(entry, now);
   }
--- a/src/gateway/gateway_records.cc
+++ b/src/gateway/gateway_records.cc
@@ -9,12 +9,12 @@
   return configuration == nullptr ? 0 : configuration->version;
 }
 
-std::string_view nameOrNone(const Route* route) {
+std::string_view nameOrEmpty(const Route* route) {
   return route == nullptr ? std::string_view() : std::string_view(route->name);
 }
 
 /// @return why a driver answers with the status what it could not read.
-RequestCause unreadCause(int status) {
+RequestCause causeOfUnreadable(int status) {
   switch (status) {
     case 408:
       return RequestCause::arrived_too_slowly;
@@ -36,14 +36,14 @@
   ++counters_.refused;
   Entry entry;
   entry.client.request_id = request_id;
-  entry.cause = unreadCause(status);
+  entry.cause = causeOfUnreadable(status);
   entry.arrived_at = now;
-  const bool comes_back = status == 408 || status == 503;
-  const RequestOutcome outcome = comes_back ? RequestOutcome::refused : RequestOutcome::rejected;
-  tellEnded(entry, outcome, status, Duration(0), now);
+  const bool retryable = status == 408 || status == 503;
+  const RequestOutcome outcome = retryable ? RequestOutcome::refused : RequestOutcome::rejected;
+  reportEnded(entry, outcome, status, Duration(0), now);
 }
 
-void Gateway::tellAdmitted(const Entry& entry, TimePoint now) {
+void Gateway::reportAdmitted(const Entry& entry, TimePoint now) {
   RequestAdmitted record;
   record.request_id = entry.client.request_id;
   record.route = entry.route->name;
@@ -55,11 +55,11 @@
   if (entry.route->needs_tenant) record.keys_age = snapshot_->keysAge(now);
   record.priority = entry.priority;
   record.prompt_tokens = entry.client.prompt_tokens;
-  record.time_left = entry.ends_at - now;
+  record.time_left = entry.deadline - now;
   observer_.onAdmitted(record);
 }
 
-void Gateway::tellPlaced(const Entry& entry, const Choice& choice, TimePoint now) {
+void Gateway::reportPlaced(const Entry& entry, const Choice& choice, TimePoint now) {
   const EngineView& backend = choice.backend->view;
   RequestPlaced record;
   record.request_id = entry.client.request_id;
@@ -86,11 +86,11 @@
   record.list_age = snapshot_->knowledgeAge(now);
   record.configuration_version = versionOf(entry.configuration);
   record.expected_first_byte = choice.expected_first_byte;
-  record.time_left = entry.ends_at - now;
+  record.time_left = entry.deadline - now;
   observer_.onPlaced(record);
 }
 
-void Gateway::tellWaiting(const Entry& entry, TimePoint now) {
+void Gateway::reportWaiting(const Entry& entry, TimePoint now) {
   RequestWaiting record;
   record.request_id = entry.client.request_id;
   record.route = entry.route->name;
@@ -100,28 +100,28 @@
   observer_.onWaiting(record);
 }
 
-void Gateway::tellMoved(const Entry& entry, const Running& running, int status, bool will_retry,
-                        TimePoint now) {
+void Gateway::reportMoved(const Entry& entry, const ActiveExchange& active, int status, bool will_retry,
+                          TimePoint now) {
   RequestMoved record;
   record.request_id = entry.client.request_id;
   record.fingerprint = entry.fingerprint;
   record.backend = entry.last_backend;
   record.cause = entry.cause;
   record.status = status;
-  record.after = now - running.sent_at;
+  record.after = now - active.sent_at;
   record.will_retry = will_retry;
-  record.resumes = will_retry && entry.head_passed;
-  record.backends_reached = entry.sends;
+  record.resumes = will_retry && entry.head_forwarded;
+  record.backends_reached = entry.backends_reached;
   const auto budget = budgets_.find(entry.pool->name);
   if (budget != budgets_.end()) record.budget_left = budget->second.left(snapshot_->share_divisor, now);
   observer_.onMoved(record);
 }
 
-void Gateway::tellEnded(const Entry& entry, RequestOutcome outcome, int status, Duration retry_after,
-                        TimePoint now) {
+void Gateway::reportEnded(const Entry& entry, RequestOutcome outcome, int status, Duration retry_after,
+                          TimePoint now) {
   RequestEnded record;
   record.request_id = entry.client.request_id;
-  record.route = nameOrNone(entry.route);
+  record.route = nameOrEmpty(entry.route);
   record.tenant = entry.tenant;
   record.backend = entry.last_backend;
   record.outcome = outcome;
--- a/src/gateway/request_observer.cc
+++ b/src/gateway/request_observer.cc
@@ -3,7 +3,7 @@
 namespace crankspur::gateway {
 namespace {
 
-class SilentObserver : public RequestObserver {
+class NoopObserver : public RequestObserver {
 public:
   void onAdmitted(const RequestAdmitted&) override {}
   void onPlaced(const RequestPlaced&) override {}
@@ -18,7 +18,7 @@
 }  // namespace
 
 RequestObserver& noopObserver() {
-  static SilentObserver observer;
+  static NoopObserver observer;
   return observer;
 }
 
--- a/tests/unit/gateway/gateway_failure_test.cc
+++ b/tests/unit/gateway/gateway_failure_test.cc
@@ -7,7 +7,7 @@
   fixture.publish();
   fixture.send("order");
   SECTION("the connection broke") {
-    fixture.lose(true);
+    fixture.breakExchange(true);
   }
   SECTION("the answer is not the back end's own") {
     fixture.head(200, {});
@@ -27,11 +27,11 @@
   fixture.publish();
   fixture.send("order");
   const std::string first = fixture.last.address;
-  fixture.lose(false);
+  fixture.breakExchange(false);
   CHECK(fixture.only<Dispatch>().address != first);
   CHECK(fixture.has<ReportUnreachable>());
-  fixture.lose(false);
-  fixture.pass(seconds(1));
+  fixture.breakExchange(false);
+  fixture.advance(seconds(1));
   CHECK(fixture.only<Refuse>().status == 503);
 }
 
@@ -52,9 +52,9 @@
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("look");
-  fixture.lose(true);
+  fixture.breakExchange(true);
   CHECK(fixture.has<Dispatch>());
-  fixture.lose(true);
+  fixture.breakExchange(true);
   CHECK_FALSE(fixture.has<Dispatch>());
   CHECK(fixture.only<Refuse>().status == 502);
 }
@@ -63,8 +63,8 @@
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("look");
-  fixture.pass(seconds(1));
-  fixture.lose(true);
+  fixture.advance(seconds(1));
+  fixture.breakExchange(true);
   CHECK(fixture.only<Dispatch>().terms.deadline <= seconds(2));
 }
 
@@ -124,7 +124,7 @@
   fixture.send("look");
   fixture.head(200);
   CHECK(fixture.actions.empty());
-  fixture.lose(true);
+  fixture.breakExchange(true);
   CHECK(fixture.has<Dispatch>());
   fixture.head(200);
   fixture.end();
@@ -177,7 +177,7 @@
   fixture.send("look");
   const std::string first = fixture.last.address;
   const ClientId once = fixture.send("order");
-  fixture.pass(milliseconds(1600));
+  fixture.advance(milliseconds(1600));
   CHECK(fixture.only<Dispatch>().address != first);
   CHECK(fixture.only<Dispatch>().client != once);
   CHECK(fixture.has<CancelExchange>());
@@ -194,9 +194,9 @@
   review.client->deadline = seconds(20);
   fixture.send(std::move(review));
   const std::string first = fixture.last.address;
-  fixture.pass(milliseconds(3'500));
+  fixture.advance(milliseconds(3'500));
   CHECK_FALSE(fixture.has<CancelExchange>());
-  fixture.pass(milliseconds(800));
+  fixture.advance(milliseconds(800));
   CHECK(fixture.has<CancelExchange>());
   CHECK(fixture.only<Dispatch>().address != first);
 }
--- a/tests/unit/gateway/gateway_fixture.h
+++ b/tests/unit/gateway/gateway_fixture.h
@@ -151,12 +151,12 @@
   ClientId send(IncomingRequest incoming) {
     const ClientId client = ++last_client;
     gateway.onRequest(client, std::move(incoming), now);
-    take();
+    takeActions();
     return client;
   }
 
   /// @return what the gateway decided since the last call, also in `actions`.
-  const std::vector<GatewayAction>& take() {
+  const std::vector<GatewayAction>& takeActions() {
     actions = gateway.takeActions();
     for (const GatewayAction& action : actions) {
       if (const auto* dispatch = std::get_if<Dispatch>(&action)) last = *dispatch;
@@ -186,19 +186,19 @@
 
   void head(int status, BackendAnswer answer = genuineAnswer()) {
     gateway.onHead(last.exchange, status, answer, now);
-    take();
+    takeActions();
   }
   void bytes(const std::string& text) {
     gateway.onBytes(last.exchange, text, now);
-    take();
+    takeActions();
   }
   void end() {
     gateway.onEnd(last.exchange, now);
-    take();
+    takeActions();
   }
-  void lose(bool sent) {
+  void breakExchange(bool sent) {
     gateway.onLost(last.exchange, sent, now);
-    take();
+    takeActions();
   }
   void notRun() {
     BackendAnswer answer;
@@ -207,13 +207,13 @@
   }
 
   /// Moves time on, with the gateway's timers.
-  void pass(Duration time) {
+  void advance(Duration time) {
     const TimePoint until = now + time;
     std::vector<GatewayAction> all_actions;
     while (gateway.nextTimer() && *gateway.nextTimer() <= until) {
       now = std::max(now, *gateway.nextTimer());
       gateway.onTimer(now);
-      take();
+      takeActions();
       all_actions.insert(all_actions.end(), actions.begin(), actions.end());
     }
     now = until;
--- a/tests/unit/gateway/gateway_records_test.cc
+++ b/tests/unit/gateway/gateway_records_test.cc
@@ -49,7 +49,7 @@
   fixture.backends.clear();
   fixture.publish();
   fixture.send("order");
-  fixture.pass(seconds(1));
+  fixture.advance(seconds(1));
   REQUIRE(fixture.observer.waiting.size() == 1);
   CHECK(fixture.observer.waiting.front().cause == RequestCause::no_back_end);
   const RequestEnded ended = onlyEnd(fixture);
@@ -106,7 +106,7 @@
   fixture.publish();
   fixture.send("order");
   const std::string first = fixture.observer.placed_at.front();
-  fixture.lose(true);
+  fixture.breakExchange(true);
   REQUIRE(fixture.observer.moved.size() == 1);
   CHECK(fixture.observer.moved.front().cause == RequestCause::answer_broke_off);
   CHECK_FALSE(fixture.observer.moved.front().will_retry);
@@ -139,7 +139,7 @@
   fixture.send("answer");
   fixture.head(200);
   fixture.bytes("id: 1\ndata: a\n\n");
-  fixture.lose(true);
+  fixture.breakExchange(true);
   const ClientId leaving = fixture.send("answer");
   fixture.gateway.onClientGone(leaving, fixture.now);
   REQUIRE(fixture.observer.ended.size() == 2);
@@ -154,7 +154,7 @@
   fixture.backends = {makeBackend(1, "app")};
   fixture.publish();
   fixture.send("order");
-  fixture.pass(seconds(5));
+  fixture.advance(seconds(5));
   const RequestEnded ended = onlyEnd(fixture);
   CHECK(ended.status == 504);
   CHECK(ended.cause == RequestCause::time_ran_out);
@@ -166,7 +166,7 @@
   fixture.publish();
   for (int request = 0; request < 12 && fixture.observer.distrusted.empty(); ++request) {
     fixture.send("order");
-    if (fixture.has<Dispatch>()) fixture.lose(true);
+    if (fixture.has<Dispatch>()) fixture.breakExchange(true);
   }
   REQUIRE(fixture.observer.distrusted.size() == 1);
   CHECK(fixture.observer.distrusted.front() == "b1");
--- a/tests/unit/gateway/gateway_request_test.cc
+++ b/tests/unit/gateway/gateway_request_test.cc
@@ -18,9 +18,9 @@
   CHECK(fixture.only<Refuse>().status == 400);
   fixture.send("nowhere");
   CHECK(fixture.only<Refuse>().status == 404);
-  IncomingRequest stranger = GatewayFixture::request("order");
-  stranger.client->api_key = "other";
-  fixture.send(stranger);
+  IncomingRequest unknown_key = GatewayFixture::request("order");
+  unknown_key.client->api_key = "other";
+  fixture.send(unknown_key);
   CHECK(fixture.only<Refuse>().status == 401);
 }
 
@@ -88,7 +88,7 @@
   fixture.publish();
   fixture.send("order");
   CHECK_FALSE(fixture.has<Dispatch>());
-  fixture.pass(seconds(1));
+  fixture.advance(seconds(1));
   CHECK(fixture.only<Refuse>().status == 503);
 }
 
@@ -101,7 +101,7 @@
   }
   const ClientId waiting = fixture.send("order");
   CHECK(fixture.actions.empty());
-  fixture.pass(milliseconds(50));
+  fixture.advance(milliseconds(50));
   CHECK(fixture.actions.empty());
 
   SECTION("a place becomes free") {
@@ -110,7 +110,7 @@
     CHECK(fixture.only<Dispatch>().client == waiting);
   }
   SECTION("none does") {
-    fixture.pass(milliseconds(51));
+    fixture.advance(milliseconds(51));
     CHECK(fixture.only<Refuse>().client == waiting);
     CHECK(fixture.only<Refuse>().status == 503);
     CHECK(fixture.only<Refuse>().retry_after > Duration(0));
@@ -156,27 +156,27 @@
     table.onDispatch(1);
     table.onOutcome(1, 1001, DispatchOutcome::Full, now);
   };
-  const auto passedOver = [&] {
+  const auto timeUntilSelectable = [&] {
     const TimePoint refused_at = now;
     while (!table.hasRoom(backend, pool, 1, now)) now += milliseconds(10);
     return now - refused_at;
   };
   refuse();
-  CHECK(passedOver() == milliseconds(60));
+  CHECK(timeUntilSelectable() == milliseconds(60));
   refuse();
-  CHECK(passedOver() == milliseconds(120));
+  CHECK(timeUntilSelectable() == milliseconds(120));
   for (int count = 0; count < 6; ++count) {
     refuse();
-    passedOver();
+    timeUntilSelectable();
   }
   refuse();
-  CHECK(passedOver() == milliseconds(960));
+  CHECK(timeUntilSelectable() == milliseconds(960));
   // An answer shows that it takes requests again.
   table.onDispatch(1);
   table.onFirstByte(1, 1001, milliseconds(50), milliseconds(50), now);
   table.onOutcome(1, 1001, DispatchOutcome::Answered, now);
   refuse();
-  CHECK(passedOver() == milliseconds(60));
+  CHECK(timeUntilSelectable() == milliseconds(60));
 }
 
 TEST_CASE("a request that cannot begin before its deadline is refused at once", "[gateway]") {
@@ -195,11 +195,11 @@
   fixture.publish();
   const ClientId client = fixture.send("look");
   fixture.gateway.onClientGone(client, fixture.now);
-  fixture.take();
+  fixture.takeActions();
   CHECK(fixture.only<CancelExchange>().exchange == fixture.last.exchange);
   fixture.end();
   CHECK(fixture.actions.empty());
-  fixture.pass(seconds(10));
+  fixture.advance(seconds(10));
   CHECK(fixture.actions.empty());
 }
 
@@ -209,9 +209,9 @@
   fixture.publish();
   SECTION("it may have run") {
     fixture.send("order");
-    fixture.pass(milliseconds(999));
+    fixture.advance(milliseconds(999));
     CHECK(fixture.actions.empty());
-    fixture.pass(milliseconds(1));
+    fixture.advance(milliseconds(1));
     CHECK(fixture.has<CancelExchange>());
     CHECK(fixture.only<Refuse>().status == 504);
   }
@@ -220,7 +220,7 @@
     fixture.backends.clear();
     fixture.publish();
     fixture.send("order");
-    fixture.pass(seconds(1));
+    fixture.advance(seconds(1));
     CHECK(fixture.only<Refuse>().status == 503);
   }
   SECTION("its answer has begun") {
@@ -228,7 +228,7 @@
     fixture.publish();
     fixture.send("answer");
     fixture.head(200);
-    fixture.pass(seconds(1));
+    fixture.advance(seconds(1));
     CHECK(fixture.has<CancelExchange>());
     CHECK(fixture.has<AbortResponse>());
     CHECK_FALSE(fixture.has<Refuse>());
--- a/tests/unit/gateway/gateway_silent_connections_test.cc
+++ b/tests/unit/gateway/gateway_silent_connections_test.cc
@@ -11,11 +11,11 @@
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("look");
-  fixture.pass(milliseconds(100));
+  fixture.advance(milliseconds(100));
   fixture.gateway.onConnectionsSilent(fixture.now);
-  fixture.pass(milliseconds(250));
+  fixture.advance(milliseconds(250));
   CHECK_FALSE(fixture.has<Dispatch>());
-  fixture.pass(milliseconds(300));
+  fixture.advance(milliseconds(300));
   CHECK(fixture.only<CancelExchange>().unanswered);
   CHECK(fixture.has<Dispatch>());
   CHECK(fixture.observer.distrusted.empty());
@@ -27,17 +27,17 @@
   fixture.backends.erase(fixture.backends.begin());
   fixture.publish();
   fixture.send("look");
-  const Dispatch silenced = fixture.last;
-  fixture.pass(milliseconds(50));
+  const Dispatch first = fixture.last;
+  fixture.advance(milliseconds(50));
   fixture.gateway.onConnectionsSilent(fixture.now);
   bool moved = false;
   for (int request = 0; request < 8 && !moved; ++request) {
     fixture.send("look");
     fixture.head(200);
     fixture.end();
-    fixture.pass(milliseconds(100));
+    fixture.advance(milliseconds(100));
     for (const CancelExchange& cancel : fixture.all<CancelExchange>())
-      moved |= cancel.exchange == silenced.exchange;
+      moved |= cancel.exchange == first.exchange;
   }
   CHECK(moved);
 }
@@ -49,9 +49,9 @@
   fixture.head(200);
   fixture.bytes("id: 1\ndata: a\n\n");
   fixture.gateway.onConnectionsSilent(fixture.now);
-  fixture.pass(milliseconds(100));
+  fixture.advance(milliseconds(100));
   fixture.bytes("id: 2\ndata: b\n\n");
-  fixture.pass(milliseconds(1000));
+  fixture.advance(milliseconds(1000));
   CHECK_FALSE(fixture.has<CancelExchange>());
 }
 
@@ -60,9 +60,9 @@
   GatewayFixture fixture;
   fixture.publish();
   fixture.gateway.onConnectionsSilent(fixture.now);
-  fixture.pass(milliseconds(1));
+  fixture.advance(milliseconds(1));
   fixture.send("look");
-  fixture.pass(milliseconds(1000));
+  fixture.advance(milliseconds(1000));
   CHECK_FALSE(fixture.has<CancelExchange>());
 }
 
@@ -72,7 +72,7 @@
   fixture.publish();
   fixture.send("order");
   fixture.gateway.onConnectionsSilent(fixture.now);
-  fixture.pass(milliseconds(2000));
+  fixture.advance(milliseconds(2000));
   CHECK_FALSE(fixture.has<Dispatch>());
   CHECK_FALSE(fixture.has<Refuse>());
   // An answer that comes after all is passed on.
--- a/tests/unit/gateway/gateway_stream_test.cc
+++ b/tests/unit/gateway/gateway_stream_test.cc
@@ -17,7 +17,7 @@
     CHECK(fixture.has<EndResponse>());
   }
   SECTION("it breaks") {
-    fixture.lose(true);
+    fixture.breakExchange(true);
     CHECK(fixture.has<AbortResponse>());
     CHECK_FALSE(fixture.has<Dispatch>());
   }
@@ -33,7 +33,7 @@
   fixture.bytes("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda");
   CHECK(fixture.only<ForwardBytes>().bytes == "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
   SECTION("it breaks") {
-    fixture.lose(true);
+    fixture.breakExchange(true);
   }
   SECTION("it ends within an event") {
     fixture.end();
@@ -54,12 +54,12 @@
   fixture.send("review");
   fixture.head(200);
   fixture.bytes("id: 1\ndata: a\n\n");
-  fixture.lose(true);
+  fixture.breakExchange(true);
   SECTION("with an error of the back end") {
     fixture.head(500);
   }
   SECTION("by a break") {
-    fixture.lose(true);
+    fixture.breakExchange(true);
   }
   SECTION("as not run") {
     fixture.notRun();
--- a/tests/unit/gateway/silent_backend_test.cc
+++ b/tests/unit/gateway/silent_backend_test.cc
@@ -17,7 +17,7 @@
     if (backend.view.address == site.last.address) backend.silent_since = since;
   }
   site.publish();
-  site.take();
+  site.takeActions();
 }
 
 }  // namespace
@@ -66,7 +66,7 @@
   const std::string other = otherEngine(site);
   site.now += milliseconds(500);
   silenceLast(site, site.now - milliseconds(400));
-  site.pass(milliseconds(1));
+  site.advance(milliseconds(1));
   REQUIRE(site.has<Dispatch>());
   CHECK(site.only<Dispatch>().address == other);
   CHECK(site.observer.moved.back().cause == RequestCause::silence);
@@ -78,9 +78,9 @@
   site.send("review");
   site.now += milliseconds(100);
   silenceLast(site, site.now - milliseconds(100));
-  site.pass(milliseconds(150));
+  site.advance(milliseconds(150));
   CHECK_FALSE(site.has<Dispatch>());
-  site.pass(milliseconds(200));
+  site.advance(milliseconds(200));
   CHECK(site.has<Dispatch>());
 }
 
@@ -90,7 +90,7 @@
   site.send("answer");
   site.now += milliseconds(500);
   silenceLast(site, site.now - milliseconds(400));
-  site.pass(milliseconds(100));
+  site.advance(milliseconds(100));
   CHECK_FALSE(site.has<Dispatch>());
   CHECK_FALSE(site.has<Refuse>());
 }
@@ -104,7 +104,7 @@
   site.now += milliseconds(400);
   site.head(200);
   silenceLast(site, since);
-  site.pass(milliseconds(100));
+  site.advance(milliseconds(100));
   CHECK_FALSE(site.has<Dispatch>());
   site.bytes("id: 1\ndata: x\n\n");
   site.end();
