--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -7,16 +7,16 @@
 
 constexpr int kUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
-/// Share of the first-byte target that a request may wait for a place.
+/// A request that was not dispatched yet is queued for at most its first-byte target divided by this.
 constexpr int kQueueTimeDivisor = 4;
-/// Time that a request which was dispatched before may wait for a further back end.
+/// Maximum time that a request is queued for another back end after a dispatch.
 constexpr Duration kMaxRetryQueueTime = std::chrono::milliseconds(400);
-/// Pause after which a waiting request looks for a place again, besides when one becomes free.
+/// Interval at which a queued request retries placement, in addition to retries when capacity becomes free.
 constexpr Duration kQueueRetryInterval = std::chrono::milliseconds(30);
-/// Least time left with which a request is still sent.
+/// A request is not dispatched with less time left until its deadline.
 constexpr Duration kMinTimeLeft = std::chrono::milliseconds(20);
 constexpr std::uint32_t kLowestPriority = 9;
-/// Longest time that a request is held on a route that states none.
+/// Timeout of a route that configures none.
 constexpr Duration kDefaultRouteTimeout = std::chrono::seconds(60);
 constexpr Duration kMinRetryAfter = std::chrono::milliseconds(100);
 constexpr Duration kMaxRetryAfter = std::chrono::seconds(1);
@@ -43,7 +43,8 @@
   serveQueue(now);
 }
 
-/// Requests at a back end that has fallen silent look soon whether they are to go elsewhere.
+/// Schedules the silence check of requests at unresponsive back ends earlier, so that they are retried
+/// elsewhere soon.
 void Gateway::recheckUnresponsiveBackends(TimePoint now) {
   const auto is_silent = [this](const Backend& backend) { return table_.isSilent(backend); };
   if (std::none_of(snapshot_->backends.begin(), snapshot_->backends.end(), is_silent)) return;
@@ -66,7 +67,7 @@
   return budgets_.try_emplace(pool, settings_.retry_budget).first->second;
 }
 
-// A new request.
+// New requests.
 
 void Gateway::onRequest(ClientId client, IncomingRequest request, TimePoint now) {
   ++counters_.requests;
@@ -122,7 +123,8 @@
   return request;
 }
 
-/// Looks in the pool whose turn it was, then in the others of the route.
+/// Chooses from the pool selected by the route's shares. If no back end of it is eligible, tries the other
+/// pools of the route.
 Choice Gateway::choose(Entry& entry, TimePoint now) {
   Choice choice = choice_.choose(choiceRequest(entry, *entry.pool), *snapshot_, table_, now);
   if (choice.backend != nullptr || choice.lacks_room) return choice;
@@ -176,8 +178,8 @@
     const Pool* pool = entry->pool;
     place(*entry, now);
     entry = findClient(client);
-    const bool for_room = entry != nullptr && entry->cause != RequestCause::runs_already;
-    if (for_room && entry->waiting) full.push_back(pool);
+    const bool lacks_capacity = entry != nullptr && entry->cause != RequestCause::runs_already;
+    if (lacks_capacity && entry->waiting) full.push_back(pool);
   }
 }
 
@@ -223,9 +225,9 @@
   entry.active = std::move(active);
 }
 
-// Ends.
+// End of requests.
 
-/// Answers as not run, with a time to come back.
+/// Responds that the request was not run, with the time after which the client may retry.
 void Gateway::refuse(Entry& entry, TimePoint now) {
   ++counters_.refused;
   const Duration retry_after = retryAfter(entry, now);
@@ -233,7 +235,7 @@
   reportEnded(entry, RequestOutcome::refused, kUnavailable, retry_after, now);
 }
 
-/// Refuses a request that may not be served at all.
+/// Refuses a request that failed the checks on arrival.
 void Gateway::refuseInadmissible(ClientId client, const IncomingRequest& request,
                                  const CheckedRequest& checked, TimePoint now) {
   ++counters_.refused;
@@ -256,8 +258,8 @@
   giveUp(entry, now);
 }
 
-/// Spread, so that those refused together do not come back together. One that is not run for a known time is
-/// told so.
+/// Random around half of the first-byte target, so that clients refused at the same time do not retry at the
+/// same time. For a quarantined request, the time left of the quarantine.
 Duration Gateway::retryAfter(const Entry& entry, TimePoint now) {
   if (entry.cause == RequestCause::quarantined) return entry.quarantined_until - now;
   const Duration base = entry.route->first_byte_target / 2;
@@ -268,7 +270,7 @@
 void Gateway::finish(Entry& entry) {
   if (entry.waiting) queue_.erase({entry.priority, entry.id});
   timers_.erase({entry.timer_at, entry.id});
-  const ClientId id = entry.id;  // The entry is gone after the next line.
+  const ClientId id = entry.id;  // erase() destroys the entry.
   entries_.erase(id);
 }
 
@@ -284,7 +286,7 @@
   serveQueue(now);
 }
 
-/// Neither the client nor the route waits any longer.
+/// The deadline of the request has passed.
 void Gateway::expire(Entry& entry, TimePoint now) {
   if (entry.active.exchange != 0) {
     entry.may_have_run = true;
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,7 +1,7 @@
 #pragma once
-/// @file The decisions of a gateway over the life of client requests: checks, placement, dispatch, answers,
-/// failure. Pure decision code: it takes (event, now) and returns actions. One instance per traffic thread;
-/// not thread-safe.
+/// @file The decisions of a gateway over the lifetime of client requests: checks, placement, dispatch,
+/// responses, failures. Pure decision code without I/O: it takes (event, now) and returns actions. One
+/// instance per traffic thread; not thread-safe.
 
 #include <absl/container/flat_hash_map.h>
 
@@ -29,79 +29,80 @@
 
 namespace crankspur::gateway {
 
-/// Counts since the start.
+/// Counts since the process started.
 struct GatewayCounters {
-  std::uint64_t requests = 0;    ///< Read from clients.
+  std::uint64_t requests = 0;    ///< Received from clients.
   std::uint64_t dispatches = 0;  ///< Sent to back ends.
-  std::uint64_t repeats = 0;     ///< Of these, beyond the first of a request.
-  std::uint64_t refused = 0;     ///< Answered as not run.
-  std::uint64_t failed = 0;      ///< Answered by the gateway as possibly run, or cut.
-  std::uint64_t abandoned = 0;   ///< Clients that left before the end.
+  std::uint64_t repeats = 0;     ///< Dispatches beyond the first of a request.
+  std::uint64_t refused = 0;     ///< Answered by the gateway as not run.
+  std::uint64_t failed = 0;      ///< Answered by the gateway as possibly run, or aborted.
+  std::uint64_t abandoned = 0;   ///< Clients that disconnected before the end.
 };
 
-/// See the file comment. Events change the state and add to the actions that takeActions() hands out.
+/// See the file comment. Events change the state and append to the actions that takeActions() returns.
 class Gateway {
 public:
-  /// @param observer hears of each decision; it must outlive the gateway.
+  /// @param observer is notified of each decision; it must outlive the gateway.
   Gateway(const GatewaySettings& settings, std::uint64_t random_seed,
           RequestObserver& observer = noopObserver());
-  Gateway(const Gateway&) = delete;  // Its parts share its random source.
+  Gateway(const Gateway&) = delete;  // Members hold references to random_.
   Gateway& operator=(const Gateway&) = delete;
 
   void onSnapshot(std::shared_ptr<const GatewaySnapshot> snapshot, TimePoint now);
   void onCachedParts(const CachedPartsNews& news, TimePoint now) { choice_.onCachedParts(news, now); }
 
-  /// Another gateway told what it has at each engine.
-  void onPeerWork(const std::string& teller, const LoadDigest& digest, TimePoint now) {
-    choice_.onPeerWork(teller, digest, now);
+  /// Another gateway reported the requests that it has at each engine.
+  void onPeerWork(const std::string& sender, const LoadDigest& digest, TimePoint now) {
+    choice_.onPeerWork(sender, digest, now);
   }
-  /// @return what this gateway has at each engine, for the others.
+  /// @return the requests that this gateway has at each engine, to send to the other gateways.
   LoadDigest ownWork() const { return choice_.ownWork(); }
-  /// Another gateway told which back ends ended under which requests.
-  void onCrashUpdate(const CrashUpdate& news, TimePoint now) { suspects_.merge(news, now); }
-  /// @return what this gateway learnt of such requests since the last call, for the others.
+  /// Another gateway reported which back ends crashed while they ran which requests.
+  void onCrashUpdate(const CrashUpdate& update, TimePoint now) { suspects_.merge(update, now); }
+  /// @return what this gateway observed of such requests since the last call, to send to the other gateways.
   CrashUpdate takeCrashUpdate() { return suspects_.takeUpdate(); }
   bool hasCrashUpdate() const { return suspects_.hasUpdate(); }
-  /// @return the other gateways that place requests too.
+  /// @return the number of other gateways that place requests.
   std::uint32_t peerCount() const { return snapshot_ == nullptr ? 0 : snapshot_->peer_count; }
 
   void onRequest(ClientId client, IncomingRequest request, TimePoint now);
-  /// The driver answered a request itself that could not be read whole, or had no connection left for it.
-  /// @param request_id as far as it was read; may be empty.
-  /// @param status that the client got.
+  /// The driver answered a request itself: it could not read it completely, or was at its connection limit.
+  /// @param request_id empty if it was not read.
+  /// @param status of the response that the driver sent to the client.
   void onUnreadableRequest(const std::string& request_id, int status, TimePoint now);
   void onClientGone(ClientId client, TimePoint now);
 
-  /// The head of an answer came. Until ForwardHead the driver keeps what comes of the body.
+  /// The head of a response was received. The driver buffers the body until ForwardHead.
   void onHead(ExchangeId exchange, int status, const BackendAnswer& answer, TimePoint now);
-  /// Bytes came of an answer for which streamsBody() holds.
+  /// Body bytes were received of a response for which streamsBody() is true.
   void onBytes(ExchangeId exchange, std::string_view bytes, TimePoint now);
-  /// @return whether the driver gives the body's bytes to onBytes(); otherwise it keeps them.
+  /// @return whether the driver passes body bytes to onBytes(); otherwise it buffers them.
   bool streamsBody(ExchangeId exchange) const;
-  /// The body has become larger than the driver keeps.
+  /// The body exceeds the driver's buffer limit.
   void onBodyBufferFull(ExchangeId exchange, TimePoint now);
-  /// The answer is complete.
+  /// The response is complete.
   void onEnd(ExchangeId exchange, TimePoint now);
-  /// The exchange broke.
-  /// @param sent whether the back end may have got any byte of the request.
+  /// The exchange failed: no connection could be made, or it broke.
+  /// @param sent whether the back end may have received any byte of the request.
   void onLost(ExchangeId exchange, bool sent, TimePoint now);
 
-  /// @param answered whether the back end answered, whatever it said.
+  /// @param answered whether the back end responded, with any status.
   void onProbeResult(std::uint64_t probe, bool answered, TimePoint now);
 
-  /// Open connections to several peers have gone silent for good, while new ones may work. Requests under way
-  /// that may be repeated move once they have heard nothing for a while after this.
+  /// Open connections to several peers have gone silent permanently, while new ones may work. Repeatable
+  /// requests in progress are retried on another back end if nothing is received for them for some time after
+  /// this.
   void onConnectionsSilent(TimePoint now);
 
   void onTimer(TimePoint now);
-  /// @return when onTimer() has work; empty: not until another event.
+  /// @return when onTimer() is due next; empty: no timer is set.
   std::optional<TimePoint> nextTimer() const;
-  /// @return actions since the last call.
+  /// @return the actions since the last call, in the order in which they are to be executed.
   std::vector<GatewayAction> takeActions() { return std::exchange(actions_, {}); }
   const GatewayCounters& counters() const { return counters_; }
 
 private:
-  /// The exchange that a request has under way; exchange 0: none.
+  /// The exchange in progress of a request; exchange 0: none.
   struct ActiveExchange {
     ExchangeId exchange = 0;
     EngineSlot slot = 0;
@@ -111,10 +112,11 @@
     Duration expected{0};
     DispatchedPrompt prompt;
     bool first_byte = false;
-    bool streams_body = false;  ///< Bytes go on as they come.
-    bool error_answer = false;
-    int status = 0;  ///< Of the answer; 0: none came yet.
+    bool streams_body = false;  ///< Body bytes are forwarded as they are received.
+    bool server_error = false;  ///< The response has a 5xx status.
+    int status = 0;             ///< Of the response; 0: none received yet.
   };
+  /// A client request in progress.
   struct Entry {
     ClientId id = 0;
     ClientRequest client;
@@ -126,23 +128,23 @@
     std::string isolated_tenant;
     std::uint32_t priority = 0;
     TimePoint arrived_at{};
-    TimePoint deadline{};      ///< When the client or the route waits no longer.
-    TimePoint queued_until{};  ///< Set while it waits for a place.
-    TimePoint timer_at = TimePoint::max();
-    std::vector<EngineSlot> failed;      ///< Back ends that failed it.
-    bool isolated = false;               ///< Back ends may have ended because of it.
-    TimePoint quarantined_until{};       ///< Set once it is given up for that.
-    std::uint32_t backends_reached = 0;  ///< Back ends that it reached.
+    TimePoint deadline{};                   ///< The earlier of the client's and the route's.
+    TimePoint queued_until{};               ///< Valid while waiting.
+    TimePoint timer_at = TimePoint::max();  ///< Its key in timers_; max: none.
+    std::vector<EngineSlot> failed;         ///< Back ends that failed the request.
+    bool isolated = false;                  ///< Back ends may have crashed because of it.
+    TimePoint quarantined_until{};          ///< Set when it is refused because of a quarantine.
+    std::uint32_t backends_reached = 0;     ///< Limited by the route's maximum_attempts.
     std::uint32_t dispatches = 0;
-    bool waiting = false;
+    bool waiting = false;  ///< Queued for a back end with capacity.
     bool may_have_run = false;
-    bool may_have_arrived = false;  ///< Some back end may have got it: a further dispatch is a repeat.
+    bool may_have_arrived = false;  ///< At a back end: a further dispatch is a repeat.
     bool head_forwarded = false;
     std::optional<StreamCursor> cursor;  ///< Of a resumable stream.
     ActiveExchange active;
-    std::string last_backend;                 ///< Id of the one that it was sent to last.
-    RequestCause cause = RequestCause::none;  ///< Of the last thing that went wrong.
-    std::optional<TimePoint> first_byte_at;   ///< Set once a back end's answer began.
+    std::string last_backend;                 ///< Id of the back end that it was sent to last.
+    RequestCause cause = RequestCause::none;  ///< Of the last failure, wait or refusal.
+    std::optional<TimePoint> first_byte_at;   ///< When the first response byte was received.
   };
 
   // Requests and the queue (gateway.cc).
@@ -166,17 +168,17 @@
   Entry* findClient(ClientId client);
   RepeatBudget& budgetOf(const std::string& pool);
 
-  // Requests that end back ends (gateway_suspects.cc).
+  // Requests that may crash back ends (gateway_suspects.cc).
   bool checkQuarantine(Entry& entry, TimePoint now);
   bool hasConcurrentAttempt(const Entry& entry);
   std::vector<EngineSlot> slotsOfIsolatedRequests();
   void recordCrash(const Entry& entry, const ActiveExchange& active, TimePoint now);
-  void probe(const Entry& entry, const ActiveExchange& active, TimePoint now);
+  void sendProbe(const Entry& entry, const ActiveExchange& active, TimePoint now);
   bool isProbing(const RequestFingerprint& request, TimePoint now) const;
   void recordSignOfLife(const Entry& entry, TimePoint now);
   void recordCompleteResponse(const Entry& entry, TimePoint now);
 
-  // Records for the observer (gateway_records.cc).
+  // Reports to the observer (gateway_records.cc).
   void reportAdmitted(const Entry& entry, TimePoint now);
   void reportPlaced(const Entry& entry, const Choice& choice, TimePoint now);
   void reportWaiting(const Entry& entry, TimePoint now);
@@ -185,7 +187,7 @@
   void reportEnded(const Entry& entry, RequestOutcome outcome, int status, Duration retry_after,
                    TimePoint now);
 
-  // Answers and failures (gateway_answers.cc).
+  // Responses and failures (gateway_answers.cc).
   Entry* findExchange(ExchangeId exchange);
   const Entry* findExchange(ExchangeId exchange) const;
   void onNotRun(Entry& entry, int status, const BackendAnswer& answer, TimePoint now);
@@ -216,10 +218,10 @@
   RouteShares shares_;
   WeightsClock weights_;
   CrashSuspects suspects_;
-  /// A question to a back end that broke off.
+  /// A health request to a back end whose connection broke.
   struct Probe {
-    std::vector<RequestFingerprint> requests;  ///< That it had.
-    std::string request_id;                    ///< Of one of them.
+    std::vector<RequestFingerprint> requests;  ///< That ran at the back end when the connection broke.
+    std::string request_id;                    ///< Of the first of them.
     std::string backend;
     std::uint64_t incarnation = 0;
     TimePoint sent_at{};
@@ -230,11 +232,11 @@
   absl::flat_hash_map<ClientId, std::unique_ptr<Entry>> entries_;
   absl::flat_hash_map<ExchangeId, ClientId> exchanges_;
   std::set<std::pair<TimePoint, ClientId>> timers_;
-  std::set<std::pair<std::uint32_t, ClientId>> queue_;  ///< Those that wait, the most urgent first.
+  std::set<std::pair<std::uint32_t, ClientId>> queue_;  ///< Waiting requests, most urgent first.
   ExchangeId next_exchange_ = 1;
   std::vector<GatewayAction> actions_;
   GatewayCounters counters_;
-  TimePoint connections_silent_at_{};  ///< When that was noticed last.
+  TimePoint connections_silent_at_{};  ///< Time of the last onConnectionsSilent().
 };
 
 }  // namespace crankspur::gateway
--- a/src/gateway/gateway_actions.h
+++ b/src/gateway/gateway_actions.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file What a Gateway decides. The traffic thread carries the actions out in their order.
+/// @file Actions that a Gateway decides. The traffic thread executes them in order.
 
 #include <cstdint>
 #include <optional>
@@ -12,16 +12,16 @@
 
 namespace crankspur::gateway {
 
-/// Names one client request; chosen by the driver, never used again.
+/// Identifies a client request; assigned by the driver, never reused.
 using ClientId = std::uint64_t;
-/// Names one request to a back end; chosen by Gateway, never used again.
+/// Identifies a request to a back end; assigned by Gateway, never reused.
 using ExchangeId = std::uint64_t;
 
-/// Answers with a status of the gateway's own. No answer was begun before.
+/// Responds with a status of the gateway's own. No response was started before.
 struct Refuse {
   ClientId client = 0;
   int status = 503;
-  Duration retry_after{0};  ///< 0: none is stated.
+  Duration retry_after{0};  ///< 0: the response states none.
   RequestCause cause = RequestCause::none;
 };
 
@@ -33,62 +33,62 @@
   ForwardTerms terms;
 };
 
-/// Closes the connection of an exchange; nothing of it is heard any more.
+/// Closes the connection of an exchange; the driver reports no further events of it.
 struct CancelExchange {
   ExchangeId exchange = 0;
-  bool unanswered = false;  ///< No answer came in the time for it: the connection may have gone silent.
+  bool unanswered = false;  ///< No response within the time limit: the connection may have gone silent.
 };
 
-/// Nothing more of the exchange is wanted, but its answer is short: the connection may be used again after
-/// it.
+/// Ignores the rest of the response. It is short, so that the connection may be reused instead of closed.
 struct DiscardResponse {
   ExchangeId exchange = 0;
 };
 
-/// Passes the whole answer on: the head and the body kept until now.
+/// Forwards a complete response: the head and the buffered body.
 struct ForwardResponse {
   ClientId client = 0;
   ExchangeId exchange = 0;
 };
 
-/// Begins the answer with the head of an exchange, and what of its body was kept until now.
+/// Starts the response with the head of an exchange and the part of its body buffered so far.
 struct ForwardHead {
   ClientId client = 0;
   ExchangeId exchange = 0;
 };
 
-/// Passes bytes of the body on.
+/// Forwards body bytes.
 struct ForwardBytes {
   ClientId client = 0;
   std::string bytes;
 };
 
-/// Ends an answer that was begun, as complete.
+/// Completes a response that was started.
 struct EndResponse {
   ClientId client = 0;
 };
 
-/// Cuts an answer that was begun, so that it looks incomplete.
+/// Aborts a response that was started, so that the client sees it as incomplete.
 struct AbortResponse {
   ClientId client = 0;
 };
 
-/// Tells the control side that a back end cannot be reached.
+/// Reports to the control thread that a back end cannot be reached.
 struct ReportUnreachable {
   EngineSlot slot = 0;
   std::uint64_t incarnation = 0;
 };
 
-/// Tells the control side that a back end is not what it was taken for.
+/// Reports to the control thread that a back end has another incarnation or other weights than assumed.
 struct ReportWrongBackend {
   EngineSlot slot = 0;
   std::uint64_t incarnation = 0;
-  std::optional<std::uint64_t> weights_version;
+  std::optional<std::uint64_t> weights_version;  ///< That it has; empty: another incarnation responded.
 };
 
-/// Asks a back end that broke off for its health; answered by Gateway::onProbeResult().
+/// Requests the health path of a back end whose connection broke; the result goes to
+/// Gateway::onProbeResult().
 struct ProbeBackend {
-  std::uint64_t probe = 0;  ///< Chosen by Gateway, never used again.
+  std::uint64_t probe = 0;  ///< Assigned by Gateway, never reused.
   std::string address;
   std::string path;
 };
--- a/src/gateway/gateway_answers.cc
+++ b/src/gateway/gateway_answers.cc
@@ -1,4 +1,4 @@
-/// @file What a gateway does with the answers of back ends, and when they fail.
+/// @file Member functions of Gateway that handle the responses and failures of back ends.
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 constexpr int kTooManyRequests = 429;
 constexpr int kBadGateway = 502;
 constexpr int kUnavailable = 503;
-/// Dispatches of one request, those that reached nobody included.
+/// Limit of dispatches of one request, including those that reached no back end.
 constexpr std::uint32_t kMaxDispatches = 6;
 
 bool isSuccess(int status) {
@@ -23,7 +23,7 @@
   return status / 100 == 5;
 }
 
-/// @return whether clients take the status as a promise that nothing ran.
+/// @return whether clients take the status to mean that the request was not run.
 bool impliesNotRun(int status) {
   return status == kRequestTimeout || status == kMisdirected || status == kTooManyRequests ||
          status == kUnavailable;
@@ -47,7 +47,7 @@
   return entry != nullptr && entry->active.streams_body;
 }
 
-// Answers.
+// Responses.
 
 void Gateway::onHead(ExchangeId exchange, int status, const BackendAnswer& answer, TimePoint now) {
   Entry* entry = findExchange(exchange);
@@ -56,9 +56,10 @@
   active.last_received_at = now;
   active.status = status;
   table_.onHeard(active.slot, now);
-  // A start of the back end that refuses what is meant for another says nothing of the one before it.
-  const bool is_other_start = answer.wrong_backend && !answer.weights_version;
-  if (!is_other_start) recordSignOfLife(*entry, now);
+  // A refusal as misdirected may come from a later incarnation of the back end. It does not show that the
+  // incarnation to which the request was sent is live.
+  const bool is_other_incarnation = answer.wrong_backend && !answer.weights_version;
+  if (!is_other_incarnation) recordSignOfLife(*entry, now);
   if (answer.not_run || answer.wrong_backend) return onNotRun(*entry, status, answer, now);
   if (answer.weights_version) {
     choice_.onWeights(active.slot, active.incarnation, entry->client.model, *answer.weights_version);
@@ -91,8 +92,8 @@
   recordSignOfLife(*entry, now);
   if (!entry->active.streams_body) return;
   recordFirstByte(*entry, now);
-  std::string passed = entry->cursor ? entry->cursor->feed(bytes) : std::string(bytes);
-  if (!passed.empty()) actions_.emplace_back(ForwardBytes{entry->id, std::move(passed)});
+  std::string forwarded = entry->cursor ? entry->cursor->feed(bytes) : std::string(bytes);
+  if (!forwarded.empty()) actions_.emplace_back(ForwardBytes{entry->id, std::move(forwarded)});
 }
 
 void Gateway::onEnd(ExchangeId exchange, TimePoint now) {
@@ -100,13 +101,13 @@
   if (entry == nullptr) return;
   if (entry->cursor && entry->cursor->insideEvent()) return onLost(exchange, true, now);
   recordCompleteResponse(*entry, now);
-  const bool error = entry->active.error_answer;
-  const bool begun = entry->head_forwarded;
+  const bool error = entry->active.server_error;
+  const bool started = entry->head_forwarded;
   const int status = entry->active.status;
   const RequestOutcome outcome = isSuccess(status) ? RequestOutcome::answered : RequestOutcome::error_passed;
   reportEnded(*entry, outcome, status, Duration(0), now);
   endExchange(*entry, error ? DispatchOutcome::ErrorAnswer : DispatchOutcome::Answered, now);
-  if (begun) {
+  if (started) {
     actions_.emplace_back(EndResponse{entry->id});
   } else {
     actions_.emplace_back(ForwardResponse{entry->id, exchange});
@@ -137,8 +138,9 @@
   retryOrGiveUp(entry, active, status, now);
 }
 
-/// The back end is not what the snapshot says. A new attempt that counts with what it really is does not
-/// count as one at a further back end.
+/// The back end has another incarnation or other weights than the snapshot states, and refused the request.
+/// The dispatch does not count towards the route's maximum of back ends, so that an attempt with the actual
+/// state remains possible.
 void Gateway::onWrongBackend(Entry& entry, int status, const BackendAnswer& answer, TimePoint now) {
   const ActiveExchange active = entry.active;
   const Backend* backend = snapshot_->backend(active.slot);
@@ -149,16 +151,16 @@
   if (other_weights) {
     choice_.onWeights(active.slot, active.incarnation, entry.client.model, *answer.weights_version);
   }
-  const bool same = backend != nullptr && backend->view.incarnation == active.incarnation;
-  if (!other_weights && same) entry.failed.push_back(active.slot);
+  const bool still_listed = backend != nullptr && backend->view.incarnation == active.incarnation;
+  if (!other_weights && still_listed) entry.failed.push_back(active.slot);
   discardResponse(entry, other_weights ? DispatchOutcome::Ended : DispatchOutcome::ConnectFailed, now);
   retryOrGiveUp(entry, active, status, now);
 }
 
-/// The back end answered that it failed.
+/// The back end responded with an error status.
 void Gateway::onErrorResponse(Entry& entry, int status, TimePoint now) {
   const ActiveExchange active = entry.active;
-  entry.active.error_answer = isServerError(status);
+  entry.active.server_error = isServerError(status);
   entry.may_have_arrived = true;
   entry.cause = RequestCause::error_answer;
   entry.failed.push_back(entry.active.slot);
@@ -167,15 +169,15 @@
     discardResponse(entry, DispatchOutcome::ErrorAnswer, now);
     return retryElsewhere(entry, active, status, now);
   }
-  const bool once = entry.route->repeatability == Repeatability::AtMostOnce;
-  const bool passes = !entry.head_forwarded && !(once && impliesNotRun(status));
-  if (passes) return;  // Whole, once it is here.
+  const bool at_most_once = entry.route->repeatability == Repeatability::AtMostOnce;
+  const bool forwards = !entry.head_forwarded && !(at_most_once && impliesNotRun(status));
+  if (forwards) return;  // onEnd() forwards the complete response.
   discardResponse(entry, DispatchOutcome::ErrorAnswer, now);
   reportMoved(entry, active, status, false, now);
   giveUp(entry, now);
 }
 
-/// Bytes that are no answer of the back end's own.
+/// The response lacks the marks that the back end itself sets.
 void Gateway::onInvalidResponse(Entry& entry, int status, TimePoint now) {
   const ActiveExchange active = entry.active;
   entry.may_have_arrived = true;
@@ -213,24 +215,25 @@
   }
 }
 
-/// @return whether the request runs on a connection of before the last silence and has heard nothing since.
-/// What the back end tells others says nothing of that connection.
+/// @return whether the request was sent before the last onConnectionsSilent() and nothing was received for it
+/// since. What the back end sends on other connections says nothing of this one.
 bool Gateway::mayBeOnSilentConnection(const ActiveExchange& active) const {
   return active.sent_at < connections_silent_at_ && active.last_received_at <= connections_silent_at_;
 }
 
-/// @return when the request counts as left alone by its back end, if nothing more is heard. Where its
-/// connection may have gone silent it takes a fifth of the usual time: beyond the time in which the first
-/// byte was expected, since some connections may be sound and their back ends still read a prompt.
+/// @return when the back end counts as unresponsive to the request, if nothing more is received. If the
+/// connection may have gone silent, the limit is a fifth of the usual one, counted from the time at which the
+/// first byte was expected if none was received: some connections may still work, with back ends that are
+/// reading a prompt.
 TimePoint Gateway::silenceDeadline(const ActiveExchange& active, TimePoint now) const {
-  const TimePoint heard = std::max(active.last_received_at, active.sent_at);
+  const TimePoint last_received = std::max(active.last_received_at, active.sent_at);
   if (!mayBeOnSilentConnection(active))
-    return std::max(heard, table_.heardAt(active.slot)) + silenceLimit(active, now);
-  const TimePoint expected = active.first_byte ? heard : active.sent_at + active.expected;
+    return std::max(last_received, table_.heardAt(active.slot)) + silenceLimit(active, now);
+  const TimePoint expected = active.first_byte ? last_received : active.sent_at + active.expected;
   return std::max(connections_silent_at_, expected) + settings_.silence_limit_of_silent;
 }
 
-/// @return how long the back end may be silent towards the request.
+/// @return how long the back end may send nothing for the request before it counts as unresponsive.
 Duration Gateway::silenceLimit(const ActiveExchange& active, TimePoint now) const {
   const Backend* backend = snapshot_->backend(active.slot);
   const bool same_incarnation = backend != nullptr && backend->view.incarnation == active.incarnation;
@@ -241,25 +244,27 @@
   return std::max(settings_.silence_limit, Duration(static_cast<std::int64_t>(expected * 1e6)));
 }
 
-/// Nothing at all has come from the back end for a while: those that may be repeated go elsewhere.
+/// Retries a request elsewhere if nothing was received from the back end up to the silence deadline and the
+/// request may be repeated.
 void Gateway::checkSilence(Entry& entry, TimePoint now) {
   const ActiveExchange active = entry.active;
   const TimePoint due = silenceDeadline(active, now);
-  const bool elsewhere = snapshot_->backends.size() > 1;
+  const bool has_alternative = snapshot_->backends.size() > 1;
   if (now < due) return scheduleTimer(entry, std::min(entry.deadline, due));
   entry.may_have_arrived = true;
   entry.may_have_run = true;
-  if (!elsewhere || !mayRepeat(entry) || !consumeRepeatBudget(entry, now))
+  if (!has_alternative || !mayRepeat(entry) || !consumeRepeatBudget(entry, now))
     return scheduleTimer(entry, entry.deadline);
   entry.cause = RequestCause::silence;
-  // A connection that went silent says nothing of its back end, which may hold the prompt by now.
-  const bool cut = mayBeOnSilentConnection(active);
-  if (!cut) entry.failed.push_back(active.slot);
-  cancelExchange(entry, cut ? DispatchOutcome::Ended : DispatchOutcome::Failed, now, true);
+  // A silent connection says nothing of the back end, which may have the prompt in its cache: it stays
+  // eligible.
+  const bool silent_connection = mayBeOnSilentConnection(active);
+  if (!silent_connection) entry.failed.push_back(active.slot);
+  cancelExchange(entry, silent_connection ? DispatchOutcome::Ended : DispatchOutcome::Failed, now, true);
   retryElsewhere(entry, active, active.status, now);
 }
 
-// Going on.
+// Retries and final responses.
 
 void Gateway::endExchange(Entry& entry, DispatchOutcome outcome, TimePoint now) {
   const ActiveExchange active = std::exchange(entry.active, ActiveExchange());
@@ -289,7 +294,8 @@
   return entry.backends_reached < entry.route->maximum_attempts && entry.dispatches < kMaxDispatches;
 }
 
-/// A repeat is paid for out of the budget, unless no back end got the request.
+/// Takes a repeat from the retry budget, unless no back end can have received the request.
+/// @return whether the request may be repeated; false if the budget is exhausted.
 bool Gateway::consumeRepeatBudget(Entry& entry, TimePoint now) {
   if (!entry.may_have_arrived) return true;
   return budgetOf(entry.pool->name).tryRepeat(snapshot_->share_divisor, now);
@@ -307,7 +313,7 @@
   place(entry, now);
 }
 
-/// The final answer, at once. Only a request that has not run is refused as such.
+/// Ends the request without a back end's response. Only a request that cannot have run is refused as not run.
 void Gateway::giveUp(Entry& entry, TimePoint now) {
   cancelExchange(entry, DispatchOutcome::Ended, now);
   if (entry.head_forwarded) {
--- a/src/gateway/gateway_records.cc
+++ b/src/gateway/gateway_records.cc
@@ -1,4 +1,4 @@
-/// @file The records of its decisions that a gateway tells its observer.
+/// @file Member functions of Gateway that report its decisions to the observer.
 
 #include "gateway/gateway.h"
 
@@ -13,7 +13,7 @@
   return route == nullptr ? std::string_view() : std::string_view(route->name);
 }
 
-/// @return why a driver answers with the status what it could not read.
+/// @return why the driver responds with the status to a request that it could not read.
 RequestCause causeOfUnreadable(int status) {
   switch (status) {
     case 408:
@@ -125,8 +125,8 @@
   record.tenant = entry.tenant;
   record.backend = entry.last_backend;
   record.outcome = outcome;
-  const bool whole = outcome == RequestOutcome::answered;
-  record.cause = whole ? RequestCause::none : entry.cause;
+  const bool answered = outcome == RequestOutcome::answered;
+  record.cause = answered ? RequestCause::none : entry.cause;
   record.status = status;
   record.may_have_run = entry.may_have_run;
   record.dispatches = entry.dispatches;
--- a/src/gateway/gateway_suspects.cc
+++ b/src/gateway/gateway_suspects.cc
@@ -1,4 +1,4 @@
-/// @file What a gateway does about requests that may crash the back ends which run them.
+/// @file Member functions of Gateway that handle requests which may crash the back ends that run them.
 
 #include <algorithm>
 
@@ -7,15 +7,16 @@
 namespace crankspur::gateway {
 namespace {
 
-/// A probe that is not answered in this time is given up: a back end that lives answers in some milliseconds,
-/// and one that crashed may be back later.
+/// A live back end responds to a probe within milliseconds. A later response may come from a back end that
+/// crashed and has restarted, so the probe is abandoned.
 constexpr Duration kProbeTimeout = std::chrono::milliseconds(300);
 
 }  // namespace
 
-/// A request that has crashed back ends one after the other is not run; one that may have is run where the
-/// least is lost, and not by two attempts at once: both would crash a back end before either crash is known.
-/// @return whether the request may be sent to a back end now; otherwise it waits or has been given up.
+/// A request that crashed back ends one after the other is not run. One that may have crashed some is run
+/// where the fewest other requests are at risk, and never by two attempts at once: both could crash a back
+/// end before either crash is known.
+/// @return whether the request may be sent to a back end now; otherwise it is queued or was refused.
 bool Gateway::checkQuarantine(Entry& entry, TimePoint now) {
   const CrashVerdict verdict = suspects_.judge(entry.fingerprint, now);
   entry.isolated = verdict.suspicion != Suspicion::none;
@@ -35,7 +36,7 @@
   return false;
 }
 
-/// @return whether another attempt of the same request is at a back end.
+/// @return whether another client request with the same fingerprint is at a back end.
 bool Gateway::hasConcurrentAttempt(const Entry& entry) {
   return std::any_of(exchanges_.begin(), exchanges_.end(), [&](const auto& exchange) {
     const Entry* other = findClient(exchange.second);
@@ -43,7 +44,8 @@
   });
 }
 
-/// @return back ends that run an isolated request: two of them at one place would be blamed for each other.
+/// @return back ends that run an isolated request. Two of these at one back end would both be suspected of a
+/// crash that one of them caused.
 std::vector<EngineSlot> Gateway::slotsOfIsolatedRequests() {
   std::vector<EngineSlot> slots;
   for (const auto& [exchange, client] : exchanges_) {
@@ -53,7 +55,8 @@
   return slots;
 }
 
-/// A back end broke off. One that leaves as planned ends its last answers so.
+/// The connection to a back end broke, which may mean that it crashed. A back end that leaves as planned also
+/// breaks the connections of its last responses; these are not counted as crashes.
 void Gateway::recordCrash(const Entry& entry, const ActiveExchange& active, TimePoint now) {
   const Backend* backend = snapshot_->backend(active.slot);
   const bool same_incarnation = backend != nullptr && backend->view.incarnation == active.incarnation;
@@ -70,12 +73,12 @@
   record.suspicion = verdict.suspicion;
   if (verdict.suspicion == Suspicion::quarantined) record.quarantine = verdict.quarantined_until - now;
   observer_.onSuspected(record);
-  probe(entry, active, now);
+  sendProbe(entry, active, now);
 }
 
-/// A connection also breaks where the back end goes on. One question is sent_probe for all requests that it
-/// had.
-void Gateway::probe(const Entry& entry, const ActiveExchange& active, TimePoint now) {
+/// A connection may also break although the back end is live, so its health is probed. All requests that it
+/// ran share one probe.
+void Gateway::sendProbe(const Entry& entry, const ActiveExchange& active, TimePoint now) {
   for (auto& [id, sent_probe] : probes_) {
     if (sent_probe.incarnation != active.incarnation || now >= sent_probe.sent_at + kProbeTimeout) continue;
     sent_probe.requests.push_back(entry.fingerprint);
--- a/tests/unit/gateway/crash_suspects_gateway_test.cc
+++ b/tests/unit/gateway/crash_suspects_gateway_test.cc
@@ -2,11 +2,10 @@
 
 #include "unit/gateway/gateway_fixture.h"
 
-// A request ended each engine that began to run it. Its caller sent it again and again, each time under a new
-// id, to whichever gateway it found; every attempt began with a full allowance, and ten engines more than
-// three ended under it, each with the dozen of streams that ran there. What proved it: of the attempts under
-// which engines ended, one in each case was the same request by path, tenant and body, and it never ended
-// whole.
+// Guards against a request that crashes every engine which runs it. Its caller repeats it under new ids at
+// any gateway; with attempts limited only per id, it crashed ten engines more than the three allowed, each
+// with a dozen other streams. It is recognized by path, tenant and body: it is the one request that ran at
+// each engine that crashed, and it never completed.
 
 using namespace crankspur;
 using namespace crankspur::gateway;
@@ -15,7 +14,7 @@
 
 constexpr const char* kBody = "a prompt";
 
-/// A gateway with ten engines, so that there is always one that has not ended.
+/// A gateway with ten engines, so that some engine has always not crashed.
 struct CrashFixture : GatewayFixture {
   CrashFixture() {
     for (EngineSlot slot = 5; slot < 13; ++slot) backends.push_back(makeBackend(slot, "lm"));
@@ -31,7 +30,7 @@
     return has<Dispatch>();
   }
 
-  /// The engine of the last dispatch ends and starts again, as it would after some seconds.
+  /// The engine of the last dispatch crashes and restarts as a new incarnation.
   void crashLastBackend() {
     for (Backend& backend : backends) {
       if (backend.view.address == last.address) backend.view.incarnation += 1000;
@@ -42,26 +41,27 @@
     actions = decided;
   }
 
-  /// @return engines that end under a request with the body that is sent so many times.
+  /// Sends a request with the body `count` times; each engine that runs it crashes.
+  /// @return the number of crashes.
   int attempts(const std::string& route, std::string_view body, int count) {
-    int ended = 0;
+    int crashes = 0;
     for (int attempt = 0; attempt < count; ++attempt) {
       if (!sendBody(route, body)) continue;
-      while (has<Dispatch>()) {  // Streams that may go on are sent to the next engine at once.
+      while (has<Dispatch>()) {  // Resumable streams are sent to the next engine at once.
         head(200);
         now += milliseconds(100);
         crashLastBackend();
-        ++ended;
+        ++crashes;
       }
       now += milliseconds(300);
     }
-    return ended;
+    return crashes;
   }
 };
 
 }  // namespace
 
-TEST_CASE("a request under which three engines ended is not sent to a fourth", "[gateway][crash_suspects]") {
+TEST_CASE("a request that crashed three engines is not sent to a fourth", "[gateway][crash_suspects]") {
   CrashFixture fixture;
   CHECK(fixture.attempts("answer", kBody, 8) == 3);
   const Refuse refusal = fixture.only<Refuse>();
@@ -70,12 +70,12 @@
   CHECK(refusal.cause == RequestCause::quarantined);
 }
 
-TEST_CASE("a stream that may go on elsewhere ends no more engines than others", "[gateway][crash_suspects]") {
+TEST_CASE("a resumable stream crashes no more engines than other requests", "[gateway][crash_suspects]") {
   CrashFixture fixture;
   CHECK(fixture.attempts("review", kBody, 8) == 3);
 }
 
-TEST_CASE("three ends that several gateways saw count together", "[gateway][crash_suspects]") {
+TEST_CASE("crashes that several gateways saw are added up", "[gateway][crash_suspects]") {
   CrashFixture fixture;
   CHECK(fixture.attempts("answer", kBody, 1) == 1);
   const CrashUpdate update = fixture.gateway.takeCrashUpdate();
@@ -88,7 +88,7 @@
   CHECK(other.attempts("answer", kBody, 4) == 2);
 }
 
-TEST_CASE("a request that got a whole answer is free of suspicion", "[gateway][crash_suspects]") {
+TEST_CASE("a complete response clears the suspicion against its request", "[gateway][crash_suspects]") {
   CrashFixture fixture;
   fixture.attempts("answer", kBody, 2);
   REQUIRE(fixture.sendBody("answer", kBody));
@@ -98,7 +98,7 @@
   CHECK(fixture.attempts("answer", kBody, 8) == 3);
 }
 
-TEST_CASE("what ran beside a request that ends engines goes on and is not refused",
+TEST_CASE("requests that ran beside one that crashes engines are retried and not refused",
           "[gateway][crash_suspects]") {
   CrashFixture fixture;
   for (int round = 0; round < 8; ++round) {
@@ -108,7 +108,7 @@
     REQUIRE(fixture.sendBody("review", "another prompt"));
     fixture.head(200);
     if (runs && fixture.last.address == crashing.address)
-      fixture.crashLastBackend();  // It goes on elsewhere.
+      fixture.crashLastBackend();  // It is retried elsewhere.
     fixture.head(200);
     fixture.end();
     fixture.last = crashing;
@@ -121,7 +121,8 @@
   CHECK(fixture.sendBody("review", "another prompt"));
 }
 
-TEST_CASE("a request under suspicion runs where the fewest others do", "[gateway][crash_suspects]") {
+TEST_CASE("a suspected request is sent to the engine with the fewest other requests",
+          "[gateway][crash_suspects]") {
   CrashFixture fixture;
   std::vector<std::string> busy;
   fixture.attempts("answer", kBody, 2);
@@ -134,7 +135,7 @@
   CHECK(others == 0);
 }
 
-TEST_CASE("two attempts of a request under suspicion do not run at once", "[gateway][crash_suspects]") {
+TEST_CASE("two attempts of a suspected request do not run at the same time", "[gateway][crash_suspects]") {
   CrashFixture fixture;
   fixture.attempts("answer", kBody, 2);
   REQUIRE(fixture.sendBody("answer", kBody));
@@ -143,10 +144,11 @@
   fixture.last = first;
   fixture.head(200);
   fixture.end();
-  CHECK(fixture.has<Dispatch>());  // The answer frees the second one.
+  CHECK(fixture.has<Dispatch>());  // The response lets the second attempt run.
 }
 
-TEST_CASE("a connection that breaks at a back end which goes on ends nothing", "[gateway][crash_suspects]") {
+TEST_CASE("the suspicion after a broken connection is withdrawn when the back end proves live",
+          "[gateway][crash_suspects]") {
   CrashFixture fixture;
   fixture.backends.resize(3);  // One engine.
   fixture.publish();
@@ -170,7 +172,7 @@
   CHECK(fixture.observer.withdrawn.size() == 6);
 }
 
-TEST_CASE("a back end that leaves as planned cuts its last answers and blames nobody",
+TEST_CASE("a back end that aborts responses while it leaves as planned causes no suspicion",
           "[gateway][crash_suspects]") {
   CrashFixture fixture;
   for (int round = 0; round < 5; ++round) {
@@ -187,7 +189,7 @@
   CHECK(fixture.observer.suspected.empty());
 }
 
-TEST_CASE("a quarantined request is tried again after its time", "[gateway][crash_suspects]") {
+TEST_CASE("a quarantined request is run again after its quarantine", "[gateway][crash_suspects]") {
   CrashFixture fixture;
   fixture.attempts("answer", kBody, 8);
   const Duration wait = fixture.only<Refuse>().retry_after;
@@ -196,10 +198,10 @@
   CHECK(fixture.only<Refuse>().retry_after > 3 * wait);
 }
 
-// An engine crashed under a request and was back before the table of runners said so. The next request sent
-// to it was answered by its new start, which refused it as meant for another; that answer was taken to show
-// that the earlier start had not crashed, and all gateways withdrew the evidence.
-TEST_CASE("the refusal of an engine's next start does not show that the start before lives",
+// Guards against withdrawing evidence for a crash: an engine restarts before the table of runners shows the
+// crash, and its new incarnation refuses the next request as misdirected. That response must not count as a
+// sign that the earlier incarnation is live; all gateways would withdraw the evidence.
+TEST_CASE("a refusal by the next incarnation of an engine does not show that the earlier one is live",
           "[gateway][crash_suspects]") {
   CrashFixture fixture;
   fixture.backends.resize(3);  // One engine.
@@ -210,7 +212,7 @@
   fixture.head(200);
   fixture.now += milliseconds(10);
   fixture.breakExchange(true);
-  SECTION("answered soon") {
+  SECTION("of a request that was sent after the crash") {
     REQUIRE(fixture.sendBody("answer", "sent after"));
     fixture.now += milliseconds(100);
   }
@@ -222,9 +224,9 @@
   CHECK(fixture.observer.withdrawn.empty());
 }
 
-// Connections to engines that lived were reset, one after the other, each while the same innocent request ran
-// there. Nothing else ran at these engines, so that nothing showed that they lived: the request was refused
-// for a minute.
+// Guards against a wrong quarantine: the connections to several live engines are reset one after the other
+// while the same request runs there. With nothing else running at these engines, only a probe can show that
+// they are live; without it the request would be refused for a minute.
 TEST_CASE("an engine that answers a probe has not crashed", "[gateway][crash_suspects]") {
   CrashFixture fixture;
   for (Pool& pool : fixture.configuration.pools) pool.health_path = "/healthz";
@@ -243,27 +245,27 @@
   const ProbeBackend probe = fixture.only<ProbeBackend>();
   CHECK(probe.path == "/healthz");
   CHECK(probe.address == fixture.last.address);
-  CHECK_FALSE(fixture.sendBody("answer", kBody));  // It waits for the probe.
+  CHECK_FALSE(fixture.sendBody("answer", kBody));  // It is queued until the probe completes.
   CHECK_FALSE(fixture.has<Refuse>());
   fixture.now += milliseconds(3);
-  SECTION("it lives: the request runs") {
+  SECTION("the engine is live: the request runs") {
     fixture.gateway.onProbeResult(probe.probe, true, fixture.now);
     fixture.takeActions();
     CHECK(fixture.has<Dispatch>());
     CHECK(fixture.observer.withdrawn.size() == 1);
   }
-  SECTION("it does not: the request is refused at once") {
+  SECTION("the engine has crashed: the request is refused at once") {
     fixture.gateway.onProbeResult(probe.probe, false, fixture.now);
     fixture.takeActions();
     CHECK(fixture.only<Refuse>().cause == RequestCause::quarantined);
   }
-  SECTION("no word of it: the request is refused soon") {
+  SECTION("no probe result: the request is refused soon") {
     fixture.advance(milliseconds(500));
     CHECK(fixture.only<Refuse>().cause == RequestCause::quarantined);
   }
 }
 
-TEST_CASE("one probe asks for all requests that a back end had", "[gateway][crash_suspects]") {
+TEST_CASE("requests whose exchanges broke at one back end share one probe", "[gateway][crash_suspects]") {
   CrashFixture fixture;
   for (Pool& pool : fixture.configuration.pools) pool.health_path = "/healthz";
   fixture.backends.resize(3);  // One engine.
--- a/tests/unit/gateway/gateway_failure_test.cc
+++ b/tests/unit/gateway/gateway_failure_test.cc
@@ -2,24 +2,24 @@
 
 namespace crankspur::gateway {
 
-TEST_CASE("what may run once only is never sent again once a byte was sent", "[gateway]") {
+TEST_CASE("an at-most-once request is not repeated after a byte was sent", "[gateway]") {
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("order");
   SECTION("the connection broke") {
     fixture.breakExchange(true);
   }
-  SECTION("the answer is not the back end's own") {
+  SECTION("the response lacks the back end's marks") {
     fixture.head(200, {});
   }
-  SECTION("the back end claims no promise but answers with the status of one") {
+  SECTION("the back end responds with 503 without stating that the request was not run") {
     fixture.head(503);
   }
   CHECK_FALSE(fixture.has<Dispatch>());
   CHECK(fixture.only<Refuse>().status == 502);
 }
 
-TEST_CASE("a request that reached nobody goes to another back end without cost", "[gateway]") {
+TEST_CASE("a request that reached no back end is retried without using the retry budget", "[gateway]") {
   GatewaySettings settings;
   settings.retry_budget = {0, seconds(10), 0};
   GatewayFixture fixture(settings);
@@ -35,7 +35,7 @@
   CHECK(fixture.only<Refuse>().status == 503);
 }
 
-TEST_CASE("a request that a full back end did not run goes elsewhere or is refused", "[gateway]") {
+TEST_CASE("a request that a back end at capacity did not run is retried elsewhere or refused", "[gateway]") {
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("order");
@@ -59,7 +59,7 @@
   CHECK(fixture.only<Refuse>().status == 502);
 }
 
-TEST_CASE("a repeat gets the time that is left", "[gateway]") {
+TEST_CASE("a repeat gets the remaining time as its deadline", "[gateway]") {
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("look");
@@ -68,7 +68,7 @@
   CHECK(fixture.only<Dispatch>().terms.deadline <= seconds(2));
 }
 
-TEST_CASE("repeats keep to the budget of their pool", "[gateway]") {
+TEST_CASE("repeats do not exceed the retry budget of their pool", "[gateway]") {
   GatewaySettings settings;
   settings.retry_budget = {0.1, seconds(10), 1};
   GatewayFixture fixture(settings);
@@ -87,7 +87,7 @@
   CHECK(repeats <= 3);
 }
 
-TEST_CASE("the budget is shared by the gateways and comes back with time", "[gateway]") {
+TEST_CASE("the retry budget is shared by the gateways and recovers after its window", "[gateway]") {
   RepeatBudget budget({0.2, seconds(10), 8});
   const TimePoint start{seconds(50)};
   for (int count = 0; count < 10; ++count) budget.onRequest(start);
@@ -98,7 +98,8 @@
   CHECK(budget.tryRepeat(4, start + seconds(12)));
 }
 
-TEST_CASE("the back end's own failure is passed on as it is when it is not repeated", "[gateway]") {
+TEST_CASE("an error response of a back end is forwarded unchanged if the request is not repeated",
+          "[gateway]") {
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("order");
@@ -108,7 +109,7 @@
   CHECK(fixture.only<ForwardResponse>().exchange == fixture.last.exchange);
 }
 
-TEST_CASE("an answer without the back end's marks is never passed on", "[gateway]") {
+TEST_CASE("a response without the back end's marks is never forwarded", "[gateway]") {
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("look");
@@ -118,7 +119,7 @@
   CHECK(fixture.only<Dispatch>().address != first);
 }
 
-TEST_CASE("an answer is passed on only once it is whole", "[gateway]") {
+TEST_CASE("a response that is not streamed is forwarded only when it is complete", "[gateway]") {
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("look");
@@ -131,7 +132,8 @@
   CHECK(fixture.has<ForwardResponse>());
 }
 
-TEST_CASE("a back end with other weights is asked once more with those it has", "[gateway]") {
+TEST_CASE("a request is sent again to a back end with other weights, with the weights that it has",
+          "[gateway]") {
   GatewayFixture fixture;
   fixture.configuration.routes[3].maximum_attempts = 1;
   fixture.backends.pop_back();
@@ -145,7 +147,7 @@
   CHECK(fixture.last.terms.cache_scope != old_scope);
 }
 
-TEST_CASE("a back end that is another than expected gets nothing more for a while", "[gateway]") {
+TEST_CASE("a back end with another incarnation than expected gets no requests for some time", "[gateway]") {
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("order");
@@ -156,7 +158,7 @@
   CHECK(fixture.only<Dispatch>().address != first);
 }
 
-TEST_CASE("a back end that keeps failing is left out while others do", "[gateway]") {
+TEST_CASE("a back end that keeps failing gets no requests while another does not fail", "[gateway]") {
   GatewayFixture fixture;
   for (Backend& backend : fixture.backends) backend.slots = 100;
   fixture.publish();
@@ -171,7 +173,7 @@
   CHECK(to_first == 0);
 }
 
-TEST_CASE("what may be repeated leaves a back end that has gone silent", "[gateway]") {
+TEST_CASE("a repeatable request is retried elsewhere when its back end is unresponsive", "[gateway]") {
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("look");
@@ -183,12 +185,12 @@
   CHECK(fixture.has<CancelExchange>());
 }
 
-TEST_CASE("a long prompt is not taken from the back end that is still reading it", "[gateway]") {
+TEST_CASE("a request is not retried while its back end is expected to read a long prompt", "[gateway]") {
   GatewayFixture fixture;
   fixture.configuration.routes[2].timeout = seconds(20);
   fixture.publish();
   IncomingRequest review = GatewayFixture::request("review");
-  // Two seconds at the rate that is taken until one is learnt.
+  // Two seconds at the initial prefill rate.
   review.client->prompt = {{11, 60'000}};
   review.client->prompt_tokens = 60'000;
   review.client->deadline = seconds(20);
--- a/tests/unit/gateway/gateway_fixture.h
+++ b/tests/unit/gateway/gateway_fixture.h
@@ -1,5 +1,6 @@
 #pragma once
-/// @file A gateway with a small configuration and two back ends in each pool, driven by hand.
+/// @file A gateway with a small configuration and two back ends in each pool, driven step by step by the
+/// test.
 
 #include <catch2/catch.hpp>
 #include <memory>
@@ -77,7 +78,7 @@
   return answer;
 }
 
-/// Keeps the records of what a gateway decided.
+/// Keeps the records of a gateway's decisions.
 class RecordingObserver : public RequestObserver {
 public:
   void onAdmitted(const RequestAdmitted& record) override { admitted.emplace_back(record.request_id); }
@@ -97,7 +98,7 @@
   void onSuspected(const RequestSuspected& record) override { suspected.push_back(record); }
   void onSuspicionWithdrawn(const SuspicionWithdrawn& record) override { withdrawn.push_back(record); }
 
-  // Views in the records are void after the call; what tests compare of them is kept beside.
+  // Views in the records are invalid after the call; strings that tests compare are copied.
   std::vector<std::string> admitted;
   std::vector<RequestPlaced> placed;
   std::vector<std::string> placed_at;
@@ -146,7 +147,7 @@
     return incoming;
   }
 
-  /// Sends a request in; its actions are in `actions`.
+  /// Gives the gateway a client request; the resulting actions are in `actions`.
   ClientId send(const std::string& route) { return send(request(route)); }
   ClientId send(IncomingRequest incoming) {
     const ClientId client = ++last_client;
@@ -155,7 +156,7 @@
     return client;
   }
 
-  /// @return what the gateway decided since the last call, also in `actions`.
+  /// @return the gateway's actions since the last call, also in `actions`.
   const std::vector<GatewayAction>& takeActions() {
     actions = gateway.takeActions();
     for (const GatewayAction& action : actions) {
@@ -176,7 +177,7 @@
   bool has() const {
     return !all<Action>().empty();
   }
-  /// @return the one action of the kind.
+  /// @return the only action of the type; fails the test if there is none or several.
   template <typename Action>
   Action only() const {
     const std::vector<Action> found = all<Action>();
@@ -206,7 +207,7 @@
     head(503, answer);
   }
 
-  /// Moves time on, with the gateway's timers.
+  /// Advances the time and runs the gateway's timers; their actions are in `actions`.
   void advance(Duration time) {
     const TimePoint until = now + time;
     std::vector<GatewayAction> all_actions;
--- a/tests/unit/gateway/gateway_records_test.cc
+++ b/tests/unit/gateway/gateway_records_test.cc
@@ -1,4 +1,5 @@
-/// @file What a gateway tells its observer: each request that ends has one last record, with the cause.
+/// @file What a gateway reports to its observer: each request that ends has exactly one final record, with
+/// the cause.
 
 #include "gateway_fixture.h"
 
@@ -7,7 +8,7 @@
 
 namespace {
 
-/// @return the one record of an end, with the id of the fixture's requests.
+/// @return the only final record; fails the test unless there is one, with the id of the fixture's requests.
 RequestEnded onlyEnd(const GatewayFixture& fixture) {
   REQUIRE(fixture.observer.ended.size() == 1);
   CHECK(fixture.observer.ended_ids.front() == "id");
@@ -16,7 +17,7 @@
 
 }  // namespace
 
-TEST_CASE("an answered request is told as admitted, placed and answered", "[gateway][records]") {
+TEST_CASE("an answered request is reported as admitted, placed and answered", "[gateway][records]") {
   GatewayFixture fixture;
   fixture.key_validity = seconds(5);
   fixture.contact->vouch(fixture.now);
@@ -44,7 +45,7 @@
   CHECK(ended.keys_age == milliseconds(40));
 }
 
-TEST_CASE("a refusal tells its cause and when the client may come back", "[gateway][records]") {
+TEST_CASE("a refusal reports its cause and when the client may retry", "[gateway][records]") {
   GatewayFixture fixture;
   fixture.backends.clear();
   fixture.publish();
@@ -60,7 +61,7 @@
   CHECK_FALSE(ended.may_have_run);
 }
 
-TEST_CASE("requests that may not be served at all are told with the cause", "[gateway][records]") {
+TEST_CASE("requests that fail the checks on arrival are reported with the cause", "[gateway][records]") {
   GatewayFixture fixture;
   fixture.send("order");
   CHECK(onlyEnd(fixture).cause == RequestCause::no_configuration);
@@ -79,7 +80,7 @@
   CHECK(fixture.observer.ended[3].cause == RequestCause::malformed_head);
 }
 
-TEST_CASE("a request that the driver answered unread is told with the cause", "[gateway][records]") {
+TEST_CASE("a request that the driver could not read is reported with the cause", "[gateway][records]") {
   struct Unread {
     int status;
     RequestCause cause;
@@ -101,7 +102,8 @@
   CHECK_FALSE(ended.may_have_run);
 }
 
-TEST_CASE("a back end that breaks off is told, and where the request ends", "[gateway][records]") {
+TEST_CASE("a broken exchange is reported, and the back end at which the request ended",
+          "[gateway][records]") {
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("order");
@@ -117,7 +119,7 @@
   CHECK(fixture.observer.ended_at.front() == first);
 }
 
-TEST_CASE("a request that is sent again tells the cause and the budget that is left", "[gateway][records]") {
+TEST_CASE("a retry is reported with its cause and the remaining retry budget", "[gateway][records]") {
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("look");
@@ -133,7 +135,8 @@
   CHECK(fixture.observer.placed_at[0] != fixture.observer.placed_at[1]);
 }
 
-TEST_CASE("a stream that is cut and one that its client leaves are told apart", "[gateway][records]") {
+TEST_CASE("an aborted stream and a client that disconnects are reported with different outcomes",
+          "[gateway][records]") {
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("answer");
@@ -149,7 +152,7 @@
   CHECK(fixture.observer.ended[1].cause == RequestCause::client_left);
 }
 
-TEST_CASE("a request that outlasts its time is told as such", "[gateway][records]") {
+TEST_CASE("a request that exceeds its deadline is reported with 504", "[gateway][records]") {
   GatewayFixture fixture;
   fixture.backends = {makeBackend(1, "app")};
   fixture.publish();
@@ -160,7 +163,7 @@
   CHECK(ended.cause == RequestCause::time_ran_out);
 }
 
-TEST_CASE("a back end that keeps failing is told as distrusted, once", "[gateway][records]") {
+TEST_CASE("a back end that keeps failing is reported as distrusted once", "[gateway][records]") {
   GatewayFixture fixture;
   fixture.backends = {makeBackend(1, "app")};
   fixture.publish();
--- a/tests/unit/gateway/gateway_request_test.cc
+++ b/tests/unit/gateway/gateway_request_test.cc
@@ -2,14 +2,14 @@
 
 namespace crankspur::gateway {
 
-TEST_CASE("a gateway without a configuration refuses as not run and says when to come back", "[gateway]") {
+TEST_CASE("a gateway without a configuration refuses requests as not run with a retry time", "[gateway]") {
   GatewayFixture fixture;
   fixture.send("order");
   CHECK(fixture.only<Refuse>().status == 503);
   CHECK(fixture.only<Refuse>().retry_after > Duration(0));
 }
 
-TEST_CASE("a gateway answers what no configuration allows with its own status", "[gateway]") {
+TEST_CASE("malformed requests, unknown routes and unknown keys each get their own status", "[gateway]") {
   GatewayFixture fixture;
   fixture.publish();
   IncomingRequest malformed = GatewayFixture::request("order");
@@ -24,7 +24,7 @@
   CHECK(fixture.only<Refuse>().status == 401);
 }
 
-TEST_CASE("keys are not trusted once they may have been taken away", "[gateway]") {
+TEST_CASE("keys are not accepted once their validity has expired", "[gateway]") {
   GatewayFixture fixture;
   fixture.key_validity = seconds(5);
   fixture.contact->vouch(fixture.now - seconds(5));
@@ -37,14 +37,15 @@
   CHECK(fixture.has<Dispatch>());
 }
 
-TEST_CASE("a gateway that wakes from a freeze trusts no key before the platform vouches again", "[gateway]") {
+TEST_CASE("a gateway that resumes after a suspension accepts no key before the platform confirms the keys",
+          "[gateway]") {
   GatewayFixture fixture;
   fixture.key_validity = seconds(5);
   fixture.contact->vouch(fixture.now);
   fixture.publish();
   fixture.send("order");
   CHECK(fixture.has<Dispatch>());
-  // The control thread has not run yet: the snapshot is still the one from before.
+  // The control thread has not run yet: the gateway still has the snapshot from before the suspension.
   fixture.now += seconds(5);
   fixture.send("order");
   CHECK(fixture.only<Refuse>().status == 503);
@@ -53,7 +54,7 @@
   CHECK(fixture.has<Dispatch>());
 }
 
-TEST_CASE("the longest prefix of the host picks the route", "[gateway]") {
+TEST_CASE("the longest matching path prefix of the host selects the route", "[gateway]") {
   Configuration configuration = makeConfiguration();
   configuration.routes.push_back(makeRoute("order/1", Repeatability::Repeatable, "app"));
   CHECK(configuration.findRoute(kHost, "/order/1/x")->name == "order/1");
@@ -61,7 +62,7 @@
   CHECK(configuration.findRoute("other.example", "/order/2") == nullptr);
 }
 
-TEST_CASE("a dispatch names its back end, tenant, urgency and the time left", "[gateway]") {
+TEST_CASE("a dispatch states its back end, tenant, priority and remaining time", "[gateway]") {
   GatewayFixture fixture;
   fixture.publish();
   IncomingRequest incoming = GatewayFixture::request("order");
@@ -76,7 +77,7 @@
   CHECK(dispatch.terms.deadline > milliseconds(2900));
 }
 
-TEST_CASE("nothing is sent to a back end that leaves or is gone", "[gateway]") {
+TEST_CASE("nothing is sent to a back end that is leaving or removed", "[gateway]") {
   GatewayFixture fixture;
   fixture.backends[0].view.state = EngineState::Leaving;
   fixture.publish();
@@ -92,7 +93,7 @@
   CHECK(fixture.only<Refuse>().status == 503);
 }
 
-TEST_CASE("requests wait for a place for a part of their target and are then refused", "[gateway]") {
+TEST_CASE("requests are queued for a fraction of their first-byte target and then refused", "[gateway]") {
   GatewayFixture fixture;
   fixture.publish();
   for (int count = 0; count < 4; ++count) {
@@ -104,12 +105,12 @@
   fixture.advance(milliseconds(50));
   CHECK(fixture.actions.empty());
 
-  SECTION("a place becomes free") {
+  SECTION("capacity becomes free") {
     fixture.head(200);
     fixture.end();
     CHECK(fixture.only<Dispatch>().client == waiting);
   }
-  SECTION("none does") {
+  SECTION("no capacity becomes free") {
     fixture.advance(milliseconds(51));
     CHECK(fixture.only<Refuse>().client == waiting);
     CHECK(fixture.only<Refuse>().status == 503);
@@ -117,7 +118,7 @@
   }
 }
 
-TEST_CASE("the most urgent of those that wait gets the next place", "[gateway]") {
+TEST_CASE("the most urgent queued request is dispatched first", "[gateway]") {
   GatewayFixture fixture;
   fixture.publish();
   for (int count = 0; count < 4; ++count) fixture.send("order");
@@ -130,7 +131,7 @@
   CHECK(fixture.only<Dispatch>().client == urgent);
 }
 
-TEST_CASE("the connections of a back end are shared by all gateways", "[gateway]") {
+TEST_CASE("the connection limit of a back end is divided among all gateways", "[gateway]") {
   BackendTable table;
   Pool pool;
   pool.maximum_connections = 50;
@@ -143,8 +144,7 @@
   CHECK_FALSE(table.hasRoom(backend, pool, 5, TimePoint{}));
 }
 
-TEST_CASE("a back end that turns away one request after the other is passed over for longer each time",
-          "[gateway]") {
+TEST_CASE("the backoff of a back end doubles with each consecutive rejection up to a limit", "[gateway]") {
   BackendTable table;
   const Pool pool;
   const Backend backend = makeBackend(1, "lm");
@@ -171,7 +171,7 @@
   }
   refuse();
   CHECK(timeUntilSelectable() == milliseconds(960));
-  // An answer shows that it takes requests again.
+  // A response resets the backoff.
   table.onDispatch(1);
   table.onFirstByte(1, 1001, milliseconds(50), milliseconds(50), now);
   table.onOutcome(1, 1001, DispatchOutcome::Answered, now);
@@ -179,18 +179,18 @@
   CHECK(timeUntilSelectable() == milliseconds(60));
 }
 
-TEST_CASE("a request that cannot begin before its deadline is refused at once", "[gateway]") {
+TEST_CASE("a request whose first byte is expected after its deadline is refused at once", "[gateway]") {
   GatewayFixture fixture;
   fixture.publish();
   IncomingRequest large = GatewayFixture::request("review");
-  // More than six seconds at the rate that is taken until one is learnt.
+  // More than six seconds at the initial prefill rate.
   large.client->prompt = {{1, 190'000}};
   large.client->prompt_tokens = 190'000;
   fixture.send(large);
   CHECK(fixture.only<Refuse>().status == 503);
 }
 
-TEST_CASE("a client that leaves ends its exchange at once", "[gateway]") {
+TEST_CASE("the exchange of a client that disconnects is cancelled at once", "[gateway]") {
   GatewayFixture fixture;
   fixture.publish();
   const ClientId client = fixture.send("look");
@@ -203,7 +203,7 @@
   CHECK(fixture.actions.empty());
 }
 
-TEST_CASE("the final answer comes when the route waits no longer", "[gateway]") {
+TEST_CASE("a request is ended when the timeout of its route expires", "[gateway]") {
   GatewayFixture fixture;
   fixture.configuration.routes[0].timeout = seconds(1);
   fixture.publish();
@@ -223,7 +223,7 @@
     fixture.advance(seconds(1));
     CHECK(fixture.only<Refuse>().status == 503);
   }
-  SECTION("its answer has begun") {
+  SECTION("its response has started") {
     fixture.configuration.routes[3].timeout = seconds(1);
     fixture.publish();
     fixture.send("answer");
@@ -235,7 +235,7 @@
   }
 }
 
-TEST_CASE("pools get their share of a route's requests at any time", "[gateway]") {
+TEST_CASE("pools get their share of a route's requests at any point of the sequence", "[gateway]") {
   RandomSource random(5);
   RouteShares shares(random);
   Route route;
--- a/tests/unit/gateway/gateway_silent_connections_test.cc
+++ b/tests/unit/gateway/gateway_silent_connections_test.cc
@@ -1,12 +1,12 @@
-/// @file Open connections to back ends go silent for good while new ones work. What a back end tells others
-/// on new connections kept requests on silent ones waiting until their deadline, and moves for silence took
-/// sound back ends out of use.
+/// @file Open connections to back ends go silent permanently while new ones work. Guards against two
+/// failures: responses on new connections count as activity of the silent ones, so that requests on these
+/// wait until their deadline; and retries for silence mark healthy back ends as failing.
 
 #include "unit/gateway/gateway_fixture.h"
 
 namespace crankspur::gateway {
 
-TEST_CASE("a request that may be repeated moves soon after its connection may have gone silent",
+TEST_CASE("a repeatable request is retried soon after its connection may have gone silent",
           "[gateway][silent_connections]") {
   GatewayFixture fixture;
   fixture.publish();
@@ -21,7 +21,7 @@
   CHECK(fixture.observer.distrusted.empty());
 }
 
-TEST_CASE("what the back end tells others is no sign of life of a connection that may be silent",
+TEST_CASE("responses on other connections do not count as activity of a connection that may be silent",
           "[gateway][silent_connections]") {
   GatewayFixture fixture;
   fixture.backends.erase(fixture.backends.begin());
@@ -42,7 +42,8 @@
   CHECK(moved);
 }
 
-TEST_CASE("a request that hears more after the silence stays where it is", "[gateway][silent_connections]") {
+TEST_CASE("a request that receives bytes after the silence was detected is not retried",
+          "[gateway][silent_connections]") {
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("review");
@@ -55,7 +56,7 @@
   CHECK_FALSE(fixture.has<CancelExchange>());
 }
 
-TEST_CASE("a request sent after the silence was noticed has the usual time",
+TEST_CASE("a request sent after the silence was detected has the usual silence limit",
           "[gateway][silent_connections]") {
   GatewayFixture fixture;
   fixture.publish();
@@ -66,7 +67,7 @@
   CHECK_FALSE(fixture.has<CancelExchange>());
 }
 
-TEST_CASE("what may run once is not sent again when its connection may have gone silent",
+TEST_CASE("an at-most-once request is not repeated when its connection may have gone silent",
           "[gateway][silent_connections]") {
   GatewayFixture fixture;
   fixture.publish();
@@ -75,7 +76,7 @@
   fixture.advance(milliseconds(2000));
   CHECK_FALSE(fixture.has<Dispatch>());
   CHECK_FALSE(fixture.has<Refuse>());
-  // An answer that comes after all is passed on.
+  // A late response is forwarded.
   fixture.head(200);
   fixture.end();
   CHECK(fixture.has<ForwardResponse>());
--- a/tests/unit/gateway/gateway_stream_test.cc
+++ b/tests/unit/gateway/gateway_stream_test.cc
@@ -4,7 +4,8 @@
 
 namespace crankspur::gateway {
 
-TEST_CASE("events are passed on as they come, and the end only once complete", "[gateway]") {
+TEST_CASE("stream bytes are forwarded as received, and the end only if the response is complete",
+          "[gateway]") {
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("answer");
@@ -23,7 +24,7 @@
   }
 }
 
-TEST_CASE("a resumable stream goes on elsewhere after the last whole event", "[gateway]") {
+TEST_CASE("a resumable stream continues at another back end after the last complete event", "[gateway]") {
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("review");
@@ -48,17 +49,17 @@
   CHECK(fixture.has<EndResponse>());
 }
 
-TEST_CASE("a resumption that fails cuts the stream", "[gateway]") {
+TEST_CASE("a failed resumption aborts the stream", "[gateway]") {
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("review");
   fixture.head(200);
   fixture.bytes("id: 1\ndata: a\n\n");
   fixture.breakExchange(true);
-  SECTION("with an error of the back end") {
+  SECTION("with an error response") {
     fixture.head(500);
   }
-  SECTION("by a break") {
+  SECTION("by a broken exchange") {
     fixture.breakExchange(true);
   }
   SECTION("as not run") {
@@ -68,7 +69,7 @@
   CHECK_FALSE(fixture.has<Refuse>());
 }
 
-TEST_CASE("a client that resumes a stream is served from there", "[gateway]") {
+TEST_CASE("the resume position of a client is sent to the back end", "[gateway]") {
   GatewayFixture fixture;
   fixture.publish();
   IncomingRequest incoming = GatewayFixture::request("review");
@@ -77,7 +78,7 @@
   CHECK(fixture.only<Dispatch>().terms.resume_after == 12);
 }
 
-TEST_CASE("the cursor finds whole events at any cut", "[gateway]") {
+TEST_CASE("the cursor finds complete events however the text is divided", "[gateway]") {
   const std::string text = "weights: 2\nid: 5\r\ndata: a\r\n\r\n: note\n\nid: 6\ndata: b\n\n";
   for (std::size_t step = 1; step < text.size(); ++step) {
     StreamCursor cursor(4);
@@ -104,7 +105,7 @@
   }
 }
 
-TEST_CASE("what was evicted no longer draws requests", "[gateway]") {
+TEST_CASE("evicted prompt parts do not attract requests", "[gateway]") {
   RandomSource random(1);
   EngineChoice choice(10'000, random);
   GatewaySnapshot snapshot;
@@ -130,8 +131,7 @@
   CHECK(uncached() == 1600);
 }
 
-TEST_CASE("shared parts that no engine holds are read first at one engine, alike for all gateways",
-          "[gateway]") {
+TEST_CASE("uncached shared parts are first read at the same engine by all gateways", "[gateway]") {
   std::string first_reader;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     RandomSource random(seed);
@@ -150,7 +150,8 @@
     request.uses_prefixes = true;
     const Choice first = choice.choose(request, snapshot, BackendTable(), TimePoint{});
     choice.onDispatch(first, 1, TimePoint{});
-    // Not read yet, so nobody could import it; its first reader still is the place, busy as it is.
+    // The part is not read yet, so it cannot be imported; the first reader is chosen again although it is
+    // busy.
     const Choice second = choice.choose(request, snapshot, BackendTable(), TimePoint{});
     CHECK(second.backend == first.backend);
     CHECK(second.import_from.empty());
@@ -185,7 +186,7 @@
   CHECK(other.uncached_tokens == 1);
 }
 
-TEST_CASE("engines are divided between long and short prompts by the time they take", "[gateway]") {
+TEST_CASE("engines are divided between long and short prompts by the time that these take", "[gateway]") {
   GatewaySnapshot snapshot;
   for (EngineSlot slot = 1; slot <= 12; ++slot) snapshot.backends.push_back(makeBackend(slot, "lm"));
   PromptSizePartition partition;
@@ -206,10 +207,10 @@
   CHECK(suiting(false) == 3);
 }
 
-TEST_CASE("the rate at which engines read prompts is learnt from their first bytes", "[gateway]") {
+TEST_CASE("the prefill rate of engines is estimated from the time to their first bytes", "[gateway]") {
   PrefillRates rates;
   for (int count = 0; count < 40; ++count) {
-    rates.observe("lm", 100, milliseconds(100));  // Too small to say anything.
+    rates.observe("lm", 100, milliseconds(100));  // Too small to count.
     rates.observe("lm", 4000, milliseconds(count % 4 == 0 ? 100 : 300));
   }
   CHECK(rates.rate("lm") > 30'000);
@@ -235,7 +236,7 @@
   CHECK(fixture.last.terms.expected_weights == 2);
 }
 
-TEST_CASE("older weights begin no request once the newer ones were named long enough ago", "[gateway]") {
+TEST_CASE("no request is sent to older weights after the grace time of the newer ones", "[gateway]") {
   GatewayFixture fixture;
   fixture.weights = {{"m", 2}};
   fixture.backends[3].view.models[0].weights_version = "2";
@@ -249,7 +250,7 @@
   CHECK_FALSE(fixture.has<Dispatch>());
 }
 
-TEST_CASE("an engine with older weights that answers late gets no request that would begin too late",
+TEST_CASE("an engine with older weights gets no request that it would start after the grace time",
           "[gateway]") {
   RandomSource random(1);
   EngineChoice choice(1000, random);
@@ -275,7 +276,7 @@
   };
   CHECK(chosen(milliseconds(5900)));
   CHECK_FALSE(chosen(seconds(6)));
-  // Its queue lasts three seconds: what is sent at 5 s would begin at 8 s and later.
+  // Its queue takes three seconds: a request sent at 5 s would start at 8 s or later.
   table.onFirstByte(3, snapshot.backends[0].view.incarnation, seconds(3), seconds(3), named_at);
   CHECK_FALSE(chosen(seconds(5)));
   CHECK(chosen(milliseconds(400)));
