--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -133,12 +133,12 @@
     TimePoint timer_at = TimePoint::max();  ///< Its key in timers_; max: none.
     std::vector<EngineSlot> failed;         ///< Back ends that failed the request.
     bool isolated = false;                  ///< Back ends may have crashed because of it.
-    TimePoint quarantined_until{};          ///< Set when it is refused because of a quarantine.
+    TimePoint quarantined_until{};          ///< Set when a quarantine prevents its dispatch.
     std::uint32_t backends_reached = 0;     ///< Limited by the route's maximum_attempts.
     std::uint32_t dispatches = 0;
     bool waiting = false;  ///< Queued for a back end with capacity.
     bool may_have_run = false;
-    bool may_have_arrived = false;  ///< At a back end: a further dispatch is a repeat.
+    bool may_have_arrived = false;  ///< A back end may have received it: a further dispatch is a repeat.
     bool head_forwarded = false;
     std::optional<StreamCursor> cursor;  ///< Of a resumable stream.
     ActiveExchange active;
--- a/tests/unit/gateway/crash_suspects_gateway_test.cc
+++ b/tests/unit/gateway/crash_suspects_gateway_test.cc
@@ -30,7 +30,8 @@
     return has<Dispatch>();
   }
 
-  /// The engine of the last dispatch crashes and restarts as a new incarnation.
+  /// The engine of the last dispatch crashes and restarts as a new incarnation, as a real one does after
+  /// seconds.
   void crashLastBackend() {
     for (Backend& backend : backends) {
       if (backend.view.address == last.address) backend.view.incarnation += 1000;
