--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -7,19 +7,19 @@
 
 constexpr int kUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
-/// Share of the first-byte target that a request may wait for a place.
-constexpr int kQueueShare = 4;
-/// Time that a request which was dispatched before may wait for a further back end.
-constexpr Duration kMoveWait = std::chrono::milliseconds(400);
-/// Pause after which a waiting request looks for a place again, besides when one becomes free.
-constexpr Duration kQueueLook = std::chrono::milliseconds(30);
-/// Least time left with which a request is still sent.
-constexpr Duration kLeastDeadline = std::chrono::milliseconds(20);
-constexpr std::uint32_t kLeastUrgent = 9;
-/// Longest time that a request is held on a route that states none.
-constexpr Duration kTimeoutUnstated = std::chrono::seconds(60);
-constexpr Duration kLeastRetryAfter = std::chrono::milliseconds(100);
-constexpr Duration kMostRetryAfter = std::chrono::seconds(1);
+/// A request that was not dispatched yet is queued for at most its first-byte target divided by this.
+constexpr int kQueueTimeDivisor = 4;
+/// Maximum time that a request is queued for another back end after a dispatch.
+constexpr Duration kMaxRetryQueueTime = std::chrono::milliseconds(400);
+/// Interval at which a queued request retries placement, in addition to retries when capacity becomes free.
+constexpr Duration kQueueRetryInterval = std::chrono::milliseconds(30);
+/// A request is not dispatched with less time left until its deadline.
+constexpr Duration kMinTimeLeft = std::chrono::milliseconds(20);
+constexpr std::uint32_t kLowestPriority = 9;
+/// Timeout of a route that configures none.
+constexpr Duration kDefaultRouteTimeout = std::chrono::seconds(60);
+constexpr Duration kMinRetryAfter = std::chrono::milliseconds(100);
+constexpr Duration kMaxRetryAfter = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -39,21 +39,22 @@
   weights_.onSnapshot(*snapshot_, now);
   suspects_.removeExpired(now);
   if (snapshot_->configuration) shares_.configure(*snapshot_->configuration);
-  lookAtSilent(now);
+  recheckUnresponsiveBackends(now);
   serveQueue(now);
 }
 
-/// Requests at a back end that has fallen silent look soon whether they are to go elsewhere.
-void Gateway::lookAtSilent(TimePoint now) {
+/// Schedules the silence check of requests at unresponsive back ends earlier, so that they are retried
+/// elsewhere soon.
+void Gateway::recheckUnresponsiveBackends(TimePoint now) {
   const auto is_silent = [this](const Backend& backend) { return table_.isUnresponsive(backend); };
   if (std::none_of(snapshot_->backends.begin(), snapshot_->backends.end(), is_silent)) return;
   for (const auto& [exchange, client] : exchanges_) {
     Entry* entry = findClient(client);
-    if (entry == nullptr || entry->running.exchange != exchange) continue;
-    const Backend* backend = snapshot_->backend(entry->running.slot);
+    if (entry == nullptr || entry->active.exchange != exchange) continue;
+    const Backend* backend = snapshot_->backend(entry->active.slot);
     if (backend == nullptr || !table_.isUnresponsive(*backend)) continue;
-    wakeAt(*entry, std::min(entry->wakes_at,
-                            std::max(now, entry->running.sent_at + silenceLimit(entry->running, now))));
+    scheduleTimer(*entry, std::min(entry->timer_at,
+                                   std::max(now, entry->active.sent_at + silenceLimit(entry->active, now))));
   }
 }
 
@@ -66,12 +67,12 @@
   return budgets_.try_emplace(pool, settings_.retry_budget).first->second;
 }
 
-// A new request.
+// New requests.
 
 void Gateway::onRequest(ClientId client, IncomingRequest request, TimePoint now) {
   ++counters_.requests;
   const CheckedRequest checked = checkRequest(request, snapshot_.get(), now);
-  if (checked.refusal != 0) return refuseUnchecked(client, request, checked, now);
+  if (checked.refusal != 0) return refuseInadmissible(client, request, checked, now);
   auto owned = std::make_unique<Entry>();
   Entry& entry = *owned;
   entry.id = client;
@@ -81,8 +82,8 @@
   entries_.emplace(client, std::move(owned));
   admit(entry, checked, now);
   if (entry.pool == nullptr) return giveUpFor(entry, RequestCause::route_without_pool, now);
-  tellAdmitted(entry, now);
-  if (entry.ends_at - now < kLeastDeadline) return giveUpFor(entry, RequestCause::no_time_left, now);
+  reportAdmitted(entry, now);
+  if (entry.deadline - now < kMinTimeLeft) return giveUpFor(entry, RequestCause::no_time_left, now);
   budgetOf(entry.pool->name).onRequest(now);
   place(entry, now);
 }
@@ -99,8 +100,8 @@
     if (checked.tenant->isolated) entry.isolated_tenant = checked.tenant->name;
   }
   entry.arrived_at = now;
-  entry.ends_at = now + (route.timeout > Duration(0) ? route.timeout : kTimeoutUnstated);
-  if (entry.client.deadline) entry.ends_at = std::min(entry.ends_at, now + *entry.client.deadline);
+  entry.deadline = now + (route.timeout > Duration(0) ? route.timeout : kDefaultRouteTimeout);
+  if (entry.client.deadline) entry.deadline = std::min(entry.deadline, now + *entry.client.deadline);
   if (route.repeatability == Repeatability::ResumableStream) entry.cursor.emplace(entry.client.resume_after);
 }
 
@@ -113,7 +114,7 @@
   request.excluded = entry.failed;
   if (entry.isolated) {
     request.prefer_fewest_requests = true;
-    request.avoided = slotsOfIsolated();
+    request.avoided = slotsOfIsolatedRequests();
   }
   if (request.uses_prefixes) {
     request.weights_clock = &weights_;
@@ -122,7 +123,8 @@
   return request;
 }
 
-/// Looks in the pool whose turn it was, then in the others of the route.
+/// Chooses from the pool selected by the route's shares. If no back end of it is eligible, tries the other
+/// pools of the route.
 Choice Gateway::choose(Entry& entry, TimePoint now) {
   Choice choice = choice_.choose(choiceRequest(entry, *entry.pool), *snapshot_, table_, now);
   if (choice.backend != nullptr || choice.at_capacity) return choice;
@@ -138,14 +140,14 @@
 }
 
 void Gateway::place(Entry& entry, TimePoint now) {
-  if (!passesQuarantine(entry, now)) return;
+  if (!checkQuarantine(entry, now)) return;
   const Choice choice = choose(entry, now);
   if (choice.backend == nullptr) {
     entry.cause = choice.at_capacity ? RequestCause::back_ends_full : RequestCause::no_back_end;
     return wait(entry, now);
   }
-  if (entry.ends_at - now < kLeastDeadline) return giveUpFor(entry, RequestCause::no_time_left, now);
-  if (now + choice.expected_first_byte >= entry.ends_at) {
+  if (entry.deadline - now < kMinTimeLeft) return giveUpFor(entry, RequestCause::no_time_left, now);
+  if (now + choice.expected_first_byte >= entry.deadline) {
     return giveUpFor(entry, RequestCause::expected_too_late, now);
   }
   dispatch(entry, choice, now);
@@ -157,13 +159,13 @@
   if (!entry.waiting) {
     entry.waiting = true;
     queue_.insert({entry.priority, entry.id});
-    const TimePoint first = entry.arrived_at + entry.route->first_byte_target / kQueueShare;
-    const TimePoint until = entry.dispatches > 0 ? now + kMoveWait : std::max(now, first);
-    entry.queued_until = std::min(until, entry.ends_at);
-    if (now < entry.queued_until) tellWaiting(entry, now);
+    const TimePoint first = entry.arrived_at + entry.route->first_byte_target / kQueueTimeDivisor;
+    const TimePoint until = entry.dispatches > 0 ? now + kMaxRetryQueueTime : std::max(now, first);
+    entry.queued_until = std::min(until, entry.deadline);
+    if (now < entry.queued_until) reportWaiting(entry, now);
   }
   if (now >= entry.queued_until) return giveUp(entry, now);
-  wakeAt(entry, std::min(entry.queued_until, now + kQueueLook));
+  scheduleTimer(entry, std::min(entry.queued_until, now + kQueueRetryInterval));
 }
 
 void Gateway::serveQueue(TimePoint now) {
@@ -176,8 +178,8 @@
     const Pool* pool = entry->pool;
     place(*entry, now);
     entry = findClient(client);
-    const bool for_room = entry != nullptr && entry->cause != RequestCause::runs_already;
-    if (for_room && entry->waiting) full.push_back(pool);
+    const bool lacks_capacity = entry != nullptr && entry->cause != RequestCause::runs_already;
+    if (lacks_capacity && entry->waiting) full.push_back(pool);
   }
 }
 
@@ -188,8 +190,8 @@
   terms.expected_backend = choice.backend->view.name;
   terms.tenant = entry.tenant;
   terms.expected_weights = choice.weights;
-  terms.deadline = entry.ends_at - now - settings_.deadline_margin;
-  terms.priority = std::min(entry.priority, kLeastUrgent);
+  terms.deadline = entry.deadline - now - settings_.deadline_margin;
+  terms.priority = std::min(entry.priority, kLowestPriority);
   terms.cache_scope = choice.cache_scope;
   terms.import_from = choice.import_from;
   terms.save_to = choice.save_to;
@@ -201,44 +203,44 @@
   if (entry.waiting) queue_.erase({entry.priority, entry.id});
   entry.waiting = false;
   const EngineView& backend = choice.backend->view;
-  Running running;
-  running.exchange = next_exchange_++;
-  running.slot = backend.slot;
-  running.incarnation = backend.incarnation;
-  running.sent_at = now;
-  running.heard_at = now;
-  running.expected = choice.expected_first_byte;
-  running.prompt = choice_.onDispatch(choice, running.exchange, now);
-  ++entry.sends;
+  ActiveExchange active;
+  active.exchange = next_exchange_++;
+  active.slot = backend.slot;
+  active.incarnation = backend.incarnation;
+  active.sent_at = now;
+  active.last_received_at = now;
+  active.expected = choice.expected_first_byte;
+  active.prompt = choice_.onDispatch(choice, active.exchange, now);
+  ++entry.backends_reached;
   ++entry.dispatches;
   ++counters_.dispatches;
-  if (entry.arrived_before) ++counters_.repeats;
-  exchanges_[running.exchange] = entry.id;
+  if (entry.may_have_arrived) ++counters_.repeats;
+  exchanges_[active.exchange] = entry.id;
   entry.last_backend = backend.name;
-  tellPlaced(entry, choice, now);
+  reportPlaced(entry, choice, now);
   table_.onDispatch(backend.slot);
-  wakeAt(entry, std::min(entry.ends_at, now + settings_.silence_limit));
+  scheduleTimer(entry, std::min(entry.deadline, now + settings_.silence_limit));
   actions_.emplace_back(
-      Dispatch{running.exchange, entry.id, backend.address, forwardTerms(entry, choice, now)});
-  entry.running = std::move(running);
+      Dispatch{active.exchange, entry.id, backend.address, forwardTerms(entry, choice, now)});
+  entry.active = std::move(active);
 }
 
-// Ends.
+// End of requests.
 
-/// Answers as not run, with a time to come back.
+/// Responds that the request was not run, with the time after which the client may retry.
 void Gateway::refuse(Entry& entry, TimePoint now) {
   ++counters_.refused;
   const Duration retry_after = retryAfter(entry, now);
   actions_.emplace_back(Refuse{entry.id, kUnavailable, retry_after, entry.cause});
-  tellEnded(entry, RequestOutcome::refused, kUnavailable, retry_after, now);
+  reportEnded(entry, RequestOutcome::refused, kUnavailable, retry_after, now);
 }
 
-/// Refuses a request that may not be served at all.
-void Gateway::refuseUnchecked(ClientId client, const IncomingRequest& request, const CheckedRequest& checked,
-                              TimePoint now) {
+/// Refuses a request that failed the checks on arrival.
+void Gateway::refuseInadmissible(ClientId client, const IncomingRequest& request,
+                                 const CheckedRequest& checked, TimePoint now) {
   ++counters_.refused;
-  const bool comes_back = checked.refusal == kUnavailable;
-  const Duration retry_after = comes_back ? kMostRetryAfter : Duration(0);
+  const bool retryable = checked.refusal == kUnavailable;
+  const Duration retry_after = retryable ? kMaxRetryAfter : Duration(0);
   actions_.emplace_back(Refuse{client, checked.refusal, retry_after, checked.cause});
   Entry entry;
   entry.id = client;
@@ -247,8 +249,8 @@
   entry.configuration = snapshot_ == nullptr ? nullptr : snapshot_->configuration;
   entry.cause = checked.cause;
   entry.arrived_at = now;
-  const RequestOutcome outcome = comes_back ? RequestOutcome::refused : RequestOutcome::rejected;
-  tellEnded(entry, outcome, checked.refusal, retry_after, now);
+  const RequestOutcome outcome = retryable ? RequestOutcome::refused : RequestOutcome::rejected;
+  reportEnded(entry, outcome, checked.refusal, retry_after, now);
 }
 
 void Gateway::giveUpFor(Entry& entry, RequestCause cause, TimePoint now) {
@@ -256,19 +258,19 @@
   giveUp(entry, now);
 }
 
-/// Spread, so that those refused together do not come back together. One that is not run for a known time is
-/// told so.
+/// Random around half of the first-byte target, so that clients refused at the same time do not retry at the
+/// same time. For a quarantined request, the time left of the quarantine.
 Duration Gateway::retryAfter(const Entry& entry, TimePoint now) {
   if (entry.cause == RequestCause::quarantined) return entry.quarantined_until - now;
   const Duration base = entry.route->first_byte_target / 2;
-  const Duration bounded = std::clamp(base, kLeastRetryAfter, kMostRetryAfter);
+  const Duration bounded = std::clamp(base, kMinRetryAfter, kMaxRetryAfter);
   return Duration(static_cast<std::int64_t>(static_cast<double>(bounded.count()) * (0.5 + random_.unit())));
 }
 
 void Gateway::finish(Entry& entry) {
   if (entry.waiting) queue_.erase({entry.priority, entry.id});
-  timers_.erase({entry.wakes_at, entry.id});
-  const ClientId id = entry.id;  // The entry is gone after the next line.
+  timers_.erase({entry.timer_at, entry.id});
+  const ClientId id = entry.id;  // erase() destroys the entry.
   entries_.erase(id);
 }
 
@@ -277,24 +279,24 @@
   if (entry == nullptr) return;
   ++counters_.abandoned;
   entry->cause = RequestCause::client_left;
-  tellEnded(*entry, RequestOutcome::abandoned, entry->head_passed ? entry->running.status : 0, Duration(0),
-            now);
+  reportEnded(*entry, RequestOutcome::abandoned, entry->head_forwarded ? entry->active.status : 0,
+              Duration(0), now);
   cancelExchange(*entry, DispatchOutcome::Ended, now);
   finish(*entry);
   serveQueue(now);
 }
 
-/// Neither the client nor the route waits any longer.
+/// The deadline of the request has passed.
 void Gateway::expire(Entry& entry, TimePoint now) {
-  if (entry.running.exchange != 0) {
+  if (entry.active.exchange != 0) {
     entry.may_have_run = true;
     entry.cause = RequestCause::time_ran_out;
   }
   cancelExchange(entry, DispatchOutcome::Ended, now);
-  if (!entry.head_passed && entry.may_have_run) {
+  if (!entry.head_forwarded && entry.may_have_run) {
     ++counters_.failed;
     actions_.emplace_back(Refuse{entry.id, kGatewayTimeout, Duration(0), entry.cause});
-    tellEnded(entry, RequestOutcome::failed, kGatewayTimeout, Duration(0), now);
+    reportEnded(entry, RequestOutcome::failed, kGatewayTimeout, Duration(0), now);
     return finish(entry);
   }
   giveUp(entry, now);
@@ -302,9 +304,9 @@
 
 // Timers.
 
-void Gateway::wakeAt(Entry& entry, TimePoint when) {
-  timers_.erase({entry.wakes_at, entry.id});
-  entry.wakes_at = when;
+void Gateway::scheduleTimer(Entry& entry, TimePoint when) {
+  timers_.erase({entry.timer_at, entry.id});
+  entry.timer_at = when;
   timers_.insert({when, entry.id});
 }
 
@@ -319,16 +321,16 @@
     Entry* entry = findClient(client);
     timers_.erase(timers_.begin());
     if (entry == nullptr) continue;
-    entry->wakes_at = TimePoint::max();
-    onWake(*entry, now);
+    entry->timer_at = TimePoint::max();
+    onRequestTimer(*entry, now);
   }
 }
 
-void Gateway::onWake(Entry& entry, TimePoint now) {
-  if (now >= entry.ends_at) return expire(entry, now);
+void Gateway::onRequestTimer(Entry& entry, TimePoint now) {
+  if (now >= entry.deadline) return expire(entry, now);
   if (entry.waiting) return place(entry, now);
-  if (entry.running.exchange != 0) return checkSilence(entry, now);
-  wakeAt(entry, entry.ends_at);
+  if (entry.active.exchange != 0) return checkSilence(entry, now);
+  scheduleTimer(entry, entry.deadline);
 }
 
 }  // namespace crankspur::gateway
--- a/src/gateway/request_observer.cc
+++ b/src/gateway/request_observer.cc
@@ -3,7 +3,7 @@
 namespace crankspur::gateway {
 namespace {
 
-class SilentObserver : public RequestObserver {
+class NoopObserver : public RequestObserver {
 public:
   void onAdmitted(const RequestAdmitted&) override {}
   void onPlaced(const RequestPlaced&) override {}
@@ -17,8 +17,8 @@
 
 }  // namespace
 
-RequestObserver& noObserver() {
-  static SilentObserver observer;
+RequestObserver& noopObserver() {
+  static NoopObserver observer;
   return observer;
 }
 
--- a/tests/unit/gateway/gateway_failure_test.cc
+++ b/tests/unit/gateway/gateway_failure_test.cc
@@ -2,24 +2,24 @@
 
 namespace crankspur::gateway {
 
-TEST_CASE("what may run once only is never sent again once a byte was sent", "[gateway]") {
+TEST_CASE("an at-most-once request is not repeated after a byte was sent", "[gateway]") {
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("order");
   SECTION("the connection broke") {
-    fixture.lose(true);
+    fixture.breakExchange(true);
   }
-  SECTION("the answer is not the back end's own") {
+  SECTION("the response lacks the back end's marks") {
     fixture.head(200, {});
   }
-  SECTION("the back end claims no promise but answers with the status of one") {
+  SECTION("the back end responds with 503 without stating that the request was not run") {
     fixture.head(503);
   }
   CHECK_FALSE(fixture.has<Dispatch>());
   CHECK(fixture.only<Refuse>().status == 502);
 }
 
-TEST_CASE("a request that reached nobody goes to another back end without cost", "[gateway]") {
+TEST_CASE("a request that reached no back end is retried without using the retry budget", "[gateway]") {
   GatewaySettings settings;
   settings.retry_budget = {0, seconds(10), 0};
   GatewayFixture fixture(settings);
@@ -27,22 +27,22 @@
   fixture.publish();
   fixture.send("order");
   const std::string first = fixture.last.address;
-  fixture.lose(false);
+  fixture.breakExchange(false);
   CHECK(fixture.only<Dispatch>().address != first);
   CHECK(fixture.has<ReportUnreachable>());
-  fixture.lose(false);
-  fixture.pass(seconds(1));
+  fixture.breakExchange(false);
+  fixture.advance(seconds(1));
   CHECK(fixture.only<Refuse>().status == 503);
 }
 
-TEST_CASE("a request that a full back end did not run goes elsewhere or is refused", "[gateway]") {
+TEST_CASE("a request that a back end at capacity did not run is retried elsewhere or refused", "[gateway]") {
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("order");
   const std::string first = fixture.last.address;
   fixture.notRun();
   CHECK(fixture.only<Dispatch>().address != first);
-  CHECK(fixture.has<DiscardAnswer>());
+  CHECK(fixture.has<DiscardResponse>());
   fixture.notRun();
   CHECK(fixture.only<Refuse>().status == 503);
   CHECK(fixture.only<Refuse>().retry_after > Duration(0));
@@ -52,23 +52,23 @@
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("look");
-  fixture.lose(true);
+  fixture.breakExchange(true);
   CHECK(fixture.has<Dispatch>());
-  fixture.lose(true);
+  fixture.breakExchange(true);
   CHECK_FALSE(fixture.has<Dispatch>());
   CHECK(fixture.only<Refuse>().status == 502);
 }
 
-TEST_CASE("a repeat gets the time that is left", "[gateway]") {
+TEST_CASE("a repeat gets the remaining time as its deadline", "[gateway]") {
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("look");
-  fixture.pass(seconds(1));
-  fixture.lose(true);
+  fixture.advance(seconds(1));
+  fixture.breakExchange(true);
   CHECK(fixture.only<Dispatch>().terms.deadline <= seconds(2));
 }
 
-TEST_CASE("repeats keep to the budget of their pool", "[gateway]") {
+TEST_CASE("repeats do not exceed the retry budget of their pool", "[gateway]") {
   GatewaySettings settings;
   settings.retry_budget = {0.1, seconds(10), 1};
   GatewayFixture fixture(settings);
@@ -81,13 +81,13 @@
     repeats += fixture.has<Dispatch>() ? 1 : 0;
     if (fixture.has<Dispatch>()) fixture.head(200);
     fixture.end();
-    CHECK(fixture.has<PassWhole>());
+    CHECK(fixture.has<ForwardResponse>());
   }
   CHECK(repeats >= 1);
   CHECK(repeats <= 3);
 }
 
-TEST_CASE("the budget is shared by the gateways and comes back with time", "[gateway]") {
+TEST_CASE("the retry budget is shared by the gateways and recovers after its window", "[gateway]") {
   RetryBudget budget({0.2, seconds(10), 8});
   const TimePoint start{seconds(50)};
   for (int count = 0; count < 10; ++count) budget.onRequest(start);
@@ -98,17 +98,18 @@
   CHECK(budget.tryRetry(4, start + seconds(12)));
 }
 
-TEST_CASE("the back end's own failure is passed on as it is when it is not repeated", "[gateway]") {
+TEST_CASE("an error response of a back end is forwarded unchanged if the request is not repeated",
+          "[gateway]") {
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("order");
   fixture.head(500);
   CHECK(fixture.actions.empty());
   fixture.end();
-  CHECK(fixture.only<PassWhole>().exchange == fixture.last.exchange);
+  CHECK(fixture.only<ForwardResponse>().exchange == fixture.last.exchange);
 }
 
-TEST_CASE("an answer without the back end's marks is never passed on", "[gateway]") {
+TEST_CASE("a response without the back end's marks is never forwarded", "[gateway]") {
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("look");
@@ -118,20 +119,21 @@
   CHECK(fixture.only<Dispatch>().address != first);
 }
 
-TEST_CASE("an answer is passed on only once it is whole", "[gateway]") {
+TEST_CASE("a response that is not streamed is forwarded only when it is complete", "[gateway]") {
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("look");
   fixture.head(200);
   CHECK(fixture.actions.empty());
-  fixture.lose(true);
+  fixture.breakExchange(true);
   CHECK(fixture.has<Dispatch>());
   fixture.head(200);
   fixture.end();
-  CHECK(fixture.has<PassWhole>());
+  CHECK(fixture.has<ForwardResponse>());
 }
 
-TEST_CASE("a back end with other weights is asked once more with those it has", "[gateway]") {
+TEST_CASE("a request is sent again to a back end with other weights, with the weights that it has",
+          "[gateway]") {
   GatewayFixture fixture;
   fixture.configuration.routes[3].maximum_attempts = 1;
   fixture.backends.pop_back();
@@ -145,7 +147,7 @@
   CHECK(fixture.last.terms.cache_scope != old_scope);
 }
 
-TEST_CASE("a back end that is another than expected gets nothing more for a while", "[gateway]") {
+TEST_CASE("a back end with another incarnation than expected gets no requests for some time", "[gateway]") {
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("order");
@@ -156,7 +158,7 @@
   CHECK(fixture.only<Dispatch>().address != first);
 }
 
-TEST_CASE("a back end that keeps failing is left out while others do", "[gateway]") {
+TEST_CASE("a back end that keeps failing gets no requests while another does not fail", "[gateway]") {
   GatewayFixture fixture;
   for (Backend& backend : fixture.backends) backend.slots = 100;
   fixture.publish();
@@ -171,32 +173,32 @@
   CHECK(to_first == 0);
 }
 
-TEST_CASE("what may be repeated leaves a back end that has gone silent", "[gateway]") {
+TEST_CASE("a repeatable request is retried elsewhere when its back end is unresponsive", "[gateway]") {
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("look");
   const std::string first = fixture.last.address;
   const ClientId once = fixture.send("order");
-  fixture.pass(milliseconds(1600));
+  fixture.advance(milliseconds(1600));
   CHECK(fixture.only<Dispatch>().address != first);
   CHECK(fixture.only<Dispatch>().client != once);
   CHECK(fixture.has<CancelExchange>());
 }
 
-TEST_CASE("a long prompt is not taken from the back end that is still reading it", "[gateway]") {
+TEST_CASE("a request is not retried while its back end is expected to read a long prompt", "[gateway]") {
   GatewayFixture fixture;
   fixture.configuration.routes[2].timeout = seconds(20);
   fixture.publish();
   IncomingRequest review = GatewayFixture::request("review");
-  // Two seconds at the rate that is taken until one is learnt.
+  // Two seconds at the initial prefill rate.
   review.client->prompt = {{11, 60'000}};
   review.client->prompt_tokens = 60'000;
   review.client->deadline = seconds(20);
   fixture.send(std::move(review));
   const std::string first = fixture.last.address;
-  fixture.pass(milliseconds(3'500));
+  fixture.advance(milliseconds(3'500));
   CHECK_FALSE(fixture.has<CancelExchange>());
-  fixture.pass(milliseconds(800));
+  fixture.advance(milliseconds(800));
   CHECK(fixture.has<CancelExchange>());
   CHECK(fixture.only<Dispatch>().address != first);
 }
--- a/tests/unit/gateway/gateway_records_test.cc
+++ b/tests/unit/gateway/gateway_records_test.cc
@@ -1,4 +1,5 @@
-/// @file What a gateway tells its observer: each request that ends has one last record, with the cause.
+/// @file What a gateway reports to its observer: each request that ends has exactly one final record, with
+/// the cause.
 
 #include "gateway_fixture.h"
 
@@ -7,7 +8,7 @@
 
 namespace {
 
-/// @return the one record of an end, with the id of the fixture's requests.
+/// @return the only final record; fails the test unless there is one, with the id of the fixture's requests.
 RequestEnded onlyEnd(const GatewayFixture& fixture) {
   REQUIRE(fixture.observer.ended.size() == 1);
   CHECK(fixture.observer.ended_ids.front() == "id");
@@ -16,7 +17,7 @@
 
 }  // namespace
 
-TEST_CASE("an answered request is told as admitted, placed and answered", "[gateway][records]") {
+TEST_CASE("an answered request is reported as admitted, placed and answered", "[gateway][records]") {
   GatewayFixture fixture;
   fixture.key_validity = seconds(5);
   fixture.contact->confirm(fixture.now);
@@ -44,12 +45,12 @@
   CHECK(ended.keys_age == milliseconds(40));
 }
 
-TEST_CASE("a refusal tells its cause and when the client may come back", "[gateway][records]") {
+TEST_CASE("a refusal reports its cause and when the client may retry", "[gateway][records]") {
   GatewayFixture fixture;
   fixture.backends.clear();
   fixture.publish();
   fixture.send("order");
-  fixture.pass(seconds(1));
+  fixture.advance(seconds(1));
   REQUIRE(fixture.observer.waiting.size() == 1);
   CHECK(fixture.observer.waiting.front().cause == RequestCause::no_back_end);
   const RequestEnded ended = onlyEnd(fixture);
@@ -60,7 +61,7 @@
   CHECK_FALSE(ended.may_have_run);
 }
 
-TEST_CASE("requests that may not be served at all are told with the cause", "[gateway][records]") {
+TEST_CASE("requests that fail the checks on arrival are reported with the cause", "[gateway][records]") {
   GatewayFixture fixture;
   fixture.send("order");
   CHECK(onlyEnd(fixture).cause == RequestCause::no_configuration);
@@ -79,7 +80,7 @@
   CHECK(fixture.observer.ended[3].cause == RequestCause::malformed_head);
 }
 
-TEST_CASE("a request that the driver answered unread is told with the cause", "[gateway][records]") {
+TEST_CASE("a request that the driver could not read is reported with the cause", "[gateway][records]") {
   struct Unread {
     int status;
     RequestCause cause;
@@ -93,7 +94,7 @@
       {503, RequestCause::too_many_connections, RequestOutcome::refused},
   }));
   GatewayFixture fixture;
-  fixture.gateway.onUnread("id", unread.status, TimePoint{});
+  fixture.gateway.onUnreadableRequest("id", unread.status, TimePoint{});
   const RequestEnded ended = onlyEnd(fixture);
   CHECK(ended.cause == unread.cause);
   CHECK(ended.outcome == unread.outcome);
@@ -101,15 +102,16 @@
   CHECK_FALSE(ended.may_have_run);
 }
 
-TEST_CASE("a back end that breaks off is told, and where the request ends", "[gateway][records]") {
+TEST_CASE("a broken exchange is reported, and the back end at which the request ended",
+          "[gateway][records]") {
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("order");
   const std::string first = fixture.observer.placed_at.front();
-  fixture.lose(true);
+  fixture.breakExchange(true);
   REQUIRE(fixture.observer.moved.size() == 1);
   CHECK(fixture.observer.moved.front().cause == RequestCause::answer_broke_off);
-  CHECK_FALSE(fixture.observer.moved.front().goes_on);
+  CHECK_FALSE(fixture.observer.moved.front().will_retry);
   const RequestEnded ended = onlyEnd(fixture);
   CHECK(ended.outcome == RequestOutcome::failed);
   CHECK(ended.status == 502);
@@ -117,7 +119,7 @@
   CHECK(fixture.observer.ended_at.front() == first);
 }
 
-TEST_CASE("a request that is sent again tells the cause and the budget that is left", "[gateway][records]") {
+TEST_CASE("a retry is reported with its cause and the remaining retry budget", "[gateway][records]") {
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("look");
@@ -126,20 +128,21 @@
   const RequestMoved& moved = fixture.observer.moved.front();
   CHECK(moved.cause == RequestCause::error_answer);
   CHECK(moved.status == 500);
-  CHECK(moved.goes_on);
+  CHECK(moved.will_retry);
   CHECK(moved.budget_left > 0);
   REQUIRE(fixture.observer.placed.size() == 2);
   CHECK(fixture.observer.placed.back().dispatch == 2);
   CHECK(fixture.observer.placed_at[0] != fixture.observer.placed_at[1]);
 }
 
-TEST_CASE("a stream that is cut and one that its client leaves are told apart", "[gateway][records]") {
+TEST_CASE("an aborted stream and a client that disconnects are reported with different outcomes",
+          "[gateway][records]") {
   GatewayFixture fixture;
   fixture.publish();
   fixture.send("answer");
   fixture.head(200);
   fixture.bytes("id: 1\ndata: a\n\n");
-  fixture.lose(true);
+  fixture.breakExchange(true);
   const ClientId leaving = fixture.send("answer");
   fixture.gateway.onClientGone(leaving, fixture.now);
   REQUIRE(fixture.observer.ended.size() == 2);
@@ -149,24 +152,24 @@
   CHECK(fixture.observer.ended[1].cause == RequestCause::client_left);
 }
 
-TEST_CASE("a request that outlasts its time is told as such", "[gateway][records]") {
+TEST_CASE("a request that exceeds its deadline is reported with 504", "[gateway][records]") {
   GatewayFixture fixture;
   fixture.backends = {makeBackend(1, "app")};
   fixture.publish();
   fixture.send("order");
-  fixture.pass(seconds(5));
+  fixture.advance(seconds(5));
   const RequestEnded ended = onlyEnd(fixture);
   CHECK(ended.status == 504);
   CHECK(ended.cause == RequestCause::time_ran_out);
 }
 
-TEST_CASE("a back end that keeps failing is told as distrusted, once", "[gateway][records]") {
+TEST_CASE("a back end that keeps failing is reported as distrusted once", "[gateway][records]") {
   GatewayFixture fixture;
   fixture.backends = {makeBackend(1, "app")};
   fixture.publish();
   for (int request = 0; request < 12 && fixture.observer.distrusted.empty(); ++request) {
     fixture.send("order");
-    if (fixture.has<Dispatch>()) fixture.lose(true);
+    if (fixture.has<Dispatch>()) fixture.breakExchange(true);
   }
   REQUIRE(fixture.observer.distrusted.size() == 1);
   CHECK(fixture.observer.distrusted.front() == "b1");
--- a/tests/unit/gateway/silent_backend_test.cc
+++ b/tests/unit/gateway/silent_backend_test.cc
@@ -17,7 +17,7 @@
     if (backend.view.address == site.last.address) backend.silent_since = since;
   }
   site.publish();
-  site.take();
+  site.takeActions();
 }
 
 }  // namespace
@@ -67,7 +67,7 @@
   const std::string other = otherEngine(site);
   site.now += milliseconds(500);
   markLastUnresponsive(site, site.now - milliseconds(400));
-  site.pass(milliseconds(1));
+  site.advance(milliseconds(1));
   REQUIRE(site.has<Dispatch>());
   CHECK(site.only<Dispatch>().address == other);
   CHECK(site.observer.moved.back().cause == RequestCause::silence);
@@ -80,9 +80,9 @@
   site.send("review");
   site.now += milliseconds(100);
   markLastUnresponsive(site, site.now - milliseconds(100));
-  site.pass(milliseconds(150));
+  site.advance(milliseconds(150));
   CHECK_FALSE(site.has<Dispatch>());
-  site.pass(milliseconds(200));
+  site.advance(milliseconds(200));
   CHECK(site.has<Dispatch>());
 }
 
@@ -92,7 +92,7 @@
   site.send("answer");
   site.now += milliseconds(500);
   markLastUnresponsive(site, site.now - milliseconds(400));
-  site.pass(milliseconds(100));
+  site.advance(milliseconds(100));
   CHECK_FALSE(site.has<Dispatch>());
   CHECK_FALSE(site.has<Refuse>());
 }
@@ -107,7 +107,7 @@
   site.now += milliseconds(400);
   site.head(200);
   markLastUnresponsive(site, since);
-  site.pass(milliseconds(100));
+  site.advance(milliseconds(100));
   CHECK_FALSE(site.has<Dispatch>());
   site.bytes("id: 1\ndata: x\n\n");
   site.end();
