--- a/sim/gateway_world/gateway_node.h
+++ b/sim/gateway_world/gateway_node.h
@@ -125,7 +125,7 @@
   void publish();
   void pumpCrashes();
   void carryOut(const gateway::SendCrashMessage& action);
-  void carryOut(const gateway::TellTraffic& action);
+  void carryOut(const gateway::NotifyTraffic& action);
   void carryOut(const gateway::CallStore& action);
   void pumpMembership();
   void sendDatagram(const std::string& member, const Message& message);
--- a/sim/gateway_world/gateway_node_control.cc
+++ b/sim/gateway_world/gateway_node_control.cc
@@ -78,7 +78,7 @@
 
 void GatewayNode::publish() {
   auto snapshot = std::make_shared<gateway::GatewaySnapshot>();
-  if (process_->has_configuration && process_->crashes.isSettled(now())) {
+  if (process_->has_configuration && process_->crashes.isReady(now())) {
     snapshot->configuration = world_.configuration();
   }
   snapshot->backends = process_->fleet.backends(now());
@@ -113,7 +113,7 @@
   if (context_.has(sim::Mechanism::CrashExchange)) sendDatagram(action.member, action.message);
 }
 
-void GatewayNode::carryOut(const gateway::TellTraffic& action) {
+void GatewayNode::carryOut(const gateway::NotifyTraffic& action) {
   host_.post(kThreadDelay,
              [this, update = action.update] { process_->traffic.onCrashUpdate(update, now()); });
 }
--- a/src/gateway_control/cache_exchange.cc
+++ b/src/gateway_control/cache_exchange.cc
@@ -106,10 +106,10 @@
 
 // Caches that others follow.
 
-bool CacheExchange::misses(ToldCache& known, const std::string& teller, const CacheNote& note,
+bool CacheExchange::misses(ToldCache& known, const std::string& sender, const CacheNote& note,
                            TimePoint now) {
-  const bool follows = known.teller == teller && note.sequence <= known.sequence + 1;
-  known.teller = teller;
+  const bool follows = known.sender == sender && note.sequence <= known.sequence + 1;
+  known.sender = sender;
   known.sequence = std::max(note.sequence, follows ? known.sequence : note.sequence);
   if (follows || note.complete) return false;
   const bool asked = known.asked_at != TimePoint{} && now - known.asked_at < kAskInterval;
@@ -117,15 +117,15 @@
   return !asked;
 }
 
-ReceivedCacheNotes CacheExchange::onNotes(const std::string& teller, const CacheNotes& notes, TimePoint now) {
+ReceivedCacheNotes CacheExchange::onNotes(const std::string& sender, const CacheNotes& notes, TimePoint now) {
   ReceivedCacheNotes received;
   for (const CacheNote& note : notes.notes) {
     if (own_.contains(note.backend)) continue;  // What this gateway sees itself is newer.
     ToldCache& known = told_[note.backend];
-    const bool outdated = known.teller == teller && note.sequence < known.sequence && !note.complete;
+    const bool outdated = known.sender == sender && note.sequence < known.sequence && !note.complete;
     if (outdated) continue;
-    if (misses(known, teller, note, now)) received.wanted.push_back({note.backend});
-    ToldCacheNews news;
+    if (misses(known, sender, note, now)) received.wanted.push_back({note.backend});
+    ReceivedCacheUpdate news;
     news.backend = note.backend;
     news.complete = note.complete;
     for (const CacheNotePart& part : note.parts) {
--- a/src/gateway_control/cache_exchange.h
+++ b/src/gateway_control/cache_exchange.h
@@ -2,7 +2,7 @@
 /// @file Shares news of caches between the gateways of a zone, so that each back end's cache is followed by
 /// one of them. Pure decision code: datagrams may be lost, doubled and come out of order.
 ///
-/// The teller of a back end numbers its notes. A receiver that misses a number asks the teller for the whole;
+/// The sender of a back end numbers its notes. A receiver that misses a number asks the sender for the whole;
 /// until it comes, later notes are still taken, since each states what the cache holds, not what changed.
 
 #include <cstdint>
@@ -20,7 +20,7 @@
 namespace crankspur::gateway {
 
 /// News of a back end's cache from another gateway.
-struct ToldCacheNews {
+struct ReceivedCacheUpdate {
   std::string backend;
   bool complete = false;
   std::vector<CachedPart> parts;
@@ -28,8 +28,8 @@
 
 /// What comes of received notes.
 struct ReceivedCacheNotes {
-  std::vector<ToldCacheNews> news;
-  std::vector<CacheWanted> wanted;  ///< To be sent to the teller.
+  std::vector<ReceivedCacheUpdate> news;
+  std::vector<CacheWanted> wanted;  ///< To be sent to the sender.
 };
 
 /// The exchange of one gateway. Not thread-safe.
@@ -47,7 +47,7 @@
   /// it.
   std::vector<CacheNotes> onWanted(const CacheWanted& wanted) const;
 
-  ReceivedCacheNotes onNotes(const std::string& teller, const CacheNotes& notes, TimePoint now);
+  ReceivedCacheNotes onNotes(const std::string& sender, const CacheNotes& notes, TimePoint now);
   /// Forgets all back ends but these.
   void retain(const std::set<std::string>& present);
 
@@ -62,12 +62,12 @@
   };
   /// A cache that another gateway follows.
   struct ToldCache {
-    std::string teller;
+    std::string sender;
     std::uint64_t sequence = 0;
     TimePoint asked_at{};
   };
 
-  bool misses(ToldCache& known, const std::string& teller, const CacheNote& note, TimePoint now);
+  bool misses(ToldCache& known, const std::string& sender, const CacheNote& note, TimePoint now);
 
   std::map<std::string, OwnCache> own_;
   std::map<std::string, ToldCache> told_;
--- a/src/gateway_control/cache_watch.cc
+++ b/src/gateway_control/cache_watch.cc
@@ -154,7 +154,7 @@
 
 void CacheWatch::onAnswer(Followed& followed) {
   followed.heard_at = clock_.now();
-  if (std::exchange(followed.silent, false)) callbacks_.on_heard(followed.slot, followed.incarnation);
+  if (std::exchange(followed.silent, false)) callbacks_.on_responsive(followed.slot, followed.incarnation);
 }
 
 bool CacheWatch::othersAnswer(const Followed& followed) const {
@@ -169,7 +169,8 @@
     return askLater(followed, kPauseAfterRefusal);
   }
   const bool again = std::exchange(followed->silent, true);
-  callbacks_.on_silent({followed->slot, followed->incarnation, followed->asked_at, othersAnswer(*followed)});
+  callbacks_.on_unresponsive(
+      {followed->slot, followed->incarnation, followed->asked_at, othersAnswer(*followed)});
   askLater(followed, again ? kPauseAfterSilence : Duration(0));
 }
 
@@ -179,7 +180,7 @@
   news.incarnation = followed.incarnation;
   news.complete = complete;
   news.parts = std::move(parts);
-  callbacks_.on_news(std::move(news));
+  callbacks_.on_update(std::move(news));
 }
 
 }  // namespace crankspur::gateway
--- a/src/gateway_control/cache_watch.h
+++ b/src/gateway_control/cache_watch.h
@@ -15,19 +15,19 @@
 namespace crankspur::gateway {
 
 /// A cache that did not answer.
-struct CacheSilence {
+struct UnresponsiveCache {
   EngineSlot slot = 0;
   std::uint64_t incarnation = 0;
-  TimePoint since{};           ///< When the call that it did not answer was sent.
-  bool others_answer = false;  ///< Another cache has answered since: the fault is not this gateway's own.
+  TimePoint since{};              ///< When the call that it did not answer was sent.
+  bool others_responded = false;  ///< Another cache has answered since: the fault is not this gateway's own.
 };
 
 /// What the watch tells.
 struct CacheWatchCallbacks {
-  std::function<void(CachedPartsNews)> on_news;
-  std::function<void(const CacheSilence&)> on_silent;
+  std::function<void(CachedPartsNews)> on_update;
+  std::function<void(const UnresponsiveCache&)> on_unresponsive;
   /// A cache that was told to be silent answers again.
-  std::function<void(EngineSlot, std::uint64_t incarnation)> on_heard;
+  std::function<void(EngineSlot, std::uint64_t incarnation)> on_responsive;
 };
 
 /// The watch.
--- a/src/gateway_control/crash_coordinator.cc
+++ b/src/gateway_control/crash_coordinator.cc
@@ -50,16 +50,16 @@
 }
 
 void CrashCoordinator::take(CrashUpdate update, TimePoint now) {
-  if (exchange_.onUpdate(update, now)) actions_.emplace_back(TellTraffic{std::move(update)});
+  if (exchange_.onUpdate(update, now)) actions_.emplace_back(NotifyTraffic{std::move(update)});
 }
 
 /// One without evidence tells its digest to nobody of itself; by telling it to this one it asks.
-void CrashCoordinator::onDigest(const std::string& teller, const CrashDigest& digest, TimePoint now) {
+void CrashCoordinator::onDigest(const std::string& sender, const CrashDigest& digest, TimePoint now) {
   if (exchange_.onDigest(digest.digest, now)) {
-    actions_.emplace_back(SendCrashMessage{teller, toNotes(exchange_.allEvidence(), now)});
+    actions_.emplace_back(SendCrashMessage{sender, toNotes(exchange_.allEvidence(), now)});
   }
   if (exchange_.digest() == 0 && digest.digest != 0) {
-    actions_.emplace_back(SendCrashMessage{teller, CrashDigest{}});
+    actions_.emplace_back(SendCrashMessage{sender, CrashDigest{}});
   }
 }
 
--- a/src/gateway_control/crash_coordinator.h
+++ b/src/gateway_control/crash_coordinator.h
@@ -20,7 +20,7 @@
 };
 
 /// Tells this gateway's traffic what it did not know.
-struct TellTraffic {
+struct NotifyTraffic {
   CrashUpdate update;
 };
 
@@ -29,7 +29,7 @@
   CrashRecordCall call;
 };
 
-using CrashAction = std::variant<SendCrashMessage, TellTraffic, CallStore>;
+using CrashAction = std::variant<SendCrashMessage, NotifyTraffic, CallStore>;
 
 /// See the file comment. Not thread-safe.
 class CrashCoordinator {
@@ -44,7 +44,7 @@
   /// Notes that may have waited to be read while this process stood still are dropped: their ages are of when
   /// they were sent. The digests bring them again.
   void onNotes(const CrashNotes& notes, TimePoint now);
-  void onDigest(const std::string& teller, const CrashDigest& digest, TimePoint now);
+  void onDigest(const std::string& sender, const CrashDigest& digest, TimePoint now);
   /// A gateway became known, or is back.
   void onMemberJoined(TimePoint now) { exchange_.onMemberJoined(now); }
   /// @param record empty: the store did not answer.
@@ -57,7 +57,7 @@
   /// @return actions since the last call, in their order.
   std::vector<CrashAction> takeActions() { return std::exchange(actions_, {}); }
   /// False: requests that the record quarantines may not be known yet, so that nothing is served.
-  bool isSettled(TimePoint now) const { return record_.isSettled(now); }
+  bool isReady(TimePoint now) const { return record_.isReady(now); }
   std::uint64_t digest() const { return exchange_.digest(); }
 
 private:
--- a/src/gateway_control/crash_record.h
+++ b/src/gateway_control/crash_record.h
@@ -48,7 +48,7 @@
   /// @return when nextCall() has something to ask for; TimePoint::max(): not before another event.
   TimePoint nextTimer() const;
   /// @return whether the record has been read, or not in a time for which callers can wait.
-  bool isSettled(TimePoint now) const { return loaded_ || now >= settles_at_; }
+  bool isReady(TimePoint now) const { return loaded_ || now >= settles_at_; }
 
 private:
   TimePoint settles_at_;
--- a/src/gateway_control/gateway_control.cc
+++ b/src/gateway_control/gateway_control.cc
@@ -72,10 +72,10 @@
   return options;
 }
 
-OrderGiverOptions orderOptions(const NodeSettings& settings, std::uint64_t incarnation) {
-  OrderGiverOptions options;
+RolloutCoordinatorOptions orderOptions(const NodeSettings& settings, std::uint64_t incarnation) {
+  RolloutCoordinatorOptions options;
   options.holder = settings.gossip;
-  options.rest = settings.order_rest;
+  options.takeover_delay = settings.order_rest;
   options.rollout.limit = settings.weights_limit;
   options.rollout.parallel = settings.parallel_weight_loads;
   options.random_seed = combineHashes(hashBytes(settings.name, 1), incarnation);
@@ -150,11 +150,11 @@
   return news;
 }
 
-OrderGiverCallbacks GatewayControl::orderCallbacks() {
-  OrderGiverCallbacks callbacks;
+RolloutCoordinatorCallbacks GatewayControl::orderCallbacks() {
+  RolloutCoordinatorCallbacks callbacks;
   callbacks.backends = [this] { return backends_; };
   callbacks.rank = [this] { return rank(); };
-  callbacks.holder_alive = [this](const std::string& holder) { return memberLives(holder); };
+  callbacks.holder_is_live = [this](const std::string& holder) { return memberLives(holder); };
   callbacks.on_report = [this](const std::string& backend, const WeightsReport& report, bool loading) {
     onReport(backend, report, loading);
   };
@@ -164,14 +164,14 @@
 
 CacheWatchCallbacks GatewayControl::cacheCallbacks() {
   CacheWatchCallbacks callbacks;
-  callbacks.on_news = [this](CachedPartsNews news) { onOwnCacheNews(std::move(news)); };
-  callbacks.on_silent = [this](const CacheSilence& silence) { onCacheSilent(silence); };
-  callbacks.on_heard = [this](EngineSlot slot, std::uint64_t cache) { onCacheHeard(slot, cache); };
+  callbacks.on_update = [this](CachedPartsNews news) { onOwnCacheUpdate(std::move(news)); };
+  callbacks.on_unresponsive = [this](const UnresponsiveCache& silence) { onCacheUnresponsive(silence); };
+  callbacks.on_responsive = [this](EngineSlot slot, std::uint64_t cache) { onCacheResponsive(slot, cache); };
   return callbacks;
 }
 
 void GatewayControl::onBackendNote(const BackendNote& note) {
-  if (note.silent_milliseconds > 0 || note.heard) return onSilenceNote(note);
+  if (note.silent_milliseconds > 0 || note.heard) return onUnresponsiveNote(note);
   orders_.onOthersActive();
   onNote(note);
 }
@@ -251,7 +251,7 @@
 void GatewayControl::onLoading(const std::string& backend) {
   fleet_.onLoading(backend, now() + kLoadingTime);
   publish();
-  gossip_.tellAll({{BackendNote{backend, milliseconds(kLoadingTime), "", "", 0, false}}});
+  gossip_.broadcast({{BackendNote{backend, milliseconds(kLoadingTime), "", "", 0, false}}});
 }
 
 void GatewayControl::onReport(const std::string& backend, const WeightsReport& report, bool is_loading) {
@@ -369,7 +369,7 @@
   auto snapshot = std::make_shared<GatewaySnapshot>();
   // Until the record of quarantined requests is known nothing is served: such a request may be the first that
   // comes.
-  if (crashes_.isSettled(now())) snapshot->configuration = configuration_;
+  if (crashes_.isReady(now())) snapshot->configuration = configuration_;
   snapshot->backends = backends_;
   snapshot->weights = orders_.named();
   snapshot->own_zone = settings_.zone;
@@ -385,7 +385,7 @@
 
 void GatewayControl::armPublishTimer() {
   TimePoint next = std::min(now() + (settled_ ? kLongestPause : kPauseUntilKnown), fleet_.nextChange(now()));
-  if (!crashes_.isSettled(now())) next = std::min(next, now() + kPauseUntilKnown);
+  if (!crashes_.isReady(now())) next = std::min(next, now() + kPauseUntilKnown);
   if (settings_.key_validity && keys_current_) {
     next = std::min(next, contact_->vouchedAt() + *settings_.key_validity);
   }
--- a/src/gateway_control/gateway_control.h
+++ b/src/gateway_control/gateway_control.h
@@ -20,8 +20,8 @@
 #include "gateway_control/fleet_view.h"
 #include "gateway_control/gossip_socket.h"
 #include "gateway_control/node_settings.h"
-#include "gateway_control/order_giver.h"
 #include "gateway_control/platform_link.h"
+#include "gateway_control/rollout_coordinator.h"
 #include "gateway_control/serving_set.h"
 
 namespace crankspur::gateway {
@@ -80,29 +80,29 @@
 private:
   TimePoint now() const { return clock_.now(); }
   PlatformNews platformNews();
-  OrderGiverCallbacks orderCallbacks();
+  RolloutCoordinatorCallbacks orderCallbacks();
   void onMembersChanged() override;
   void onBackendNote(const BackendNote& note) override;
-  void onCacheNotes(const std::string& teller, const CacheNotes& notes) override;
-  void onCacheWanted(const std::string& asker, const CacheWanted& wanted) override;
-  void onLoadDigest(const std::string& teller, const LoadDigest& digest) override;
-  void onServingNotice(const std::string& teller, const ServingNotice& notice) override;
+  void onCacheNotes(const std::string& sender, const CacheNotes& notes) override;
+  void onCacheWanted(const std::string& requester, const CacheWanted& wanted) override;
+  void onLoadDigest(const std::string& sender, const LoadDigest& digest) override;
+  void onServingNotice(const std::string& sender, const ServingNotice& notice) override;
   void onCrashNotes(const CrashNotes& notes) override;
-  void onCrashDigest(const std::string& teller, const CrashDigest& digest) override;
+  void onCrashDigest(const std::string& sender, const CrashDigest& digest) override;
   void onCrashRecord(const CrashUpdate& news);
   void pumpCrashes();
-  void carryOut(const SendCrashMessage& action);
-  void carryOut(const TellTraffic& action);
-  void carryOut(const CallStore& action);
+  void execute(const SendCrashMessage& action);
+  void execute(const NotifyTraffic& action);
+  void execute(const CallStore& action);
   std::vector<std::string> otherMembers() const;
-  void passPeerWork();
-  void onOwnCacheNews(CachedPartsNews news);
+  void forwardPeerLoad();
+  void onOwnCacheUpdate(CachedPartsNews news);
   CacheWatchCallbacks cacheCallbacks();
-  void onCacheSilent(const CacheSilence& silence);
-  void onCacheHeard(EngineSlot slot, std::uint64_t incarnation);
-  void onStoreSilent(const Backend& store);
-  void onSilenceNote(const BackendNote& note);
-  void tellSharing(const BackendNote& note);
+  void onCacheUnresponsive(const UnresponsiveCache& silence);
+  void onCacheResponsive(EngineSlot slot, std::uint64_t incarnation);
+  void onStoreUnresponsive(const Backend& store);
+  void onUnresponsiveNote(const BackendNote& note);
+  void sendToSharingGateways(const BackendNote& note);
   std::vector<std::string> allClientAddresses() const;
   std::vector<std::string> peers() const;
   std::vector<std::string> sharingGateways() const;
@@ -113,11 +113,11 @@
   void tellServing();
   void tellNotice(const ServingNotice& notice, bool whole_fleet);
   void shareOut(GatewaySnapshot& snapshot) const;
-  void logSilence(const std::string& backend, bool silent, Duration time);
+  void logUnresponsive(const std::string& backend, bool silent, Duration time);
   void listKvStores();
-  void tellCachesSoon();
-  void tellCaches();
-  void passToldNews();
+  void scheduleCacheBroadcast();
+  void broadcastCacheNotes();
+  void forwardReceivedUpdates();
   bool followsCache(const std::string& backend);
   bool fleetIsKnown();
   std::vector<std::string> zoneMembers() const;
@@ -150,7 +150,7 @@
   ServingSet serving_;
   FleetView fleet_;
   std::vector<Backend> backends_;  ///< As published last.
-  OrderGiver orders_;
+  RolloutCoordinator orders_;
   CacheWatch cache_watch_;
   CacheExchange caches_;
   CrashCoordinator crashes_;
@@ -159,7 +159,7 @@
   bool settled_ = false;                         ///< A large fleet is known: see fleetIsKnown().
   std::vector<CachedPartsNews> told_;            ///< By other gateways, not yet passed on to traffic.
   std::set<std::string> kv_stores_;              ///< Ids of those that the configuration names.
-  std::map<std::string, LoadDigest> peer_work_;  ///< By teller and zone, not yet passed on to traffic.
+  std::map<std::string, LoadDigest> peer_work_;  ///< By sender and zone, not yet passed on to traffic.
   OwnLoad own_load_;
   int looks_at_serving_ = 0;             ///< Since the start.
   std::map<std::string, bool> follows_;  ///< Whether this gateway follows a back end's cache, among sharing_.
--- a/src/gateway_control/shared_caches.cc
+++ b/src/gateway_control/gateway_control_caches.cc
@@ -20,7 +20,7 @@
 /// When no further gateway became known for so long, a large fleet counts as known: somewhat more than the
 /// time between two probes, each of which may bring more.
 constexpr Duration kUntilKnown = std::chrono::milliseconds(700);
-/// What others tell is passed on to the traffic thread in such steps.
+/// What others sendTo is passed on to the traffic thread in such steps.
 constexpr Duration kPassInterval = std::chrono::milliseconds(30);
 
 }  // namespace
@@ -85,37 +85,37 @@
   return found == backends_.end() ? nullptr : &*found;
 }
 
-void GatewayControl::onOwnCacheNews(CachedPartsNews news) {
+void GatewayControl::onOwnCacheUpdate(CachedPartsNews news) {
   const Backend* backend = findBackend(news.slot, news.incarnation);
   if (!sharing_.empty() && backend != nullptr) {
     caches_.onOwnNews(backend->view.name, news.parts, news.complete);
-    tellCachesSoon();
+    scheduleCacheBroadcast();
   }
   outputs_.on_cached_parts(std::move(news));
 }
 
-void GatewayControl::tellCachesSoon() {
+void GatewayControl::scheduleCacheBroadcast() {
   if (!caches_.hasNotes() || std::exchange(tell_waiting_, true)) return;
   const Duration wanted = kGatherPerGateway * static_cast<Duration::rep>(sharing_.size());
   tell_timer_.expires_after(std::clamp(wanted, kLeastGather, kLongestGather));
   tell_timer_.async_wait([this](boost::system::error_code error) {
-    if (!error) tellCaches();
+    if (!error) broadcastCacheNotes();
   });
 }
 
-void GatewayControl::tellCaches() {
+void GatewayControl::broadcastCacheNotes() {
   tell_waiting_ = false;
   for (const CacheNotes& notes : caches_.takeNotes()) {
     for (const std::string& member : sharing_) {
-      if (member != gossip_.ownName()) gossip_.tell(member, notes);
+      if (member != gossip_.ownName()) gossip_.sendTo(member, notes);
     }
   }
 }
 
-void GatewayControl::onCacheNotes(const std::string& teller, const CacheNotes& notes) {
-  ReceivedCacheNotes received = caches_.onNotes(teller, notes, now());
-  for (const CacheWanted& wanted : received.wanted) gossip_.tell(teller, wanted);
-  for (ToldCacheNews& told : received.news) {
+void GatewayControl::onCacheNotes(const std::string& sender, const CacheNotes& notes) {
+  ReceivedCacheNotes received = caches_.onNotes(sender, notes, now());
+  for (const CacheWanted& wanted : received.wanted) gossip_.sendTo(sender, wanted);
+  for (ReceivedCacheUpdate& told : received.news) {
     const Backend* backend = findBackend(told.backend);
     if (backend == nullptr) continue;
     CachedPartsNews news;
@@ -128,18 +128,18 @@
     if (waiting) continue;
     told_timer_.expires_after(kPassInterval);
     told_timer_.async_wait([this](boost::system::error_code error) {
-      if (!error) passToldNews();
+      if (!error) forwardReceivedUpdates();
     });
   }
 }
 
 /// Together, since each hand-over wakes the traffic thread.
-void GatewayControl::passToldNews() {
+void GatewayControl::forwardReceivedUpdates() {
   for (CachedPartsNews& news : std::exchange(told_, {})) outputs_.on_cached_parts(std::move(news));
 }
 
-void GatewayControl::onCacheWanted(const std::string& asker, const CacheWanted& wanted) {
-  for (const CacheNotes& notes : caches_.onWanted(wanted)) gossip_.tell(asker, notes);
+void GatewayControl::onCacheWanted(const std::string& requester, const CacheWanted& wanted) {
+  for (const CacheNotes& notes : caches_.onWanted(wanted)) gossip_.sendTo(requester, notes);
 }
 
 }  // namespace crankspur::gateway
--- a/src/gateway_control/shared_crashes.cc
+++ b/src/gateway_control/gateway_control_crashes.cc
@@ -1,4 +1,4 @@
-/// @file How gateways tell each other which requests crash engines: carries out what CrashCoordinator
+/// @file How gateways sendTo each other which requests crash engines: carries out what CrashCoordinator
 /// decides.
 
 #include <algorithm>
@@ -18,14 +18,14 @@
   pumpCrashes();
 }
 
-void GatewayControl::onCrashDigest(const std::string& teller, const CrashDigest& digest) {
-  crashes_.onDigest(teller, digest, now());
+void GatewayControl::onCrashDigest(const std::string& sender, const CrashDigest& digest) {
+  crashes_.onDigest(sender, digest, now());
   pumpCrashes();
 }
 
 void GatewayControl::pumpCrashes() {
   for (const CrashAction& action : crashes_.takeActions()) {
-    std::visit([this](const auto& chosen) { carryOut(chosen); }, action);
+    std::visit([this](const auto& chosen) { execute(chosen); }, action);
   }
   expireAt(crash_timer_, crashes_.nextTimer(), now());
   crash_timer_.async_wait([this](boost::system::error_code error) {
@@ -35,15 +35,15 @@
   });
 }
 
-void GatewayControl::carryOut(const SendCrashMessage& action) {
-  gossip_.tell(action.member, action.message);
+void GatewayControl::execute(const SendCrashMessage& action) {
+  gossip_.sendTo(action.member, action.message);
 }
 
-void GatewayControl::carryOut(const TellTraffic& action) {
+void GatewayControl::execute(const NotifyTraffic& action) {
   if (outputs_.on_crash_update) outputs_.on_crash_update(action.update);
 }
 
-void GatewayControl::carryOut(const CallStore& action) {
+void GatewayControl::execute(const CallStore& action) {
   const CrashRecordCall& call = action.call;
   if (call.kind == CrashRecordCall::Kind::write) {
     return platform_.writeRecord(CrashRecord::kName, call.text, call.expected_version, [this](bool written) {
--- a/src/gateway_control/kv_stores.cc
+++ b/src/gateway_control/gateway_control_kv_stores.cc
@@ -33,12 +33,12 @@
 }
 
 /// Requests that name a dead store as their source would wait for it.
-void GatewayControl::onStoreSilent(const Backend& store) {
+void GatewayControl::onStoreUnresponsive(const Backend& store) {
   const std::string id = store.view.name;
   fleet_.onUnreachable(store.view.slot, store.view.incarnation, now());
   const auto pause = std::chrono::duration_cast<std::chrono::milliseconds>(kSilentPause);
   if (!sharing_.empty())
-    gossip_.tellAll({{BackendNote{id, static_cast<std::uint32_t>(pause.count()), "", "", 0, false}}});
+    gossip_.broadcast({{BackendNote{id, static_cast<std::uint32_t>(pause.count()), "", "", 0, false}}});
   publishSoon();
 }
 
--- a/src/gateway_control/engine_silence.cc
+++ b/src/gateway_control/gateway_control_unresponsive.cc
@@ -17,34 +17,34 @@
 }  // namespace
 
 /// A gateway that nobody answers is itself cut off, or was frozen: it says nothing of engines then.
-void GatewayControl::onCacheSilent(const CacheSilence& silence) {
+void GatewayControl::onCacheUnresponsive(const UnresponsiveCache& silence) {
   const Backend* backend = findBackend(silence.slot, silence.incarnation);
   if (backend == nullptr) return;
-  if (backend->is_kv_store) return onStoreSilent(*backend);
-  if (!silence.others_answer) return;
+  if (backend->is_kv_store) return onStoreUnresponsive(*backend);
+  if (!silence.others_responded) return;
   const bool known = backend->silent_since != TimePoint{};
   const Duration time = now() - silence.since;
-  if (!known) logSilence(backend->view.name, true, time);
+  if (!known) logUnresponsive(backend->view.name, true, time);
   fleet_.onSilent(backend->view.name, silence.since, now());
   BackendNote note;
   note.name = backend->view.name;
   note.silent_milliseconds = wholeMilliseconds(time);
-  tellSharing(note);
+  sendToSharingGateways(note);
   publishSoon();
 }
 
-void GatewayControl::onCacheHeard(EngineSlot slot, std::uint64_t incarnation) {
+void GatewayControl::onCacheResponsive(EngineSlot slot, std::uint64_t incarnation) {
   const Backend* backend = findBackend(slot, incarnation);
   if (backend == nullptr || !fleet_.onHeard(backend->view.name, now())) return;
-  logSilence(backend->view.name, false, now() - backend->silent_since);
+  logUnresponsive(backend->view.name, false, now() - backend->silent_since);
   BackendNote note;
   note.name = backend->view.name;
   note.heard = true;
-  tellSharing(note);
+  sendToSharingGateways(note);
   publishSoon();
 }
 
-void GatewayControl::onSilenceNote(const BackendNote& note) {
+void GatewayControl::onUnresponsiveNote(const BackendNote& note) {
   if (findBackend(note.name) == nullptr) return;
   if (note.heard) {
     if (fleet_.onHeard(note.name, now())) publishSoon();
@@ -54,13 +54,13 @@
   publishSoon();
 }
 
-void GatewayControl::tellSharing(const BackendNote& note) {
+void GatewayControl::sendToSharingGateways(const BackendNote& note) {
   for (const std::string& member : sharing_) {
-    if (member != gossip_.ownName()) gossip_.tell(member, BackendNotes{{note}});
+    if (member != gossip_.ownName()) gossip_.sendTo(member, BackendNotes{{note}});
   }
 }
 
-void GatewayControl::logSilence(const std::string& backend, bool silent, Duration time) {
+void GatewayControl::logUnresponsive(const std::string& backend, bool silent, Duration time) {
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(time).count();
   log_.write(EventId::BackendSilent, {{"backend", backend}, {"silent", silent}, {"for_ms", ms}});
 }
--- a/src/gateway_control/gossip_socket.cc
+++ b/src/gateway_control/gossip_socket.cc
@@ -119,7 +119,7 @@
   afterEvent();
 }
 
-void GossipSocket::tellAll(const BackendNotes& notes) {
+void GossipSocket::broadcast(const BackendNotes& notes) {
   for (const MemberRecord& member : membership_->liveMembers()) {
     if (member.name != options_.address) send(member.address, notes);
   }
--- a/src/gateway_control/gossip_socket.h
+++ b/src/gateway_control/gossip_socket.h
@@ -29,18 +29,18 @@
 /// @return the membership's timings among gateways.
 MembershipOptions gossipMembershipOptions();
 
-/// Hears what other gateways tell. Names are member names.
+/// Hears what other gateways sendTo. Names are member names.
 class GossipReceiver {
 public:
   virtual ~GossipReceiver() = default;
   virtual void onMembersChanged() = 0;
   virtual void onBackendNote(const BackendNote& note) = 0;
-  virtual void onCacheNotes(const std::string& teller, const CacheNotes& notes) = 0;
-  virtual void onCacheWanted(const std::string& asker, const CacheWanted& wanted) = 0;
-  virtual void onLoadDigest(const std::string& teller, const LoadDigest& digest) = 0;
-  virtual void onServingNotice(const std::string& teller, const ServingNotice& notice) = 0;
+  virtual void onCacheNotes(const std::string& sender, const CacheNotes& notes) = 0;
+  virtual void onCacheWanted(const std::string& requester, const CacheWanted& wanted) = 0;
+  virtual void onLoadDigest(const std::string& sender, const LoadDigest& digest) = 0;
+  virtual void onServingNotice(const std::string& sender, const ServingNotice& notice) = 0;
   virtual void onCrashNotes(const CrashNotes& notes) = 0;
-  virtual void onCrashDigest(const std::string& teller, const CrashDigest& digest) = 0;
+  virtual void onCrashDigest(const std::string& sender, const CrashDigest& digest) = 0;
 };
 
 /// The socket with the membership that it serves. Use from the executor's thread only.
@@ -53,9 +53,9 @@
   void leave();
   void setConfigurationVersion(std::uint64_t version);
   /// Tells every live member; a datagram may be lost.
-  void tellAll(const BackendNotes& notes);
+  void broadcast(const BackendNotes& notes);
   /// Tells one member; the datagram may be lost.
-  void tell(const std::string& member, const Message& message) { send(member, message); }
+  void sendTo(const std::string& member, const Message& message) { send(member, message); }
   /// @return live members, this node included; their bundle_version is the configuration they hold.
   std::vector<MemberRecord> members() const { return membership_->liveMembers(); }
   const std::string& ownName() const { return options_.address; }
--- a/src/gateway_control/order_contention.cc
+++ b/src/gateway_control/lease_contention.cc
@@ -1,4 +1,4 @@
-#include "gateway_control/order_contention.h"
+#include "gateway_control/lease_contention.h"
 
 #include <algorithm>
 
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-void OrderContention::onWork(std::optional<TimePoint> since, TimePoint now) {
+void LeaseContention::onWork(std::optional<TimePoint> since, TimePoint now) {
   if (!since) {
     work_since_.reset();
     return;
@@ -18,7 +18,7 @@
   work_since_ = std::min(work_since_.value_or(now), *since);
 }
 
-bool OrderContention::contends(std::size_t rank, TimePoint now) const {
+bool LeaseContention::contends(std::size_t rank, TimePoint now) const {
   if (!work_since_) return false;
   const TimePoint idle_since = std::max(*work_since_, others_active_at_);
   return now - idle_since >= kRankDelay * static_cast<Duration::rep>(rank);
--- a/src/gateway_control/order_contention.h
+++ b/src/gateway_control/lease_contention.h
@@ -9,7 +9,7 @@
 namespace crankspur::gateway {
 
 /// Gateways contend one after the other, in their order of rank, so that normally one of them asks the table.
-class OrderContention {
+class LeaseContention {
 public:
   /// Another gateway gives orders at present.
   void onOthersActive(TimePoint now) { others_active_at_ = now; }
--- a/src/gateway_control/order_giver.cc
+++ b/src/gateway_control/rollout_coordinator.cc
@@ -1,4 +1,4 @@
-#include "gateway_control/order_giver.h"
+#include "gateway_control/rollout_coordinator.h"
 
 #include <algorithm>
 #include <utility>
@@ -30,8 +30,9 @@
 
 }  // namespace
 
-OrderGiver::OrderGiver(const boost::asio::any_io_executor& executor, OrderGiverOptions options,
-                       PlatformLink& platform, OrderGiverCallbacks callbacks, EventLog& log)
+RolloutCoordinator::RolloutCoordinator(const boost::asio::any_io_executor& executor,
+                                       RolloutCoordinatorOptions options, PlatformLink& platform,
+                                       RolloutCoordinatorCallbacks callbacks, EventLog& log)
     : options_(std::move(options)),
       platform_(platform),
       callbacks_(std::move(callbacks)),
@@ -40,19 +41,19 @@
       lease_(makeLease(options_.holder, kLeaseLifetime, options_.random_seed)),
       rollout_(options_.rollout) {}
 
-bool OrderGiver::onNamed(const NamedWeights& named) {
+bool RolloutCoordinator::onNamed(const NamedWeights& named) {
   const bool news = rollout_.onNamed(named, clock_.now());
   if (news) wake();
   return news;
 }
 
-void OrderGiver::wake() {
+void RolloutCoordinator::wake() {
   if (ticking_ || stopped_ || !rollout_.pending(callbacks_.backends())) return;
   ticking_ = true;
   tick();
 }
 
-void OrderGiver::stop() {
+void RolloutCoordinator::stop() {
   stopped_ = true;
   timer_.cancel();
   if (!holding_) return;
@@ -60,7 +61,7 @@
   platform_.writeLease(kLeaseName, released, row_.row_version, [](bool, const std::optional<LeaseRow>&) {});
 }
 
-void OrderGiver::tick() {
+void RolloutCoordinator::tick() {
   const TimePoint now = clock_.now();
   contention_.onWork(rollout_.pendingSince(callbacks_.backends()), now);
   if (!rollout_.pending(callbacks_.backends()) && !rollout_.busy()) {
@@ -76,7 +77,7 @@
   });
 }
 
-void OrderGiver::pollLease(TimePoint now) {
+void RolloutCoordinator::pollLease(TimePoint now) {
   const std::optional<LeaseAction> action = lease_->poll(now);
   if (!action) return;
   if (action->kind == LeaseAction::Kind::Read) {
@@ -89,7 +90,7 @@
 }
 
 /// The table of leases can be lost while the platform's feeds are answered.
-void OrderGiver::noteLeaseAnswer(bool answered, TimePoint now) {
+void RolloutCoordinator::noteLeaseAnswer(bool answered, TimePoint now) {
   if (answered == lease_answers_) return;
   lease_answers_ = answered;
   if (!answered) {
@@ -101,7 +102,7 @@
   log_.write(EventId::PlatformReachable, {{"service", "lease"}, {"unreachable_ms", lost_for.count()}});
 }
 
-void OrderGiver::onLeaseRead(const std::optional<LeaseRow>& row) {
+void RolloutCoordinator::onLeaseRead(const std::optional<LeaseRow>& row) {
   const TimePoint now = clock_.now();
   noteLeaseAnswer(row.has_value(), now);
   if (!row) return lease_->onFailed(now);
@@ -109,7 +110,7 @@
   lease_->onRead(*row, now);
 }
 
-void OrderGiver::onLeaseWritten(bool written, const std::optional<LeaseRow>& row) {
+void RolloutCoordinator::onLeaseWritten(bool written, const std::optional<LeaseRow>& row) {
   const TimePoint now = clock_.now();
   noteLeaseAnswer(row.has_value(), now);
   if (!row) return lease_->onFailed(now);
@@ -117,7 +118,7 @@
   lease_->onWritten(written, *row, now);
 }
 
-void OrderGiver::noteRow(const LeaseRow& row, TimePoint now) {
+void RolloutCoordinator::noteRow(const LeaseRow& row, TimePoint now) {
   const bool renewed = row.row_version != row_.row_version;
   row_ = row;
   const bool other = !row.holder.empty() && row.holder != options_.holder;
@@ -128,12 +129,12 @@
 }
 
 /// A holder may give orders until its lease runs out; one that is known to be gone gives none.
-bool OrderGiver::othersMayOrder(TimePoint now) const {
-  if (other_holder_.empty() || !callbacks_.holder_alive(other_holder_)) return false;
-  return now < other_renewed_at_ + kLeaseLifetime + options_.rest;
+bool RolloutCoordinator::othersMayOrder(TimePoint now) const {
+  if (other_holder_.empty() || !callbacks_.holder_is_live(other_holder_)) return false;
+  return now < other_renewed_at_ + kLeaseLifetime + options_.takeover_delay;
 }
 
-void OrderGiver::noteHolding(TimePoint now) {
+void RolloutCoordinator::noteHolding(TimePoint now) {
   const std::optional<std::uint64_t> token = lease_->heldToken(now);
   if (token.has_value() == holding_) return;
   holding_ = token.has_value();
@@ -141,13 +142,13 @@
   log_.write(holding_ ? EventId::OrderLeaseTaken : EventId::OrderLeaseLost, {{"token", token.value_or(0)}});
 }
 
-void OrderGiver::giveOrders(TimePoint now) {
+void RolloutCoordinator::giveOrders(TimePoint now) {
   const std::optional<std::uint64_t> token = lease_->heldToken(now);
   if (!token || othersMayOrder(now)) return;
   for (const RolloutAction& action : rollout_.due(callbacks_.backends(), now)) perform(action, *token);
 }
 
-void OrderGiver::perform(const RolloutAction& action, std::uint64_t token) {
+void RolloutCoordinator::perform(const RolloutAction& action, std::uint64_t token) {
   const std::string backend = action.backend;
   if (action.kind == RolloutAction::Kind::Report) {
     platform_.readWeights(action.address, [this, backend](const std::optional<WeightsReport>& report) {
--- a/src/gateway_control/order_giver.h
+++ b/src/gateway_control/rollout_coordinator.h
@@ -10,36 +10,36 @@
 #include <vector>
 
 #include "base/event_log.h"
-#include "gateway_control/order_contention.h"
+#include "gateway_control/lease_contention.h"
 #include "gateway_control/platform_link.h"
 #include "gateway_control/weight_rollout.h"
 
 namespace crankspur::gateway {
 
 /// What the giver asks its owner, and tells it.
-struct OrderGiverCallbacks {
+struct RolloutCoordinatorCallbacks {
   std::function<std::vector<Backend>()> backends;
   /// @return how many live gateways go before this one in giving orders.
   std::function<std::size_t()> rank;
-  std::function<bool(const std::string& holder)> holder_alive;  ///< Whether another holder may still live.
+  std::function<bool(const std::string& holder)> holder_is_live;  ///< Whether another holder may still live.
   /// A back end reported. `loading`: an order of this gateway is under way there.
   std::function<void(const std::string& backend, const WeightsReport&, bool loading)> on_report;
   std::function<void(const std::string& backend)> on_loading;  ///< An order was sent to the back end.
 };
 
 /// Options of the giver.
-struct OrderGiverOptions {
+struct RolloutCoordinatorOptions {
   std::string holder;  ///< The same at each start of one machine.
-  Duration rest = std::chrono::seconds(3);
+  Duration takeover_delay = std::chrono::seconds(3);
   RolloutOptions rollout;
   std::uint64_t random_seed = 1;
 };
 
 /// The giver.
-class OrderGiver {
+class RolloutCoordinator {
 public:
-  OrderGiver(const boost::asio::any_io_executor& executor, OrderGiverOptions options, PlatformLink& platform,
-             OrderGiverCallbacks callbacks, EventLog& log);
+  RolloutCoordinator(const boost::asio::any_io_executor& executor, RolloutCoordinatorOptions options,
+                     PlatformLink& platform, RolloutCoordinatorCallbacks callbacks, EventLog& log);
   /// @return whether the version is new.
   bool onNamed(const NamedWeights& named);
   std::vector<NamedWeights> named() const { return rollout_.named(); }
@@ -66,9 +66,9 @@
   void giveOrders(TimePoint now);
   void perform(const RolloutAction& action, std::uint64_t token);
 
-  OrderGiverOptions options_;
+  RolloutCoordinatorOptions options_;
   PlatformLink& platform_;
-  OrderGiverCallbacks callbacks_;
+  RolloutCoordinatorCallbacks callbacks_;
   EventLog& log_;
   SteadyClock clock_;
   boost::asio::steady_timer timer_;
@@ -83,7 +83,7 @@
   LeaseRow row_;                  ///< As last seen.
   std::string other_holder_;      ///< The last one seen that is not this gateway.
   TimePoint other_renewed_at_{};  ///< When its last renewal was seen.
-  OrderContention contention_;
+  LeaseContention contention_;
 };
 
 }  // namespace crankspur::gateway
--- a/src/gateway_control/shared_serving.cc
+++ b/src/gateway_control/shared_serving.cc
@@ -91,7 +91,7 @@
   for (const MemberRecord& member : gossip_.members()) {
     const bool lives = member.state != MemberState::Leaving && member.incarnation != 0;
     const bool told = whole_fleet || member.zone == settings_.zone || serving_.serves(member.name);
-    if (lives && told && member.name != gossip_.ownName()) gossip_.tell(member.name, notice);
+    if (lives && told && member.name != gossip_.ownName()) gossip_.sendTo(member.name, notice);
   }
 }
 
@@ -138,7 +138,7 @@
 }
 
 void GatewayControl::tellPeers(const BackendNotes& notes) {
-  for (const std::string& peer : peers()) gossip_.tell(peer, notes);
+  for (const std::string& peer : peers()) gossip_.sendTo(peer, notes);
 }
 
 void GatewayControl::shareOut(GatewaySnapshot& snapshot) const {
--- a/tests/unit/gateway_control/cache_exchange_test.cc
+++ b/tests/unit/gateway_control/cache_exchange_test.cc
@@ -20,11 +20,11 @@
 /// What a Receiver believes a cache to hold, by part.
 class Receiver {
 public:
-  /// @return what it asks the teller for.
-  std::vector<CacheWanted> hear(const CacheNotes& notes, const std::string& teller = "teller",
+  /// @return what it asks the sender for.
+  std::vector<CacheWanted> hear(const CacheNotes& notes, const std::string& sender = "teller",
                                 TimePoint now = kStart) {
-    const ReceivedCacheNotes received = exchange.onNotes(teller, notes, now);
-    for (const ToldCacheNews& news : received.news) {
+    const ReceivedCacheNotes received = exchange.onNotes(sender, notes, now);
+    for (const ReceivedCacheUpdate& news : received.news) {
       if (news.complete) held.clear();
       for (const CachedPart& one : news.parts) {
         held[one.part] = one.tokens;
@@ -69,55 +69,55 @@
 }
 
 TEST_CASE("news of a followed cache reach the others in order", "[gateway][cache_exchange]") {
-  CacheExchange teller;
+  CacheExchange sender;
   Receiver other;
-  CHECK_FALSE(teller.hasNotes());
-  teller.onOwnNews("e1", {part(1, 160), part(2, 32)}, true);
-  CHECK(other.hearAll(teller.takeNotes()).empty());
-  CHECK_FALSE(teller.hasNotes());
-  teller.onOwnNews("e1", {part(2, 0), part(3, 16)}, false);
-  CHECK(other.hearAll(teller.takeNotes()).empty());
+  CHECK_FALSE(sender.hasNotes());
+  sender.onOwnNews("e1", {part(1, 160), part(2, 32)}, true);
+  CHECK(other.hearAll(sender.takeNotes()).empty());
+  CHECK_FALSE(sender.hasNotes());
+  sender.onOwnNews("e1", {part(2, 0), part(3, 16)}, false);
+  CHECK(other.hearAll(sender.takeNotes()).empty());
   CHECK(other.held == std::map<std::uint64_t, std::uint32_t>{{1, 160}, {3, 16}});
 }
 
 TEST_CASE("a lost datagram is noticed by the next one and the whole is asked for, once in a while",
           "[gateway][cache_exchange]") {
-  CacheExchange teller;
+  CacheExchange sender;
   Receiver other;
-  teller.onOwnNews("e1", {part(1, 160)}, true);
-  other.hearAll(teller.takeNotes());
-  teller.onOwnNews("e1", {part(2, 32)}, false);
-  teller.takeNotes();  // Lost.
-  teller.onOwnNews("e1", {part(3, 16)}, false);
-  const std::vector<CacheWanted> wanted = other.hearAll(teller.takeNotes());
+  sender.onOwnNews("e1", {part(1, 160)}, true);
+  other.hearAll(sender.takeNotes());
+  sender.onOwnNews("e1", {part(2, 32)}, false);
+  sender.takeNotes();  // Lost.
+  sender.onOwnNews("e1", {part(3, 16)}, false);
+  const std::vector<CacheWanted> wanted = other.hearAll(sender.takeNotes());
   REQUIRE(wanted.size() == 1);
   CHECK(wanted.front().backend == "e1");
   CHECK(other.held == std::map<std::uint64_t, std::uint32_t>{{1, 160}, {3, 16}});
-  CHECK(other.hearAll(teller.onWanted(wanted.front())).empty());
+  CHECK(other.hearAll(sender.onWanted(wanted.front())).empty());
   CHECK(other.held == std::map<std::uint64_t, std::uint32_t>{{1, 160}, {2, 32}, {3, 16}});
   // Further losses at once do not ask again and again.
   for (int loss = 0; loss < 3; ++loss) {
-    teller.onOwnNews("e1", {part(4, 16)}, false);
-    teller.takeNotes();
-    teller.onOwnNews("e1", {part(5, 16)}, false);
-    CHECK(other.hearAll(teller.takeNotes(), kStart + 500ms).empty());
+    sender.onOwnNews("e1", {part(4, 16)}, false);
+    sender.takeNotes();
+    sender.onOwnNews("e1", {part(5, 16)}, false);
+    CHECK(other.hearAll(sender.takeNotes(), kStart + 500ms).empty());
   }
-  teller.takeNotes();
-  teller.onOwnNews("e1", {part(6, 16)}, false);
-  teller.takeNotes();
-  teller.onOwnNews("e1", {part(7, 16)}, false);
-  CHECK(other.hearAll(teller.takeNotes(), kStart + 1s).size() == 1);
+  sender.takeNotes();
+  sender.onOwnNews("e1", {part(6, 16)}, false);
+  sender.takeNotes();
+  sender.onOwnNews("e1", {part(7, 16)}, false);
+  CHECK(other.hearAll(sender.takeNotes(), kStart + 1s).size() == 1);
 }
 
 TEST_CASE("doubled and late datagrams do not bring back what is gone", "[gateway][cache_exchange]") {
-  CacheExchange teller;
+  CacheExchange sender;
   Receiver other;
-  teller.onOwnNews("e1", {part(1, 160)}, true);
-  const auto first = teller.takeNotes();
-  teller.onOwnNews("e1", {part(2, 32)}, false);
-  const auto second = teller.takeNotes();
-  teller.onOwnNews("e1", {part(2, 0)}, false);
-  const auto third = teller.takeNotes();
+  sender.onOwnNews("e1", {part(1, 160)}, true);
+  const auto first = sender.takeNotes();
+  sender.onOwnNews("e1", {part(2, 32)}, false);
+  const auto second = sender.takeNotes();
+  sender.onOwnNews("e1", {part(2, 0)}, false);
+  const auto third = sender.takeNotes();
   other.hearAll(first);
   other.hearAll(second);
   other.hearAll(third);
@@ -127,11 +127,11 @@
 
 TEST_CASE("a large cache is told in several datagrams, and the loss of one is noticed",
           "[gateway][cache_exchange]") {
-  CacheExchange teller;
+  CacheExchange sender;
   std::vector<CachedPart> parts;
   for (std::uint64_t id = 1; id <= 1000; ++id) parts.push_back(part(id, 16));
-  teller.onOwnNews("e1", parts, true);
-  const std::vector<CacheNotes> datagrams = teller.takeNotes();
+  sender.onOwnNews("e1", parts, true);
+  const std::vector<CacheNotes> datagrams = sender.takeNotes();
   REQUIRE(datagrams.size() == 3);
   Receiver whole;
   CHECK(whole.hearAll(datagrams).empty());
@@ -139,7 +139,7 @@
   Receiver lacking;
   lacking.hear(datagrams[0]);
   CHECK(lacking.hear(datagrams[2]).size() == 1);
-  CHECK(lacking.hearAll(teller.onWanted({"e1"})).empty());
+  CHECK(lacking.hearAll(sender.onWanted({"e1"})).empty());
   CHECK(lacking.held.size() == 1000);
 }
 
@@ -160,32 +160,32 @@
           "[gateway][cache_exchange]") {
   CacheExchange own;
   own.onOwnNews("e1", {part(1, 160)}, true);
-  CacheExchange teller;
-  teller.onOwnNews("e1", {part(9, 16)}, true);
-  for (const CacheNotes& notes : teller.takeNotes()) CHECK(own.onNotes("teller", notes, kStart).news.empty());
+  CacheExchange sender;
+  sender.onOwnNews("e1", {part(9, 16)}, true);
+  for (const CacheNotes& notes : sender.takeNotes()) CHECK(own.onNotes("teller", notes, kStart).news.empty());
   own.forgetOwn("e1");
   CHECK(own.onWanted({"e1"}).empty());
   CHECK_FALSE(own.hasNotes());
-  teller.onOwnNews("e1", {part(10, 16)}, false);
-  for (const CacheNotes& notes : teller.takeNotes())
+  sender.onOwnNews("e1", {part(10, 16)}, false);
+  for (const CacheNotes& notes : sender.takeNotes())
     CHECK(own.onNotes("teller", notes, kStart).news.size() == 1);
 }
 
 TEST_CASE("of a back end that left the list nothing is kept", "[gateway][cache_exchange]") {
-  CacheExchange teller;
+  CacheExchange sender;
   Receiver other;
-  teller.onOwnNews("e1", {part(1, 160)}, true);
-  teller.onOwnNews("e2", {part(2, 160)}, true);
-  other.hearAll(teller.takeNotes());
+  sender.onOwnNews("e1", {part(1, 160)}, true);
+  sender.onOwnNews("e2", {part(2, 160)}, true);
+  other.hearAll(sender.takeNotes());
   other.exchange.retain({"e2"});
-  teller.onOwnNews("e1", {part(3, 16)}, false);
-  teller.onOwnNews("e2", {part(4, 16)}, false);
-  const std::vector<CacheWanted> wanted = other.hearAll(teller.takeNotes());
+  sender.onOwnNews("e1", {part(3, 16)}, false);
+  sender.onOwnNews("e2", {part(4, 16)}, false);
+  const std::vector<CacheWanted> wanted = other.hearAll(sender.takeNotes());
   REQUIRE(wanted.size() == 1);
   CHECK(wanted.front().backend == "e1");
-  teller.onOwnNews("e1", {part(5, 16)}, false);
-  teller.retain({"e2"});
-  CHECK(teller.onWanted({"e1"}).empty());
-  CHECK_FALSE(teller.onWanted({"e2"}).empty());
-  CHECK_FALSE(teller.hasNotes());
+  sender.onOwnNews("e1", {part(5, 16)}, false);
+  sender.retain({"e2"});
+  CHECK(sender.onWanted({"e1"}).empty());
+  CHECK_FALSE(sender.onWanted({"e2"}).empty());
+  CHECK_FALSE(sender.hasNotes());
 }
--- a/tests/unit/gateway_control/cache_watch_test.cc
+++ b/tests/unit/gateway_control/cache_watch_test.cc
@@ -50,7 +50,7 @@
 
   FakePlatformLink platform;
   std::vector<CachedPartsNews> news;
-  std::vector<CacheSilence> silences;
+  std::vector<UnresponsiveCache> silences;
   std::vector<EngineSlot> heard;
 
 private:
@@ -65,9 +65,9 @@
   }
   CacheWatchCallbacks callbacks() {
     CacheWatchCallbacks callbacks;
-    callbacks.on_news = [this](CachedPartsNews told) { news.push_back(std::move(told)); };
-    callbacks.on_silent = [this](const CacheSilence& silence) { silences.push_back(silence); };
-    callbacks.on_heard = [this](EngineSlot slot, std::uint64_t) { heard.push_back(slot); };
+    callbacks.on_update = [this](CachedPartsNews told) { news.push_back(std::move(told)); };
+    callbacks.on_unresponsive = [this](const UnresponsiveCache& silence) { silences.push_back(silence); };
+    callbacks.on_responsive = [this](EngineSlot slot, std::uint64_t) { heard.push_back(slot); };
     return callbacks;
   }
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type> guard_{context_.get_executor()};
@@ -85,7 +85,7 @@
   caches.dontAnswer("a1");
   REQUIRE(caches.silences.size() == 1);
   CHECK(caches.silences[0].slot == 1);
-  CHECK(caches.silences[0].others_answer);
+  CHECK(caches.silences[0].others_responded);
   CHECK(caches.heard.empty());
   caches.answerEmpty("a1");
   CHECK(caches.heard == std::vector<EngineSlot>{1});
@@ -98,8 +98,8 @@
   caches.dontAnswer("a1");
   caches.dontAnswer("a2");
   REQUIRE(caches.silences.size() == 2);
-  CHECK_FALSE(caches.silences[0].others_answer);
-  CHECK_FALSE(caches.silences[1].others_answer);
+  CHECK_FALSE(caches.silences[0].others_responded);
+  CHECK_FALSE(caches.silences[1].others_responded);
 }
 
 TEST_CASE("an engine that turns a call away answers", "[cache_watch][silence]") {
--- a/tests/unit/gateway_control/crash_coordinator_test.cc
+++ b/tests/unit/gateway_control/crash_coordinator_test.cc
@@ -75,10 +75,10 @@
   const CrashNotes waiting = toNotes(crashesOf(1, 3, site.now), site.now);
   site.now += seconds(5);
   site.coordinator.onNotes(waiting, site.now);
-  CHECK(only<TellTraffic>(site.coordinator.takeActions()).empty());
+  CHECK(only<NotifyTraffic>(site.coordinator.takeActions()).empty());
   site.pass(milliseconds(600));
   site.coordinator.onNotes(toNotes(crashesOf(1, 3, site.now - seconds(6)), site.now), site.now);
-  const auto told = only<TellTraffic>(site.coordinator.takeActions());
+  const auto told = only<NotifyTraffic>(site.coordinator.takeActions());
   REQUIRE(told.size() == 1);
   CHECK(told.front().update.crashes.back().crashed_at <= site.now - seconds(6));
 }
--- a/tests/unit/gateway_control/crash_record_test.cc
+++ b/tests/unit/gateway_control/crash_record_test.cc
@@ -79,9 +79,9 @@
   before.callAll();
   REQUIRE(store.record.row_version == 1);
   Keeper after(store);
-  CHECK_FALSE(after.record.isSettled(after.now));
+  CHECK_FALSE(after.record.isReady(after.now));
   after.callAll();
-  CHECK(after.record.isSettled(after.now));
+  CHECK(after.record.isReady(after.now));
   CHECK(after.exchange.quarantined(after.now).crashes.size() == 3);
   CHECK(after.exchange.allEvidence().crashes.size() == 3);
 }
@@ -136,15 +136,15 @@
   Keeper keeper(store);
   keeper.callAll();
   CHECK(keeper.reads == 0);
-  CHECK_FALSE(keeper.record.isSettled(keeper.now));
-  CHECK(keeper.record.isSettled(keeper.now + seconds(1)));
+  CHECK_FALSE(keeper.record.isReady(keeper.now));
+  CHECK(keeper.record.isReady(keeper.now + seconds(1)));
   store.reachable = true;
   CHECK_FALSE(keeper.call());  // Not at once again.
   keeper.now = keeper.record.nextTimer();
   CHECK(keeper.now <= kStart + seconds(1));
   keeper.callAll();
   CHECK(keeper.reads == 1);
-  CHECK(keeper.record.isSettled(keeper.now));
+  CHECK(keeper.record.isReady(keeper.now));
 }
 
 TEST_CASE("a record that is not readable counts as none", "[gateway_control][crash_suspects]") {
@@ -152,7 +152,7 @@
   store.record = {"not a frame", 7, Duration(0)};
   Keeper keeper(store);
   keeper.callAll();
-  CHECK(keeper.record.isSettled(keeper.now));
+  CHECK(keeper.record.isReady(keeper.now));
   keeper.crashesOf(1, 3);
   keeper.record.save();
   keeper.callAll();
--- a/tests/unit/gateway_control/order_contention_test.cc
+++ b/tests/unit/gateway_control/lease_contention_test.cc
@@ -1,4 +1,4 @@
-#include "gateway_control/order_contention.h"
+#include "gateway_control/lease_contention.h"
 
 #include <catch2/catch.hpp>
 
@@ -13,7 +13,7 @@
 }  // namespace
 
 TEST_CASE("gateways contend for orders one after the other", "[gateway][order_contention]") {
-  OrderContention contention;
+  LeaseContention contention;
   CHECK_FALSE(contention.contends(0, kStart));
   contention.onWork(kStart, kStart);
   CHECK(contention.contends(0, kStart));
@@ -23,7 +23,7 @@
 
 TEST_CASE("weights that are named while orders wait do not put off the next in turn",
           "[gateway][order_contention]") {
-  OrderContention contention;
+  LeaseContention contention;
   contention.onWork(kStart, kStart);
   contention.onWork(kStart + 1s, kStart + 1s);
   contention.onWork(kStart + 2s, kStart + 2s);
@@ -32,7 +32,7 @@
 
 TEST_CASE("a gateway waits its turn anew after another was active, and after the work was done",
           "[gateway][order_contention]") {
-  OrderContention contention;
+  LeaseContention contention;
   contention.onWork(kStart, kStart);
   contention.onOthersActive(kStart + 1s);
   CHECK_FALSE(contention.contends(1, kStart + 2s));
--- a/tests/unit/gateway_control/order_giver_test.cc
+++ b/tests/unit/gateway_control/rollout_coordinator_test.cc
@@ -1,4 +1,4 @@
-#include "gateway_control/order_giver.h"
+#include "gateway_control/rollout_coordinator.h"
 
 #include <fcntl.h>
 
@@ -84,17 +84,17 @@
   GrantingPlatform platform{context_};
 
 private:
-  static OrderGiverOptions options() {
-    OrderGiverOptions options;
+  static RolloutCoordinatorOptions options() {
+    RolloutCoordinatorOptions options;
     options.holder = "gateway";
     options.rollout.parallel = 1;
     return options;
   }
-  OrderGiverCallbacks callbacks() {
-    OrderGiverCallbacks callbacks;
+  RolloutCoordinatorCallbacks callbacks() {
+    RolloutCoordinatorCallbacks callbacks;
     callbacks.backends = [this] { return backends_; };
     callbacks.rank = [] { return std::size_t{0}; };
-    callbacks.holder_alive = [](const std::string&) { return false; };
+    callbacks.holder_is_live = [](const std::string&) { return false; };
     callbacks.on_report = [](const std::string&, const WeightsReport&, bool) {};
     callbacks.on_loading = [](const std::string&) {};
     return callbacks;
@@ -102,7 +102,7 @@
 
   std::vector<Backend> backends_;
   BoundedEventLog log_;
-  OrderGiver giver_;
+  RolloutCoordinator giver_;
 };
 
 }  // namespace
