--- a/src/gateway_control/cache_exchange.cc
+++ b/src/gateway_control/cache_exchange.cc
@@ -8,12 +8,12 @@
 namespace crankspur::gateway {
 namespace {
 
-/// Parts in one datagram: some 60 bytes each, far below the largest one.
+/// Parts per datagram. At about 60 bytes each they stay far below the maximum datagram size.
 constexpr std::size_t kPartsInDatagram = 400;
-/// The whole of one cache is asked for at most once in this time.
-constexpr Duration kAskInterval = std::chrono::seconds(1);
+/// The complete content of one cache is requested at most once per interval.
+constexpr Duration kRequestInterval = std::chrono::seconds(1);
 
-/// Gathers notes into datagrams of bounded size.
+/// Packs notes into datagrams of bounded size.
 class NotePacker {
 public:
   void add(const std::string& backend, std::uint64_t sequence, bool complete, const CacheNotePart* part) {
@@ -28,7 +28,7 @@
     ++parts_;
     if (part != nullptr) notes.back().parts.push_back(*part);
   }
-  /// @return whether the next part begins a datagram of its own.
+  /// @return whether the next part starts a new datagram.
   bool isFull() const { return !datagrams_.empty() && parts_ >= kPartsInDatagram; }
   std::vector<CacheNotes> take() { return std::move(datagrams_); }
 
@@ -41,10 +41,10 @@
 
 // Caches that this gateway follows.
 
-void CacheExchange::onOwnNews(const std::string& backend, const std::vector<CachedPart>& parts,
-                              bool complete) {
+void CacheExchange::onOwnUpdate(const std::string& backend, const std::vector<CachedPart>& parts,
+                                bool complete) {
   OwnCache& own = own_[backend];
-  told_.erase(backend);
+  remote_.erase(backend);
   if (complete) {
     own.tokens.clear();
     own.pending.clear();
@@ -79,7 +79,7 @@
     bool complete = std::exchange(own.pending_complete, false);
     if (own.pending.empty()) packer.add(backend, own.sequence, complete, nullptr);
     for (const CacheNotePart& part : std::exchange(own.pending, {})) {
-      // Each datagram has a number of its own, so that the loss of any is seen.
+      // Each datagram has its own sequence number, so that the loss of any one is detected.
       if (packer.isFull()) ++own.sequence;
       packer.add(backend, own.sequence, complete, &part);
       complete = complete && !packer.isFull();
@@ -97,41 +97,42 @@
   if (own.tokens.empty()) packer.add(wanted.backend, own.sequence, complete, nullptr);
   for (const auto& [key, tokens] : own.tokens) {
     const auto& [scope, model, part] = key;
-    const CacheNotePart told{scope, model, part, tokens};
-    packer.add(wanted.backend, own.sequence, complete, &told);
+    const CacheNotePart note_part{scope, model, part, tokens};
+    packer.add(wanted.backend, own.sequence, complete, &note_part);
     complete = complete && !packer.isFull();
   }
   return packer.take();
 }
 
-// Caches that others follow.
+// Caches that other gateways follow.
 
-bool CacheExchange::misses(ToldCache& known, const std::string& sender, const CacheNote& note,
-                           TimePoint now) {
-  const bool follows = known.sender == sender && note.sequence <= known.sequence + 1;
+bool CacheExchange::needsWholeCache(RemoteCache& known, const std::string& sender, const CacheNote& note,
+                                    TimePoint now) {
+  const bool in_sequence = known.sender == sender && note.sequence <= known.sequence + 1;
   known.sender = sender;
-  known.sequence = std::max(note.sequence, follows ? known.sequence : note.sequence);
-  if (follows || note.complete) return false;
-  const bool asked = known.asked_at != TimePoint{} && now - known.asked_at < kAskInterval;
-  if (!asked) known.asked_at = now;
-  return !asked;
+  known.sequence = std::max(note.sequence, in_sequence ? known.sequence : note.sequence);
+  if (in_sequence || note.complete) return false;
+  const bool requested_recently =
+      known.requested_at != TimePoint{} && now - known.requested_at < kRequestInterval;
+  if (!requested_recently) known.requested_at = now;
+  return !requested_recently;
 }
 
 ReceivedCacheNotes CacheExchange::onNotes(const std::string& sender, const CacheNotes& notes, TimePoint now) {
   ReceivedCacheNotes received;
   for (const CacheNote& note : notes.notes) {
-    if (own_.contains(note.backend)) continue;  // What this gateway sees itself is newer.
-    ToldCache& known = told_[note.backend];
+    if (own_.contains(note.backend)) continue;  // This gateway's own view is newer.
+    RemoteCache& known = remote_[note.backend];
     const bool outdated = known.sender == sender && note.sequence < known.sequence && !note.complete;
     if (outdated) continue;
-    if (misses(known, sender, note, now)) received.wanted.push_back({note.backend});
-    ReceivedCacheUpdate news;
-    news.backend = note.backend;
-    news.complete = note.complete;
+    if (needsWholeCache(known, sender, note, now)) received.wanted.push_back({note.backend});
+    ReceivedCacheUpdate update;
+    update.backend = note.backend;
+    update.complete = note.complete;
     for (const CacheNotePart& part : note.parts) {
-      news.parts.push_back({part.scope, part.model, part.part, part.tokens});
+      update.parts.push_back({part.scope, part.model, part.part, part.tokens});
     }
-    received.news.push_back(std::move(news));
+    received.updates.push_back(std::move(update));
   }
   return received;
 }
@@ -139,7 +140,7 @@
 void CacheExchange::retain(const std::set<std::string>& present) {
   const auto absent = [&present](const auto& item) { return !present.contains(item.first); };
   std::erase_if(own_, absent);
-  std::erase_if(told_, absent);
+  std::erase_if(remote_, absent);
 }
 
 std::string followerOf(const std::string& backend, const std::vector<std::string>& members) {
--- a/src/gateway_control/cache_exchange.h
+++ b/src/gateway_control/cache_exchange.h
@@ -1,9 +1,10 @@
 #pragma once
-/// @file Shares news of caches between the gateways of a zone, so that each back end's cache is followed by
-/// one of them. Pure decision code: datagrams may be lost, doubled and come out of order.
+/// @file Distributes cache updates between the gateways of a zone, so that each back end's cache is followed
+/// by only one of them. Pure decision code: datagrams may be lost, duplicated and reordered.
 ///
-/// The sender of a back end numbers its notes. A receiver that misses a number asks the sender for the whole;
-/// until it comes, later notes are still taken, since each states what the cache holds, not what changed.
+/// The gateway that follows a cache numbers its notes. A receiver that detects a gap requests the complete
+/// content from the sender. Until it arrives, later notes are still applied, since each states what the cache
+/// holds rather than a difference.
 
 #include <cstdint>
 #include <map>
@@ -19,36 +20,37 @@
 
 namespace crankspur::gateway {
 
-/// News of a back end's cache from another gateway.
+/// An update of a back end's cache from another gateway.
 struct ReceivedCacheUpdate {
   std::string backend;
   bool complete = false;
   std::vector<CachedPart> parts;
 };
 
-/// What comes of received notes.
+/// Result of processing received notes.
 struct ReceivedCacheNotes {
-  std::vector<ReceivedCacheUpdate> news;
-  std::vector<CacheWanted> wanted;  ///< To be sent to the sender.
+  std::vector<ReceivedCacheUpdate> updates;
+  std::vector<CacheWanted> wanted;  ///< Requests to return to the sender of the notes.
 };
 
 /// The exchange of one gateway. Not thread-safe.
 class CacheExchange {
 public:
-  /// News of a cache that this gateway follows.
-  void onOwnNews(const std::string& backend, const std::vector<CachedPart>& parts, bool complete);
-  /// This gateway follows the cache no longer.
+  /// An update of a cache that this gateway follows.
+  void onOwnUpdate(const std::string& backend, const std::vector<CachedPart>& parts, bool complete);
+  /// This gateway has stopped following the cache.
   void forgetOwn(const std::string& backend);
-  /// @return whether takeNotes() has anything.
+  /// @return whether takeNotes() would return anything.
   bool hasNotes() const;
-  /// @return what the other gateways of the zone are to hear, in datagrams of bounded size.
+  /// Takes the pending notes.
+  /// @return the notes for the other gateways of the zone, in datagrams of bounded size.
   std::vector<CacheNotes> takeNotes();
-  /// Another gateway asks for the whole of a cache. @return the answer; empty if this gateway does not follow
-  /// it.
+  /// Another gateway requests the complete content of a cache.
+  /// @return the response; empty if this gateway does not follow the cache.
   std::vector<CacheNotes> onWanted(const CacheWanted& wanted) const;
 
   ReceivedCacheNotes onNotes(const std::string& sender, const CacheNotes& notes, TimePoint now);
-  /// Forgets all back ends but these.
+  /// Forgets all back ends except those in `present`.
   void retain(const std::set<std::string>& present);
 
 private:
@@ -61,19 +63,19 @@
     bool pending_complete = false;
   };
   /// A cache that another gateway follows.
-  struct ToldCache {
+  struct RemoteCache {
     std::string sender;
     std::uint64_t sequence = 0;
-    TimePoint asked_at{};
+    TimePoint requested_at{};
   };
 
-  bool misses(ToldCache& known, const std::string& sender, const CacheNote& note, TimePoint now);
+  bool needsWholeCache(RemoteCache& known, const std::string& sender, const CacheNote& note, TimePoint now);
 
   std::map<std::string, OwnCache> own_;
-  std::map<std::string, ToldCache> told_;
+  std::map<std::string, RemoteCache> remote_;
 };
 
-/// @return the member that follows the back end's cache: the same for all that know the same members.
+/// @return the member that follows the back end's cache; the same on all gateways with the same member list.
 std::string followerOf(const std::string& backend, const std::vector<std::string>& members);
 
 }  // namespace crankspur::gateway
--- a/src/gateway_control/cache_watch.cc
+++ b/src/gateway_control/cache_watch.cc
@@ -9,21 +9,21 @@
 
 namespace {
 
-/// Between two questions to one cache: news are gathered meanwhile.
-constexpr Duration kPause = std::chrono::milliseconds(30);
-constexpr Duration kPauseAfterRefusal = std::chrono::seconds(1);
-/// A call for events is held this long when nothing happens, so that an engine that no longer answers is
-/// noticed soon.
+/// Delay between two calls to one cache, during which updates are batched.
+constexpr Duration kPollDelay = std::chrono::milliseconds(30);
+constexpr Duration kRejectedDelay = std::chrono::seconds(1);
+/// A call for events is held at most this long while there are none, so that an engine that stops responding
+/// is noticed soon.
 constexpr Duration kEventsWait = std::chrono::milliseconds(400);
-/// A cache that did not answer twice is asked again soon, since requests keep away from its engine meanwhile.
-constexpr Duration kPauseAfterSilence = std::chrono::milliseconds(300);
-/// First calls under way at once: their answers tell whole caches, some 200 KB each, and a gateway of a large
-/// fleet that knows few others yet would read all caches at its start.
-constexpr std::size_t kFirstCalls = 4;
-/// A first call without news, or over a slow link, holds up the next one for at most this long.
-constexpr Duration kFirstCallTurn = std::chrono::milliseconds(200);
-
-/// @return what the events leave behind: of each part the last one.
+/// A cache that failed to respond twice is called again soon, since its engine gets no requests meanwhile.
+constexpr Duration kUnresponsiveDelay = std::chrono::milliseconds(300);
+/// Concurrent first calls. Their responses contain whole caches, about 200 KB each, and a gateway of a large
+/// fleet that knows few other gateways so far would otherwise read all caches at its start.
+constexpr std::size_t kMaxFirstCalls = 4;
+/// A first call that gets no events, or uses a slow link, delays the next one by at most this time.
+constexpr Duration kMaxFirstCallDelay = std::chrono::milliseconds(200);
+
+/// @return the last event of each part.
 std::vector<CachedPart> newestOfEach(std::vector<CachedPart> events) {
   std::set<std::tuple<std::string, std::string, std::uint64_t>> seen;
   std::vector<CachedPart> newest;
@@ -54,10 +54,10 @@
     if (wanted.contains(item.first)) return false;
     item.second->dropped = true;
     item.second->timer.cancel();
-    started(*item.second);
+    endFirstCall(*item.second);
     return true;
   });
-  startNext();
+  startFirstCalls();
 }
 
 void CacheWatch::follow(const Backend& backend) {
@@ -67,120 +67,123 @@
   followed->slot = backend.view.slot;
   followed->incarnation = backend.view.incarnation;
   followed_[backend.view.name] = followed;
-  to_start_.push_back(followed);
+  awaiting_first_call_.push_back(followed);
 }
 
-void CacheWatch::startNext() {
-  while (starting_ < kFirstCalls && !to_start_.empty()) {
-    const FollowedPointer followed = to_start_.front();
-    to_start_.pop_front();
+void CacheWatch::startFirstCalls() {
+  while (first_calls_running_ < kMaxFirstCalls && !awaiting_first_call_.empty()) {
+    const FollowedPointer followed = awaiting_first_call_.front();
+    awaiting_first_call_.pop_front();
     if (followed->dropped) continue;
-    followed->starting = true;
-    ++starting_;
-    followed->timer.expires_after(kFirstCallTurn);
+    followed->first_call_running = true;
+    ++first_calls_running_;
+    followed->timer.expires_after(kMaxFirstCallDelay);
     followed->timer.async_wait([this, followed](boost::system::error_code error) {
       if (error) return;
-      started(*followed);
-      startNext();
+      endFirstCall(*followed);
+      startFirstCalls();
     });
-    ask(followed);
+    sendRequest(followed);
   }
 }
 
-/// The call is no longer counted among the first ones under way.
-void CacheWatch::started(Followed& followed) {
-  if (std::exchange(followed.starting, false)) --starting_;
+/// Frees the slot that a first call takes up, if this cache has one.
+void CacheWatch::endFirstCall(Followed& followed) {
+  if (std::exchange(followed.first_call_running, false)) --first_calls_running_;
 }
 
-void CacheWatch::ask(const FollowedPointer& followed) {
+void CacheWatch::sendRequest(const FollowedPointer& followed) {
   if (followed->dropped) return;
-  followed->asked_at = clock_.now();
-  if (followed->want_content) {
+  followed->requested_at = clock_.now();
+  if (followed->content_wanted) {
     platform_.readCacheContent(
         followed->address, [this, followed](CachedPartsPage page) { onContent(followed, std::move(page)); });
     return;
   }
-  // After silence an answer at once tells an engine that lives behind a silent connection: requests keep away
-  // from it for some milliseconds then, and not for the pause and another wait (0.7 s).
-  const Duration wait = followed->silent ? Duration(0) : kEventsWait;
+  // After a call without response the next one returns at once. If the engine is live behind a silent
+  // connection, requests then avoid it for some milliseconds instead of for the delay and another wait (0.7
+  // s).
+  const Duration wait = followed->unresponsive ? Duration(0) : kEventsWait;
   platform_.readCacheEvents(followed->address, followed->position, wait,
                             [this, followed](CachedPartsPage page) { onEvents(followed, std::move(page)); });
 }
 
-void CacheWatch::askLater(const FollowedPointer& followed, Duration delay) {
+void CacheWatch::scheduleRequest(const FollowedPointer& followed, Duration delay) {
   followed->timer.expires_after(delay);
   followed->timer.async_wait([this, followed](boost::system::error_code error) {
-    if (!error) ask(followed);
+    if (!error) sendRequest(followed);
   });
 }
 
 void CacheWatch::onEvents(const FollowedPointer& followed, CachedPartsPage page) {
   if (followed->dropped) return;
-  started(*followed);
-  startNext();
-  if (!page.answered) return onNoAnswer(followed, page.turned_away);
-  onAnswer(*followed);
+  endFirstCall(*followed);
+  startFirstCalls();
+  if (!page.answered) return onNoResponse(followed, page.turned_away);
+  onResponse(*followed);
   const bool restarted = followed->known && followed->epoch != page.epoch;
   const bool first = !std::exchange(followed->known, true);
   followed->epoch = page.epoch;
   if (restarted) {
-    // Another life of the cache: it began empty, and its events are told from the first.
+    // The cache was restarted: it began empty, and its events are read from the first one on.
     followed->position = 0;
-    tell(*followed, {}, true);
-    return askLater(followed, kPause);
+    notify(*followed, {}, true);
+    return scheduleRequest(followed, kPollDelay);
   }
   followed->position = page.position;
   if (page.gap) {
-    followed->want_content = true;
-    return ask(followed);
+    followed->content_wanted = true;
+    return sendRequest(followed);
   }
   std::vector<CachedPart> parts = newestOfEach(std::move(page.parts));
-  // All events from the first on are thousands, most of them of parts that have gone since.
+  // The whole history has thousands of events, most of them for parts that have been removed since.
   if (first) std::erase_if(parts, [](const CachedPart& part) { return part.tokens == 0; });
-  if (!parts.empty()) tell(*followed, std::move(parts), first);
-  askLater(followed, kPause);
+  if (!parts.empty()) notify(*followed, std::move(parts), first);
+  scheduleRequest(followed, kPollDelay);
 }
 
 void CacheWatch::onContent(const FollowedPointer& followed, CachedPartsPage page) {
   if (followed->dropped) return;
-  if (!page.answered) return onNoAnswer(followed, page.turned_away);
-  onAnswer(*followed);
-  followed->want_content = false;
+  if (!page.answered) return onNoResponse(followed, page.turned_away);
+  onResponse(*followed);
+  followed->content_wanted = false;
   followed->epoch = page.epoch;
   followed->position = page.position;
-  tell(*followed, std::move(page.parts), true);
-  askLater(followed, kPause);
+  notify(*followed, std::move(page.parts), true);
+  scheduleRequest(followed, kPollDelay);
 }
 
-void CacheWatch::onAnswer(Followed& followed) {
-  followed.heard_at = clock_.now();
-  if (std::exchange(followed.silent, false)) callbacks_.on_responsive(followed.slot, followed.incarnation);
+void CacheWatch::onResponse(Followed& followed) {
+  followed.responded_at = clock_.now();
+  if (std::exchange(followed.unresponsive, false))
+    callbacks_.on_responsive(followed.slot, followed.incarnation);
 }
 
-bool CacheWatch::othersAnswer(const Followed& followed) const {
-  return std::any_of(followed_.begin(), followed_.end(),
-                     [&followed](const auto& item) { return item.second->heard_at > followed.asked_at; });
+bool CacheWatch::othersResponded(const Followed& followed) const {
+  return std::any_of(followed_.begin(), followed_.end(), [&followed](const auto& item) {
+    return item.second->responded_at > followed.requested_at;
+  });
 }
 
-/// One that turns calls away answers, if only with that.
-void CacheWatch::onNoAnswer(const FollowedPointer& followed, bool turned_away) {
+/// A cache that rejects a call has responded.
+void CacheWatch::onNoResponse(const FollowedPointer& followed, bool turned_away) {
   if (turned_away) {
-    onAnswer(*followed);
-    return askLater(followed, kPauseAfterRefusal);
+    onResponse(*followed);
+    return scheduleRequest(followed, kRejectedDelay);
   }
-  const bool again = std::exchange(followed->silent, true);
+  const bool again = std::exchange(followed->unresponsive, true);
   callbacks_.on_unresponsive(
-      {followed->slot, followed->incarnation, followed->asked_at, othersAnswer(*followed)});
-  askLater(followed, again ? kPauseAfterSilence : Duration(0));
+      {followed->slot, followed->incarnation, followed->requested_at, othersResponded(*followed)});
+  scheduleRequest(followed, again ? kUnresponsiveDelay : Duration(0));
 }
 
-void CacheWatch::tell(const Followed& followed, std::vector<CachedPart> parts, bool complete) {
-  CachedPartsNews news;
-  news.slot = followed.slot;
-  news.incarnation = followed.incarnation;
-  news.complete = complete;
-  news.parts = std::move(parts);
-  callbacks_.on_update(std::move(news));
+void CacheWatch::notify(const Followed& followed, std::vector<CachedPart> parts, bool complete) {
+  CachedPartsNews parts_update;
+  parts_update.slot = followed.slot;
+  parts_update.incarnation = followed.incarnation;
+  parts_update.complete = complete;
+  parts_update.parts = std::move(parts);
+  callbacks_.on_update(std::move(parts_update));
 }
 
 }  // namespace crankspur::gateway
--- a/src/gateway_control/cache_watch.h
+++ b/src/gateway_control/cache_watch.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Follows what the caches of back ends hold. Lives on the control thread.
+/// @file Follows the contents of the back ends' caches. Runs on the control thread.
 
 #include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -14,28 +14,28 @@
 
 namespace crankspur::gateway {
 
-/// A cache that did not answer.
+/// A cache that did not respond.
 struct UnresponsiveCache {
   EngineSlot slot = 0;
   std::uint64_t incarnation = 0;
-  TimePoint since{};              ///< When the call that it did not answer was sent.
-  bool others_responded = false;  ///< Another cache has answered since: the fault is not this gateway's own.
+  TimePoint since{};              ///< When the call without response was sent.
+  bool others_responded = false;  ///< Another cache has responded since: the fault is not this gateway's own.
 };
 
-/// What the watch tells.
+/// Callbacks of CacheWatch.
 struct CacheWatchCallbacks {
   std::function<void(CachedPartsNews)> on_update;
   std::function<void(const UnresponsiveCache&)> on_unresponsive;
-  /// A cache that was told to be silent answers again.
+  /// A cache that was reported as unresponsive responds again.
   std::function<void(EngineSlot, std::uint64_t incarnation)> on_responsive;
 };
 
-/// The watch.
+/// See the file comment.
 class CacheWatch {
 public:
   CacheWatch(const boost::asio::any_io_executor& executor, PlatformLink& platform,
              CacheWatchCallbacks callbacks);
-  /// Begins to follow caches that are new and drops those that are gone.
+  /// Starts to follow new caches and stops following removed ones.
   /// @param follows whether this gateway follows the back end's cache itself.
   void update(const Configuration& configuration, const std::vector<Backend>& backends,
               const std::function<bool(const Backend&)>& follows);
@@ -47,38 +47,38 @@
     std::string address;
     EngineSlot slot = 0;
     std::uint64_t incarnation = 0;
-    bool known = false;  ///< An epoch and a position are held.
+    bool known = false;  ///< Whether `epoch` and `position` are valid.
     std::uint64_t epoch = 0;
     std::uint64_t position = 0;
-    bool want_content = false;
+    bool content_wanted = false;
     bool dropped = false;
-    bool starting = false;  ///< Its first call is under way and counts among those.
-    bool silent = false;    ///< The last call was not answered.
-    TimePoint asked_at{};   ///< When the last call was sent.
-    TimePoint heard_at{};   ///< When the last answer came.
+    bool first_call_running = false;  ///< Counted in first_calls_running_.
+    bool unresponsive = false;        ///< The last call got no response.
+    TimePoint requested_at{};         ///< When the last call was sent.
+    TimePoint responded_at{};         ///< When the last response arrived.
     boost::asio::steady_timer timer;
   };
   using FollowedPointer = std::shared_ptr<Followed>;
 
   void follow(const Backend& backend);
-  void startNext();
-  void started(Followed& followed);
-  void ask(const FollowedPointer& followed);
-  void askLater(const FollowedPointer& followed, Duration delay);
+  void startFirstCalls();
+  void endFirstCall(Followed& followed);
+  void sendRequest(const FollowedPointer& followed);
+  void scheduleRequest(const FollowedPointer& followed, Duration delay);
   void onEvents(const FollowedPointer& followed, CachedPartsPage page);
   void onContent(const FollowedPointer& followed, CachedPartsPage page);
-  void tell(const Followed& followed, std::vector<CachedPart> parts, bool complete);
-  void onAnswer(Followed& followed);
-  void onNoAnswer(const FollowedPointer& followed, bool turned_away);
-  bool othersAnswer(const Followed& followed) const;
+  void notify(const Followed& followed, std::vector<CachedPart> parts, bool complete);
+  void onResponse(Followed& followed);
+  void onNoResponse(const FollowedPointer& followed, bool turned_away);
+  bool othersResponded(const Followed& followed) const;
 
   boost::asio::any_io_executor executor_;
   PlatformLink& platform_;
   CacheWatchCallbacks callbacks_;
   SteadyClock clock_;
   std::map<std::string, FollowedPointer> followed_;  ///< By back end id.
-  std::deque<FollowedPointer> to_start_;             ///< Not asked yet.
-  std::size_t starting_ = 0;                         ///< First calls under way.
+  std::deque<FollowedPointer> awaiting_first_call_;  ///< Not called so far.
+  std::size_t first_calls_running_ = 0;              ///< First calls that take up one of the slots.
 };
 
 }  // namespace crankspur::gateway
--- a/src/gateway_control/crash_coordinator.cc
+++ b/src/gateway_control/crash_coordinator.cc
@@ -5,10 +5,10 @@
 namespace crankspur::gateway {
 namespace {
 
-/// A loop that has not run for so long has stalled: the process was stopped, or the machine suspended.
-constexpr Duration kStall = std::chrono::milliseconds(300);
-/// After a stall datagrams that came meanwhile are read within this time.
-constexpr Duration kReadBacklog = std::chrono::milliseconds(200);
+/// A loop that has not run for this long has stalled: the process was stopped, or the machine suspended.
+constexpr Duration kStallThreshold = std::chrono::milliseconds(300);
+/// After a stall, datagrams that arrived meanwhile are read within this time.
+constexpr Duration kBacklogReadTime = std::chrono::milliseconds(200);
 
 }  // namespace
 
@@ -16,10 +16,10 @@
     : exchange_(random_seed, now, policy),
       record_(now),
       digest_at_(now),
-      ran_at_(now),
-      reads_old_until_(now) {}
+      last_ran_at_(now),
+      backlog_until_(now) {}
 
-/// To all gateways at once: clients come to any of them, also to one that stands by.
+/// Sends the update to all gateways at once: clients may use any of them, including a standby gateway.
 void CrashCoordinator::onOwnUpdate(const CrashUpdate& update, const std::vector<std::string>& members,
                                    TimePoint now) {
   const bool withdraws = !update.cleared.empty() || !update.alive.empty();
@@ -27,33 +27,34 @@
   exchange_.onOwnUpdate(update, now);
   const CrashNotes notes = toNotes(update, now);
   for (const std::string& member : members) actions_.emplace_back(SendCrashMessage{member, notes});
-  // Gateways that start later must not refuse what has been cleared.
+  // Gateways that start later must not reject a request that has been cleared.
   const bool is_cleared = withdraws && exchange_.quarantined(now).crashes.size() < recorded;
   if (!is_cleared && !exchange_.quarantines(update, now)) return;
   record_.save();
   callStore(now);
 }
 
-/// After a stall it asks for what it dropped, as one that has just joined.
+/// After a stall, requests the dropped evidence again, as a gateway that has just joined does.
 void CrashCoordinator::onRunning(TimePoint now) {
-  if (now - ran_at_ > kStall) {
-    reads_old_until_ = now + kReadBacklog;
+  if (now - last_ran_at_ > kStallThreshold) {
+    backlog_until_ = now + kBacklogReadTime;
     exchange_.onMemberJoined(now);
   }
-  ran_at_ = now;
+  last_ran_at_ = now;
 }
 
 void CrashCoordinator::onNotes(const CrashNotes& notes, TimePoint now) {
   onRunning(now);
-  if (now < reads_old_until_) return;
-  take(toUpdate(notes, now), now);
+  if (now < backlog_until_) return;
+  merge(toUpdate(notes, now), now);
 }
 
-void CrashCoordinator::take(CrashUpdate update, TimePoint now) {
+void CrashCoordinator::merge(CrashUpdate update, TimePoint now) {
   if (exchange_.onUpdate(update, now)) actions_.emplace_back(NotifyTraffic{std::move(update)});
 }
 
-/// One without evidence tells its digest to nobody of itself; by telling it to this one it asks.
+/// A gateway without evidence does not send its digest on its own initiative; sending it to the sender of a
+/// digest requests that gateway's evidence.
 void CrashCoordinator::onDigest(const std::string& sender, const CrashDigest& digest, TimePoint now) {
   if (exchange_.onDigest(digest.digest, now)) {
     actions_.emplace_back(SendCrashMessage{sender, toNotes(exchange_.allEvidence(), now)});
@@ -64,7 +65,7 @@
 }
 
 void CrashCoordinator::onRecordRead(const std::optional<StoredRecord>& record, TimePoint now) {
-  take(record_.onRead(record, now), now);
+  merge(record_.onRead(record, now), now);
   callStore(now);
 }
 
--- a/src/gateway_control/crash_coordinator.h
+++ b/src/gateway_control/crash_coordinator.h
@@ -1,7 +1,6 @@
 #pragma once
-/// @file What the control side of a gateway does about poison requests: merges the evidence of its own
-/// traffic, of other gateways and of the store's record, and tells it on. Pure decision code: (event, now) to
-/// actions.
+/// @file Handles poison requests on the control side of a gateway: merges the evidence of its own traffic, of
+/// other gateways and of the store's record, and forwards it. Pure decision code: (event, now) to actions.
 
 #include <string>
 #include <utility>
@@ -19,12 +18,12 @@
   Message message;
 };
 
-/// Tells this gateway's traffic what it did not know.
+/// Forwards evidence that is new to this gateway's traffic.
 struct NotifyTraffic {
   CrashUpdate update;
 };
 
-/// Calls the store; answered by onRecordRead() or onRecordWritten().
+/// Calls the store; the response goes to onRecordRead() or onRecordWritten().
 struct CallStore {
   CrashRecordCall call;
 };
@@ -36,39 +35,39 @@
 public:
   CrashCoordinator(std::uint64_t random_seed, TimePoint now, const CrashPolicy& policy = {});
 
-  /// This gateway's traffic learnt something.
+  /// This gateway's traffic has new evidence.
   /// @param members the other gateways that may have clients.
   void onOwnUpdate(const CrashUpdate& update, const std::vector<std::string>& members, TimePoint now);
-  /// The control loop is running; to be told ten times a second.
+  /// The control loop is running; to be called ten times a second.
   void onRunning(TimePoint now);
-  /// Notes that may have waited to be read while this process stood still are dropped: their ages are of when
-  /// they were sent. The digests bring them again.
+  /// Drops notes that may have been queued while this process was stopped: the ages in them count from when
+  /// they were sent. The exchange of digests brings their evidence again.
   void onNotes(const CrashNotes& notes, TimePoint now);
   void onDigest(const std::string& sender, const CrashDigest& digest, TimePoint now);
-  /// A gateway became known, or is back.
+  /// A gateway became known, or came back.
   void onMemberJoined(TimePoint now) { exchange_.onMemberJoined(now); }
-  /// @param record empty: the store did not answer.
+  /// @param record empty: the store did not respond.
   void onRecordRead(const std::optional<StoredRecord>& record, TimePoint now);
   void onRecordWritten(bool written, TimePoint now);
-  /// @param members as above.
+  /// @param members as for onOwnUpdate().
   void onTimer(const std::vector<std::string>& members, TimePoint now);
   TimePoint nextTimer() const;
 
-  /// @return actions since the last call, in their order.
+  /// @return the actions since the last call, in order.
   std::vector<CrashAction> takeActions() { return std::exchange(actions_, {}); }
-  /// False: requests that the record quarantines may not be known yet, so that nothing is served.
+  /// @return false: requests that the record quarantines may still be unknown, so that nothing is served.
   bool isReady(TimePoint now) const { return record_.isReady(now); }
   std::uint64_t digest() const { return exchange_.digest(); }
 
 private:
-  void take(CrashUpdate update, TimePoint now);
+  void merge(CrashUpdate update, TimePoint now);
   void callStore(TimePoint now);
 
   CrashExchange exchange_;
   CrashRecord record_;
   TimePoint digest_at_;
-  TimePoint ran_at_;           ///< When the control loop was last known to run.
-  TimePoint reads_old_until_;  ///< After a stall: until what waited meanwhile has been read.
+  TimePoint last_ran_at_;    ///< When the control loop was last known to run.
+  TimePoint backlog_until_;  ///< After a stall: until datagrams queued meanwhile have been read.
   std::vector<CrashAction> actions_;
 };
 
--- a/src/gateway_control/crash_exchange.cc
+++ b/src/gateway_control/crash_exchange.cc
@@ -5,11 +5,11 @@
 namespace crankspur::gateway {
 namespace {
 
-/// Gateways that are told the digest at a time: of n gateways that all tell theirs, one hears four a second.
+/// Receivers of one digest. When all gateways send theirs, each receives four a second.
 constexpr std::size_t kDigestReceivers = 2;
-/// A gateway that knows nothing asks for so long after it or another one has joined.
-constexpr Duration kAskAfterJoin = std::chrono::seconds(5);
-/// All evidence is told at most this often: many may ask at once.
+/// A gateway without evidence requests it for this long after it or another gateway has joined.
+constexpr Duration kRequestAfterJoin = std::chrono::seconds(5);
+/// All evidence is sent at most this often, since many gateways may request it at once.
 constexpr Duration kMinFullUpdateInterval = std::chrono::milliseconds(20);
 
 std::uint32_t age(TimePoint instant, TimePoint now) {
@@ -68,14 +68,14 @@
 
 std::vector<std::string> CrashExchange::onTick(const std::vector<std::string>& members, TimePoint now) {
   suspects_.forgetOld(now);
-  std::vector<std::string> told;
-  const bool asks = now - joined_at_ < kAskAfterJoin;
-  if (members.empty() || (suspects_.digest() == 0 && !asks)) return told;
+  std::vector<std::string> receivers;
+  const bool joined_recently = now - joined_at_ < kRequestAfterJoin;
+  if (members.empty() || (suspects_.digest() == 0 && !joined_recently)) return receivers;
   const std::size_t first = random_.uniform(0, members.size() - 1);
   for (std::size_t index = 0; index < std::min(kDigestReceivers, members.size()); ++index) {
-    told.push_back(members[(first + index) % members.size()]);
+    receivers.push_back(members[(first + index) % members.size()]);
   }
-  return told;
+  return receivers;
 }
 
 }  // namespace crankspur::gateway
--- a/src/gateway_control/crash_exchange.h
+++ b/src/gateway_control/crash_exchange.h
@@ -1,8 +1,9 @@
 #pragma once
-/// @file Gossip and anti-entropy of the evidence against poison requests: an update goes at once to every
-/// gateway, since such a request may come to any; and every half second a digest of all evidence goes to two
-/// gateways at random, which answer with all they know where theirs differs. So a gateway that starts, was
-/// cut off, or missed a datagram knows within a second or two of contact. Pure decision code.
+/// @file Gossip and anti-entropy of the evidence against poison requests. An update is sent to every gateway
+/// at once, since such a request may arrive at any of them. Every half second a digest of all evidence is
+/// sent to two random gateways, which respond with all their evidence if their digest differs. A gateway that
+/// started, was cut off, or missed a datagram therefore catches up within a second or two of contact. Pure
+/// decision code.
 
 #include <cstdint>
 #include <string>
@@ -14,12 +15,12 @@
 
 namespace crankspur::gateway {
 
-/// @return the update as it goes on the wire: instants as ages.
+/// @return the update in wire format, with instants as ages.
 CrashNotes toNotes(const CrashUpdate& update, TimePoint now);
-/// @return the update in instants of this process.
+/// @return the update with ages converted to instants of this process.
 CrashUpdate toUpdate(const CrashNotes& notes, TimePoint now);
 
-/// The control side's copy of what is known. Not thread-safe.
+/// The control side's copy of the evidence. Not thread-safe.
 class CrashExchange {
 public:
   /// Time between two digests.
@@ -27,15 +28,15 @@
 
   CrashExchange(std::uint64_t random_seed, TimePoint now, const CrashPolicy& policy = {});
 
-  /// This gateway's traffic learnt something.
+  /// This gateway's traffic has new evidence.
   void onOwnUpdate(const CrashUpdate& update, TimePoint now) { suspects_.merge(update, now); }
-  /// Another gateway, or the store's record, told something.
+  /// Another gateway, or the store's record, has provided evidence.
   /// @return whether anything was new.
   bool onUpdate(const CrashUpdate& update, TimePoint now) { return suspects_.merge(update, now); }
-  /// A gateway became known, or is back: either side may lack something.
+  /// A gateway became known, or came back: either side may lack evidence.
   void onMemberJoined(TimePoint now) { joined_at_ = now; }
   /// @param digest of another gateway.
-  /// @return whether that one is to be told allEvidence().
+  /// @return whether to send allEvidence() to that gateway.
   bool onDigest(std::uint64_t digest, TimePoint now);
   CrashUpdate allEvidence() const { return suspects_.allEvidence(); }
   CrashUpdate quarantined(TimePoint now) const { return suspects_.quarantined(now); }
@@ -44,9 +45,9 @@
     return suspects_.quarantines(update, now);
   }
 
-  /// To be called each kDigestInterval.
-  /// @param members that live, without this one.
-  /// @return those that are to be told the digest.
+  /// To be called every kDigestInterval.
+  /// @param members live gateways, without this one.
+  /// @return those to send the digest to.
   std::vector<std::string> onTick(const std::vector<std::string>& members, TimePoint now);
   std::uint64_t digest() const { return suspects_.digest(); }
 
--- a/src/gateway_control/crash_record.cc
+++ b/src/gateway_control/crash_record.cc
@@ -8,16 +8,16 @@
 namespace crankspur::gateway {
 namespace {
 
-/// Pause before a call to the store is repeated.
-constexpr Duration kRetryPause = std::chrono::milliseconds(700);
-/// The store reads the row within this time of the question; an answer that is taken later was long on its
-/// way.
-constexpr Duration kMaxAnswerTime = std::chrono::milliseconds(300);
-/// Callers wait for the record this long after the start at most: a store that answers does so in
-/// milliseconds, and a gateway that knows no configuration serves nobody anyway.
+/// Delay before a call to the store is repeated.
+constexpr Duration kRetryDelay = std::chrono::milliseconds(700);
+/// The store reads the row within this time of the request; a response that is processed later was delayed
+/// after that.
+constexpr Duration kMaxResponseTime = std::chrono::milliseconds(300);
+/// Callers wait for the record at most this long after the start: a reachable store responds in milliseconds,
+/// and a gateway without a configuration serves nobody anyway.
 constexpr Duration kMaxLoadTime = std::chrono::seconds(1);
 
-/// @return what the record holds; empty when it is none of this program's.
+/// @return the content of the record; empty if it is not in this program's format.
 CrashUpdate decode(const StoredRecord& record, TimePoint now) {
   const DecodedFrame frame = decodeFrame(record.text);
   const auto* notes = frame.message ? std::get_if<CrashNotes>(&*frame.message) : nullptr;
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-CrashRecord::CrashRecord(TimePoint now) : settles_at_(now + kMaxLoadTime) {}
+CrashRecord::CrashRecord(TimePoint now) : ready_at_(now + kMaxLoadTime) {}
 
 void CrashRecord::save() {
   save_wanted_ = true;
@@ -35,22 +35,22 @@
 CrashUpdate CrashRecord::onRead(const std::optional<StoredRecord>& record, TimePoint now) {
   calling_ = false;
   if (!record) {
-    not_before_ = now + kRetryPause;
+    not_before_ = now + kRetryDelay;
     return {};
   }
   loaded_ = true;
   if (save_wanted_) version_to_replace_ = record->row_version;
-  return decode(*record, std::min(now, asked_at_ + kMaxAnswerTime));
+  return decode(*record, std::min(now, read_requested_at_ + kMaxResponseTime));
 }
 
-/// Written only if nobody has written since it was read, so that nothing of what others wrote is lost.
+/// The write replaces only the row version that was read, so that nothing written by other gateways is lost.
 CrashRecordCall CrashRecord::nextCall(const CrashUpdate& quarantined, TimePoint now) {
   CrashRecordCall call;
   if (calling_ || (loaded_ && !save_wanted_) || now < not_before_) return call;
   calling_ = true;
   if (!version_to_replace_) {
     call.kind = CrashRecordCall::Kind::read;
-    asked_at_ = now;
+    read_requested_at_ = now;
     return call;
   }
   save_wanted_ = false;
@@ -64,7 +64,7 @@
   calling_ = false;
   if (written) return;
   save_wanted_ = true;
-  not_before_ = now + kRetryPause;
+  not_before_ = now + kRetryDelay;
 }
 
 TimePoint CrashRecord::nextTimer() const {
--- a/src/gateway_control/crash_record.h
+++ b/src/gateway_control/crash_record.h
@@ -1,7 +1,7 @@
 #pragma once
-/// @file The record of quarantined requests in the platform's store. Gateways tell each other all evidence,
-/// and forget it when all of them end at once; what must outlast that lies here: one row, written when a
-/// request is quarantined, read by each gateway when it starts. Pure decision code.
+/// @file The record of quarantined requests in the platform's store. Gateways exchange all evidence, but lose
+/// it when all of them end at once. What has to outlast that is kept in this record: one row, written when a
+/// request is quarantined and read by each gateway when it starts. Pure decision code.
 
 #include <cstdint>
 #include <optional>
@@ -13,19 +13,20 @@
 
 namespace crankspur::gateway {
 
-/// What a CrashRecord asks for: at most one call at a time.
+/// A call to the store that CrashRecord requests; at most one at a time.
 struct CrashRecordCall {
   enum class Kind {
     none,
-    read,   ///< To be answered by CrashRecord::onRead().
-    write,  ///< To be answered by CrashRecord::onWritten().
+    read,   ///< The response goes to CrashRecord::onRead().
+    write,  ///< The response goes to CrashRecord::onWritten().
   };
   Kind kind = Kind::none;
   std::string text;                    ///< To be written.
-  std::uint64_t expected_version = 0;  ///< The row version that it may replace.
+  std::uint64_t expected_version = 0;  ///< The row version that the write may replace.
 };
 
-/// Reads the record at the start until the store answers, and writes it when asked. Not thread-safe.
+/// Reads the record at the start, with retries until the store responds, and writes it on request. Not
+/// thread-safe.
 class CrashRecord {
 public:
   /// The row's name in the store.
@@ -34,26 +35,26 @@
   /// @param now when the gateway started.
   explicit CrashRecord(TimePoint now);
 
-  /// Asks for the record to be written, with what others have written to it.
+  /// Requests that the record be written, merged with what other gateways have written to it.
   void save();
-  /// @param record empty: the store did not answer.
-  /// @return what the record holds.
+  /// @param record empty: the store did not respond.
+  /// @return the content of the record.
   CrashUpdate onRead(const std::optional<StoredRecord>& record, TimePoint now);
-  /// To be called after onRead() once its update was merged, and at any time else.
-  /// @param quarantined the evidence to write, if the record is to be written now.
+  /// To be called once the update from onRead() was merged, and may be called at any other time.
+  /// @param quarantined the evidence to write, if a write is due.
   /// @return the call to make now.
   CrashRecordCall nextCall(const CrashUpdate& quarantined, TimePoint now);
   /// @param written false: the row has changed, or the outcome is unknown.
   void onWritten(bool written, TimePoint now);
-  /// @return when nextCall() has something to ask for; TimePoint::max(): not before another event.
+  /// @return when nextCall() has a call to make; TimePoint::max(): not before another event.
   TimePoint nextTimer() const;
-  /// @return whether the record has been read, or not in a time for which callers can wait.
-  bool isReady(TimePoint now) const { return loaded_ || now >= settles_at_; }
+  /// @return whether the record has been read, or could not be read in the time for which callers can wait.
+  bool isReady(TimePoint now) const { return loaded_ || now >= ready_at_; }
 
 private:
-  TimePoint settles_at_;
-  TimePoint not_before_{};  ///< Pause after a call that failed.
-  TimePoint asked_at_{};    ///< When the record was last asked for.
+  TimePoint ready_at_;
+  TimePoint not_before_{};         ///< End of the delay after a failed call.
+  TimePoint read_requested_at_{};  ///< When the record was last requested.
   bool loaded_ = false;
   bool save_wanted_ = false;
   bool calling_ = false;
--- a/src/gateway_control/gateway_admin.cc
+++ b/src/gateway_control/gateway_admin.cc
@@ -49,7 +49,7 @@
   std::error_code error;
   if (address.empty()) return error;
   endpoints_ =
-      std::make_shared<http::AdminEndpoints>(metrics_.registry(), [this] { return whyNotServing(); });
+      std::make_shared<http::AdminEndpoints>(metrics_.registry(), [this] { return notServingReason(); });
   endpoints_->beforeMetrics([this] { refreshGauges(); });
   endpoints_->add("/status",
                   [this](const http::Request&, const writer_pointer& writer) { writer->respond(status()); });
@@ -60,32 +60,32 @@
   return error;
 }
 
-std::string GatewayAdmin::whyNotServing() const {
+std::string GatewayAdmin::notServingReason() const {
   if (process_.ready()) return "";
   return control_.status().leaving ? "stopping" : "no configuration";
 }
 
 http::Response GatewayAdmin::status() const {
-  const ControlStatus held = control_.status();
+  const ControlStatus current = control_.status();
   const json::object body = {{"name", settings_.name},
                              {"role", "gateway"},
                              {"zone", settings_.zone},
                              {"region", settings_.region},
                              {"version", CRANKSPUR_VERSION},
-                             {"bundle_version", held.configuration_version},
+                             {"bundle_version", current.configuration_version},
                              {"requests_in_flight", process_.inFlight()},
-                             {"stopping", held.leaving},
-                             {"platform_reachable", held.platform_reachable},
-                             {"knowledge_age_ms", toSeconds(held.knowledge_age) * 1000},
-                             {"holds_order_lease", held.holds_order_lease},
-                             {"serves", held.serves},
-                             {"serving", json::array(held.serving.begin(), held.serving.end())},
-                             {"members", describeAll(held.members)},
-                             {"engines", describeAll(held.backends)}};
+                             {"stopping", current.leaving},
+                             {"platform_reachable", current.platform_reachable},
+                             {"knowledge_age_ms", toSeconds(current.knowledge_age) * 1000},
+                             {"holds_order_lease", current.holds_order_lease},
+                             {"serves", current.serves},
+                             {"serving", json::array(current.serving.begin(), current.serving.end())},
+                             {"members", describeAll(current.members)},
+                             {"engines", describeAll(current.backends)}};
   return http::jsonResponse(kOk, json::serialize(body));
 }
 
-/// The lines that name the request, as far back as they are kept.
+/// @return the log lines that name the request, as far back as they are kept.
 http::Response GatewayAdmin::explain(const std::string& request_id) const {
   json::array lines;
   const std::string wanted = "request_id=" + request_id + " ";
@@ -96,7 +96,7 @@
   }
   if (lines.empty()) {
     return http::errorResponse(kNotFound, errorName(ErrorCode::InvalidRequest),
-                               "no line of late names this request", "not_run");
+                               "no recent log line names this request", "not_run");
   }
   const json::object body = {
       {"request_id", request_id}, {"gateway", settings_.name}, {"lines", std::move(lines)}};
@@ -104,19 +104,19 @@
 }
 
 void GatewayAdmin::refreshGauges() {
-  const ControlStatus held = control_.status();
+  const ControlStatus current = control_.status();
   std::map<std::string_view, std::size_t> states = {{"live", 0}, {"leaving", 0}, {"ejected", 0}, {"dead", 0}};
-  for (const Backend& backend : held.backends) ++states[engineStateName(backend.view.state)];
+  for (const Backend& backend : current.backends) ++states[engineStateName(backend.view.state)];
   for (const auto& [state, count] : states) metrics_.setBackends(state, count);
   metrics_.in_flight.Set(static_cast<double>(process_.inFlight()));
-  metrics_.configuration_version.Set(static_cast<double>(held.configuration_version));
-  metrics_.members.Set(static_cast<double>(held.members.size()));
-  metrics_.knowledge_age.Set(toSeconds(held.knowledge_age));
-  metrics_.platform_reachable.Set(held.platform_reachable ? 1 : 0);
-  metrics_.holds_order_lease.Set(held.holds_order_lease ? 1 : 0);
-  metrics_.serves.Set(held.serves ? 1 : 0);
-  metrics_.serving.Set(static_cast<double>(held.serving.size()));
-  metrics_.orders.Set(static_cast<double>(held.orders_sent));
+  metrics_.configuration_version.Set(static_cast<double>(current.configuration_version));
+  metrics_.members.Set(static_cast<double>(current.members.size()));
+  metrics_.knowledge_age.Set(toSeconds(current.knowledge_age));
+  metrics_.platform_reachable.Set(current.platform_reachable ? 1 : 0);
+  metrics_.holds_order_lease.Set(current.holds_order_lease ? 1 : 0);
+  metrics_.serves.Set(current.serves ? 1 : 0);
+  metrics_.serving.Set(static_cast<double>(current.serving.size()));
+  metrics_.orders.Set(static_cast<double>(current.orders_sent));
   const DroppedLines dropped = log_.dropped();
   metrics_.log_lines.Set(static_cast<double>(log_.linesAccepted()));
   metrics_.log_routine_dropped.Set(static_cast<double>(dropped.routine));
--- a/src/gateway_control/gateway_admin.h
+++ b/src/gateway_control/gateway_admin.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file What one gateway tells operators: /healthz, /metrics, /status and /explain at its own address. Lives
-/// on the control thread.
+/// @file Operator endpoints of one gateway: /healthz, /metrics, /status and /explain at an address of their
+/// own. Runs on the control thread.
 
 #include <boost/asio/any_io_executor.hpp>
 #include <memory>
@@ -15,19 +15,19 @@
 
 namespace crankspur::gateway {
 
-/// Serves the address. Its parts must outlive it.
+/// Serves the endpoints. The objects passed to the constructor must outlive it.
 class GatewayAdmin {
 public:
   GatewayAdmin(const NodeSettings& settings, const GatewayProcess& process, const GatewayControl& control,
                GatewayMetrics& metrics, const BoundedEventLog& log);
   /// @param address "IP:port"; empty: nothing is served.
   std::error_code listen(const boost::asio::any_io_executor& executor, const std::string& address);
-  /// @return the port that was bound; 0: none.
+  /// @return the bound port; 0: none.
   std::uint16_t port() const { return server_ == nullptr ? 0 : server_->port(); }
 
 private:
   using writer_pointer = std::shared_ptr<http::ResponseWriter>;
-  std::string whyNotServing() const;
+  std::string notServingReason() const;
   http::Response status() const;
   http::Response explain(const std::string& request_id) const;
   void refreshGauges();
--- a/src/gateway_control/gateway_control_caches.cc
+++ b/src/gateway_control/gateway_control_caches.cc
@@ -1,5 +1,6 @@
-/// @file How gateways share the following of caches: in a large fleet those that serve, in a smaller one
-/// those of a zone. A gateway that stands by follows none and is told nothing.
+/// @file Part of GatewayControl: gateways share the work of following caches. In a large fleet those that
+/// serve share it, in a smaller one those of a zone. A standby gateway follows no cache and is sent no
+/// updates.
 
 #include <algorithm>
 #include <set>
@@ -10,18 +11,19 @@
 namespace crankspur::gateway {
 namespace {
 
-/// From so many gateways on, each cache is followed by one of them.
-constexpr std::size_t kLeastSharing = 5;
-/// News are gathered for so long for each gateway that shares before they are told, within bounds: each
-/// gateway hears all the others, so that their datagrams would grow with the square of their number.
-constexpr Duration kGatherPerGateway = std::chrono::milliseconds(8);
-constexpr Duration kLeastGather = std::chrono::milliseconds(40);
-constexpr Duration kLongestGather = std::chrono::milliseconds(200);
-/// When no further gateway became known for so long, a large fleet counts as known: somewhat more than the
-/// time between two probes, each of which may bring more.
-constexpr Duration kUntilKnown = std::chrono::milliseconds(700);
-/// What others sendTo is passed on to the traffic thread in such steps.
-constexpr Duration kPassInterval = std::chrono::milliseconds(30);
+/// With at least this many gateways, each cache is followed by only one of them.
+constexpr std::size_t kMinSharingGateways = 5;
+/// Updates are batched for this time per sharing gateway before they are sent, within the bounds below: each
+/// gateway sends to all others, so that the number of datagrams would grow with the square of the number of
+/// gateways.
+constexpr Duration kBatchTimePerGateway = std::chrono::milliseconds(8);
+constexpr Duration kMinBatchTime = std::chrono::milliseconds(40);
+constexpr Duration kMaxBatchTime = std::chrono::milliseconds(200);
+/// A large fleet counts as known when no further gateway was discovered for this time. It is somewhat longer
+/// than the time between two probes, each of which may discover more.
+constexpr Duration kFleetStableTime = std::chrono::milliseconds(700);
+/// Updates from other gateways are forwarded to the traffic thread in batches of this time.
+constexpr Duration kForwardInterval = std::chrono::milliseconds(30);
 
 }  // namespace
 
@@ -36,19 +38,19 @@
   return names;
 }
 
-/// A gateway of a large fleet that starts does not know at once who serves. Until it does it follows no
-/// cache: hundreds that all read every cache fill their links and the engines' places for such calls. In a
-/// small fleet each follows caches from the first moment.
+/// A gateway of a large fleet does not know at its start which gateways serve. Until it does, it follows no
+/// cache: hundreds of gateways that each read every cache would saturate their links and take up all slots
+/// that the engines have for such calls. In a small fleet each gateway follows caches from the start.
 bool GatewayControl::fleetIsKnown() {
   if (serving_.everyoneServes()) return true;
-  if (!settled_) settled_ = now() - member_added_at_ >= kUntilKnown;
+  if (!settled_) settled_ = now() - member_added_at_ >= kFleetStableTime;
   return settled_;
 }
 
 void GatewayControl::updateCacheWatch() {
   if (configuration_ == nullptr) return;
   std::vector<std::string> sharing = fleetIsKnown() ? sharingGateways() : std::vector<std::string>();
-  if (sharing.size() < kLeastSharing) sharing.clear();
+  if (sharing.size() < kMinSharingGateways) sharing.clear();
   if (sharing != sharing_) follows_.clear();
   sharing_ = std::move(sharing);
   const auto follows = [this](const Backend& backend) { return followsCache(backend.view.name); };
@@ -85,19 +87,19 @@
   return found == backends_.end() ? nullptr : &*found;
 }
 
-void GatewayControl::onOwnCacheUpdate(CachedPartsNews news) {
-  const Backend* backend = findBackend(news.slot, news.incarnation);
+void GatewayControl::onOwnCacheUpdate(CachedPartsNews update) {
+  const Backend* backend = findBackend(update.slot, update.incarnation);
   if (!sharing_.empty() && backend != nullptr) {
-    caches_.onOwnNews(backend->view.name, news.parts, news.complete);
+    caches_.onOwnUpdate(backend->view.name, update.parts, update.complete);
     scheduleCacheBroadcast();
   }
-  outputs_.on_cached_parts(std::move(news));
+  outputs_.on_cached_parts(std::move(update));
 }
 
 void GatewayControl::scheduleCacheBroadcast() {
   if (!caches_.hasNotes() || std::exchange(tell_waiting_, true)) return;
-  const Duration wanted = kGatherPerGateway * static_cast<Duration::rep>(sharing_.size());
-  tell_timer_.expires_after(std::clamp(wanted, kLeastGather, kLongestGather));
+  const Duration wanted = kBatchTimePerGateway * static_cast<Duration::rep>(sharing_.size());
+  tell_timer_.expires_after(std::clamp(wanted, kMinBatchTime, kMaxBatchTime));
   tell_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) broadcastCacheNotes();
   });
@@ -115,27 +117,27 @@
 void GatewayControl::onCacheNotes(const std::string& sender, const CacheNotes& notes) {
   ReceivedCacheNotes received = caches_.onNotes(sender, notes, now());
   for (const CacheWanted& wanted : received.wanted) gossip_.sendTo(sender, wanted);
-  for (ReceivedCacheUpdate& told : received.news) {
-    const Backend* backend = findBackend(told.backend);
+  for (ReceivedCacheUpdate& received_update : received.updates) {
+    const Backend* backend = findBackend(received_update.backend);
     if (backend == nullptr) continue;
-    CachedPartsNews news;
-    news.slot = backend->view.slot;
-    news.incarnation = backend->view.incarnation;
-    news.complete = told.complete;
-    news.parts = std::move(told.parts);
+    CachedPartsNews update;
+    update.slot = backend->view.slot;
+    update.incarnation = backend->view.incarnation;
+    update.complete = received_update.complete;
+    update.parts = std::move(received_update.parts);
     const bool waiting = !told_.empty();
-    told_.push_back(std::move(news));
+    told_.push_back(std::move(update));
     if (waiting) continue;
-    told_timer_.expires_after(kPassInterval);
+    told_timer_.expires_after(kForwardInterval);
     told_timer_.async_wait([this](boost::system::error_code error) {
       if (!error) forwardReceivedUpdates();
     });
   }
 }
 
-/// Together, since each hand-over wakes the traffic thread.
+/// Forwards all updates together, since each hand-over wakes the traffic thread.
 void GatewayControl::forwardReceivedUpdates() {
-  for (CachedPartsNews& news : std::exchange(told_, {})) outputs_.on_cached_parts(std::move(news));
+  for (CachedPartsNews& update : std::exchange(told_, {})) outputs_.on_cached_parts(std::move(update));
 }
 
 void GatewayControl::onCacheWanted(const std::string& requester, const CacheWanted& wanted) {
--- a/src/gateway_control/gateway_control_crashes.cc
+++ b/src/gateway_control/gateway_control_crashes.cc
@@ -1,5 +1,5 @@
-/// @file How gateways sendTo each other which requests crash engines: carries out what CrashCoordinator
-/// decides.
+/// @file Part of GatewayControl: gateways exchange evidence on which requests crash engines. Executes the
+/// actions of CrashCoordinator.
 
 #include <algorithm>
 
@@ -54,7 +54,7 @@
   platform_.readRecord(CrashRecord::kName, [this](const std::optional<StoredRecord>& record) {
     crashes_.onRecordRead(record, now());
     pumpCrashes();
-    publishSoon();  // Nothing was served before the record was known.
+    publishSoon();  // Nothing is served before the record is known.
   });
 }
 
--- a/src/gateway_control/gateway_control_kv_stores.cc
+++ b/src/gateway_control/gateway_control_kv_stores.cc
@@ -1,5 +1,6 @@
-/// @file Stores of KV cache: the configuration names them, the platform's list does not. They are kept among
-/// the back ends, so that what they hold is followed, told on and imported like what an engine holds.
+/// @file Part of GatewayControl: KV cache stores. They are named by the configuration, not by the platform's
+/// list. They are kept among the back ends, so that their contents are followed, shared with other gateways
+/// and imported like the contents of an engine.
 
 #include <utility>
 
@@ -8,8 +9,8 @@
 namespace crankspur::gateway {
 namespace {
 
-/// The other gateways of a zone leave a store that did not answer alone for so long.
-constexpr Duration kSilentPause = std::chrono::milliseconds(1'500);
+/// The other gateways of a zone avoid a store that did not respond for this long.
+constexpr Duration kUnresponsiveDelay = std::chrono::milliseconds(1'500);
 
 }  // namespace
 
@@ -32,13 +33,13 @@
   }
 }
 
-/// Requests that name a dead store as their source would wait for it.
+/// Marks the store as unreachable, since requests that name a dead store as their source would wait for it.
 void GatewayControl::onStoreUnresponsive(const Backend& store) {
   const std::string id = store.view.name;
   fleet_.onUnreachable(store.view.slot, store.view.incarnation, now());
-  const auto pause = std::chrono::duration_cast<std::chrono::milliseconds>(kSilentPause);
+  const auto delay = std::chrono::duration_cast<std::chrono::milliseconds>(kUnresponsiveDelay);
   if (!sharing_.empty())
-    gossip_.broadcast({{BackendNote{id, static_cast<std::uint32_t>(pause.count()), "", "", 0, false}}});
+    gossip_.broadcast({{BackendNote{id, static_cast<std::uint32_t>(delay.count()), "", "", 0, false}}});
   publishSoon();
 }
 
--- a/src/gateway_control/gateway_control_load.cc
+++ b/src/gateway_control/gateway_control_load.cc
@@ -1,4 +1,4 @@
-/// @file How gateways sendTo each other what they have at each engine.
+/// @file Part of GatewayControl: gateways report to each other the load that they have at each engine.
 
 #include <utility>
 
@@ -7,8 +7,9 @@
 namespace crankspur::gateway {
 namespace {
 
-/// What others sendTo is passed on to the traffic thread in such steps, since each hand-over wakes it.
-constexpr Duration kPassInterval = std::chrono::milliseconds(20);
+/// Digests from other gateways are forwarded to the traffic thread in batches of this time, since each
+/// hand-over wakes it.
+constexpr Duration kForwardInterval = std::chrono::milliseconds(20);
 
 }  // namespace
 
@@ -18,11 +19,11 @@
 
 void GatewayControl::onLoadDigest(const std::string& sender, const LoadDigest& digest) {
   const bool waiting = !peer_work_.empty();
-  LoadDigest& held = peer_work_[sender];
-  held = digest;
-  held.sender = sender;
+  LoadDigest& latest = peer_work_[sender];
+  latest = digest;
+  latest.sender = sender;
   if (waiting) return;
-  peer_work_timer_.expires_after(kPassInterval);
+  peer_work_timer_.expires_after(kForwardInterval);
   peer_work_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) forwardPeerLoad();
   });
--- a/src/gateway_control/gateway_control_unresponsive.cc
+++ b/src/gateway_control/gateway_control_unresponsive.cc
@@ -1,6 +1,6 @@
-/// @file Engines that answer nobody. The gateway that follows an engine's cache always has a call waiting
-/// there, so that it notices within a second when the engine no longer answers, whatever traffic there is.
-/// Where gateways share the following it tells the others.
+/// @file Part of GatewayControl: detects unresponsive engines. The gateway that follows an engine's cache
+/// always has a call pending there, so that it notices within a second when the engine stops responding,
+/// regardless of traffic. Where gateways share the work of following caches, it notifies the others.
 
 #include <algorithm>
 
@@ -16,16 +16,17 @@
 
 }  // namespace
 
-/// A gateway that nobody answers is itself cut off, or was frozen: it says nothing of engines then.
-void GatewayControl::onCacheUnresponsive(const UnresponsiveCache& silence) {
-  const Backend* backend = findBackend(silence.slot, silence.incarnation);
+/// A gateway that gets no response from any cache is itself cut off, or was suspended; it then reports no
+/// engine as unresponsive.
+void GatewayControl::onCacheUnresponsive(const UnresponsiveCache& cache) {
+  const Backend* backend = findBackend(cache.slot, cache.incarnation);
   if (backend == nullptr) return;
   if (backend->is_kv_store) return onStoreUnresponsive(*backend);
-  if (!silence.others_responded) return;
+  if (!cache.others_responded) return;
   const bool known = backend->silent_since != TimePoint{};
-  const Duration time = now() - silence.since;
+  const Duration time = now() - cache.since;
   if (!known) logUnresponsive(backend->view.name, true, time);
-  fleet_.onSilent(backend->view.name, silence.since, now());
+  fleet_.onSilent(backend->view.name, cache.since, now());
   BackendNote note;
   note.name = backend->view.name;
   note.silent_milliseconds = wholeMilliseconds(time);
--- a/src/gateway_control/gossip_socket.cc
+++ b/src/gateway_control/gossip_socket.cc
@@ -33,7 +33,8 @@
 
 MembershipOptions gossipMembershipOptions() {
   MembershipOptions options;
-  // When all gateways start together the first seed asked may not be up yet, and clients wait.
+  // Joining is retried soon: when all gateways start together, the first seed contacted may not be up yet,
+  // and clients wait.
   options.join_interval = std::chrono::milliseconds(100);
   options.suspicion_timeout = std::chrono::milliseconds(1'500);
   options.dead_probe_interval = std::chrono::seconds(2);
@@ -129,7 +130,7 @@
   boost::system::error_code error;
   const asio::ip::udp::endpoint receiver = udpEndpoint(address, error);
   if (error) return;
-  // A datagram that cannot be sent now is as one that was lost on the way.
+  // A datagram that cannot be sent is treated like one that was lost in transit.
   socket_.send_to(asio::buffer(encodeFrame(message)), receiver, 0, error);
 }
 
--- a/src/gateway_control/gossip_socket.h
+++ b/src/gateway_control/gossip_socket.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Membership of the gateways over UDP: each datagram is one frame of the internal protocol. A
+/// @file Membership protocol of the gateways over UDP: each datagram is one frame of the internal protocol. A
 /// gateway's member name is its gossip address, since seeds are known by address only.
 
 #include <array>
@@ -20,16 +20,16 @@
   std::string address;  ///< "IP:port" of this node.
   std::string zone;
   std::string region;
-  std::uint64_t incarnation = 0;   ///< Above that of the node's earlier starts.
-  std::uint32_t capacity = 0;      ///< Requests a second that this machine can carry.
+  std::uint64_t incarnation = 0;   ///< Higher than at the node's earlier starts.
+  std::uint32_t capacity = 0;      ///< Requests per second that this machine can handle.
   std::vector<std::string> seeds;  ///< "IP:port" of other nodes.
   std::uint64_t random_seed = 1;
 };
 
-/// @return the membership's timings among gateways.
+/// @return the timings of the membership protocol among gateways.
 MembershipOptions gossipMembershipOptions();
 
-/// Hears what other gateways sendTo. Names are member names.
+/// Receives the messages of other gateways. Senders are given by member name.
 class GossipReceiver {
 public:
   virtual ~GossipReceiver() = default;
@@ -43,20 +43,21 @@
   virtual void onCrashDigest(const std::string& sender, const CrashDigest& digest) = 0;
 };
 
-/// The socket with the membership that it serves. Use from the executor's thread only.
+/// The socket, with the membership protocol that runs over it. Use from the executor's thread only.
 class GossipSocket {
 public:
   GossipSocket(const boost::asio::any_io_executor& executor, GossipOptions options, GossipReceiver& receiver);
-  /// Binds and begins.
+  /// Binds the socket, starts to receive and contacts the seeds.
   std::error_code start();
   void seed(const std::vector<std::string>& addresses);
   void leave();
   void setConfigurationVersion(std::uint64_t version);
-  /// Tells every live member; a datagram may be lost.
+  /// Sends to every other live member; a datagram may be lost.
   void broadcast(const BackendNotes& notes);
-  /// Tells one member; the datagram may be lost.
+  /// Sends to one member; the datagram may be lost.
   void sendTo(const std::string& member, const Message& message) { send(member, message); }
-  /// @return live members, this node included; their bundle_version is the configuration they hold.
+  /// @return the live members, including this node; bundle_version is the version of the configuration that a
+  /// member holds.
   std::vector<MemberRecord> members() const { return membership_->liveMembers(); }
   const std::string& ownName() const { return options_.address; }
 
--- a/src/gateway_control/lease_contention.cc
+++ b/src/gateway_control/lease_contention.cc
@@ -5,12 +5,12 @@
 namespace crankspur::gateway {
 namespace {
 
-/// A gateway contends this much later for each one that goes before it.
+/// A gateway contends this much later for each one that ranks before it.
 constexpr Duration kRankDelay = std::chrono::milliseconds(1'200);
 
 }  // namespace
 
-void LeaseContention::onWork(std::optional<TimePoint> since, TimePoint now) {
+void LeaseContention::onPendingWork(std::optional<TimePoint> since, TimePoint now) {
   if (!since) {
     work_since_.reset();
     return;
--- a/src/gateway_control/lease_contention.h
+++ b/src/gateway_control/lease_contention.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file When a gateway begins to contend for the order lease. Pure decision code.
+/// @file Decides when a gateway begins to contend for the order lease. Pure decision code.
 
 #include <cstddef>
 #include <optional>
@@ -8,20 +8,21 @@
 
 namespace crankspur::gateway {
 
-/// Gateways contend one after the other, in their order of rank, so that normally one of them asks the table.
+/// Gateways contend one after the other, in order of rank, so that normally only one of them calls the lease
+/// table.
 class LeaseContention {
 public:
-  /// Another gateway gives orders at present.
+  /// Another gateway is sending orders.
   void onOthersActive(TimePoint now) { others_active_at_ = now; }
-  /// Notes whether there is work.
-  /// @param since when it came up, as far as known; empty: there is none.
-  void onWork(std::optional<TimePoint> since, TimePoint now);
-  /// @param rank how many live gateways go before this one.
-  /// @return whether nobody has done the work for so long that it is this gateway's turn.
+  /// Records whether there is pending work.
+  /// @param since when the work came up, as far as known; empty: there is none.
+  void onPendingWork(std::optional<TimePoint> since, TimePoint now);
+  /// @param rank how many live gateways rank before this one.
+  /// @return whether the work has been left undone for so long that it is this gateway's turn.
   bool contends(std::size_t rank, TimePoint now) const;
 
 private:
-  /// Work that has been there without a break: weights named meanwhile do not begin it anew.
+  /// Since when there has been pending work without a break; weights named meanwhile do not restart it.
   std::optional<TimePoint> work_since_;
   TimePoint others_active_at_{};
 };
--- a/src/gateway_control/rollout_coordinator.cc
+++ b/src/gateway_control/rollout_coordinator.cc
@@ -42,9 +42,9 @@
       rollout_(options_.rollout) {}
 
 bool RolloutCoordinator::onNamed(const NamedWeights& named) {
-  const bool news = rollout_.onNamed(named, clock_.now());
-  if (news) wake();
-  return news;
+  const bool is_new = rollout_.onNamed(named, clock_.now());
+  if (is_new) wake();
+  return is_new;
 }
 
 void RolloutCoordinator::wake() {
@@ -63,14 +63,14 @@
 
 void RolloutCoordinator::tick() {
   const TimePoint now = clock_.now();
-  contention_.onWork(rollout_.pendingSince(callbacks_.backends()), now);
+  contention_.onPendingWork(rollout_.pendingSince(callbacks_.backends()), now);
   if (!rollout_.pending(callbacks_.backends()) && !rollout_.busy()) {
     ticking_ = false;
     return;
   }
   if (holding_ || contention_.contends(callbacks_.rank(), now)) pollLease(now);
-  noteHolding(now);
-  giveOrders(now);
+  updateHolding(now);
+  sendOrders(now);
   timer_.expires_after(kRolloutTick);
   timer_.async_wait([this](boost::system::error_code error) {
     if (!error && !stopped_) tick();
@@ -89,13 +89,13 @@
       [this](bool written, const std::optional<LeaseRow>& row) { onLeaseWritten(written, row); });
 }
 
-/// The table of leases can be lost while the platform's feeds are answered.
-void RolloutCoordinator::noteLeaseAnswer(bool answered, TimePoint now) {
-  if (answered == lease_answers_) return;
-  lease_answers_ = answered;
-  if (!answered) {
+/// The lease table can be unreachable while the platform's feeds still respond.
+void RolloutCoordinator::recordLeaseResponse(bool responded, TimePoint now) {
+  if (responded == lease_reachable_) return;
+  lease_reachable_ = responded;
+  if (!responded) {
     lease_lost_at_ = now;
-    log_.write(EventId::PlatformUnreachable, {{"service", "lease"}, {"reason", "no answer, or turned away"}});
+    log_.write(EventId::PlatformUnreachable, {{"service", "lease"}, {"reason", "no response, or rejected"}});
     return;
   }
   const auto lost_for = std::chrono::duration_cast<std::chrono::milliseconds>(now - lease_lost_at_);
@@ -104,37 +104,37 @@
 
 void RolloutCoordinator::onLeaseRead(const std::optional<LeaseRow>& row) {
   const TimePoint now = clock_.now();
-  noteLeaseAnswer(row.has_value(), now);
+  recordLeaseResponse(row.has_value(), now);
   if (!row) return lease_->onFailed(now);
-  noteRow(*row, now);
+  recordRow(*row, now);
   lease_->onRead(*row, now);
 }
 
 void RolloutCoordinator::onLeaseWritten(bool written, const std::optional<LeaseRow>& row) {
   const TimePoint now = clock_.now();
-  noteLeaseAnswer(row.has_value(), now);
+  recordLeaseResponse(row.has_value(), now);
   if (!row) return lease_->onFailed(now);
-  noteRow(*row, now);
+  recordRow(*row, now);
   lease_->onWritten(written, *row, now);
 }
 
-void RolloutCoordinator::noteRow(const LeaseRow& row, TimePoint now) {
+void RolloutCoordinator::recordRow(const LeaseRow& row, TimePoint now) {
   const bool renewed = row.row_version != row_.row_version;
   row_ = row;
   const bool other = !row.holder.empty() && row.holder != options_.holder;
   if (!other || !renewed) return;
   other_holder_ = row.holder;
-  // Without an age the renewal may be as young as this look at it.
+  // Without an age the renewal may be as recent as this response.
   other_renewed_at_ = now - row.age.value_or(Duration(0));
 }
 
-/// A holder may give orders until its lease runs out; one that is known to be gone gives none.
+/// A holder may send orders until its lease runs out; one that is known to be down sends none.
 bool RolloutCoordinator::othersMayOrder(TimePoint now) const {
   if (other_holder_.empty() || !callbacks_.holder_is_live(other_holder_)) return false;
   return now < other_renewed_at_ + kLeaseLifetime + options_.takeover_delay;
 }
 
-void RolloutCoordinator::noteHolding(TimePoint now) {
+void RolloutCoordinator::updateHolding(TimePoint now) {
   const std::optional<std::uint64_t> token = lease_->heldToken(now);
   if (token.has_value() == holding_) return;
   holding_ = token.has_value();
@@ -142,13 +142,13 @@
   log_.write(holding_ ? EventId::OrderLeaseTaken : EventId::OrderLeaseLost, {{"token", token.value_or(0)}});
 }
 
-void RolloutCoordinator::giveOrders(TimePoint now) {
+void RolloutCoordinator::sendOrders(TimePoint now) {
   const std::optional<std::uint64_t> token = lease_->heldToken(now);
   if (!token || othersMayOrder(now)) return;
-  for (const RolloutAction& action : rollout_.due(callbacks_.backends(), now)) perform(action, *token);
+  for (const RolloutAction& action : rollout_.due(callbacks_.backends(), now)) execute(action, *token);
 }
 
-void RolloutCoordinator::perform(const RolloutAction& action, std::uint64_t token) {
+void RolloutCoordinator::execute(const RolloutAction& action, std::uint64_t token) {
   const std::string backend = action.backend;
   if (action.kind == RolloutAction::Kind::Report) {
     platform_.readWeights(action.address, [this, backend](const std::optional<WeightsReport>& report) {
@@ -179,7 +179,7 @@
     } else {
       log_.write(EventId::OrderAnswered, {{"engine", backend}, {"answer", nameOf(answer)}});
     }
-    rollout_.onAnswer(backend, answer, clock_.now());
+    rollout_.onOrderResponse(backend, answer, clock_.now());
   });
 }
 
--- a/src/gateway_control/rollout_coordinator.h
+++ b/src/gateway_control/rollout_coordinator.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file Contends for the order lease while weights have to be rolled out and, while it holds the lease,
-/// gives the orders with its fencing token. Lives on the control thread.
+/// sends the orders with its fencing token. Runs on the control thread.
 
 #include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -16,26 +16,28 @@
 
 namespace crankspur::gateway {
 
-/// What the giver asks its owner, and tells it.
+/// Queries and notifications to the owner of the coordinator.
 struct RolloutCoordinatorCallbacks {
   std::function<std::vector<Backend>()> backends;
-  /// @return how many live gateways go before this one in giving orders.
+  /// @return how many live gateways rank before this one in contending for the lease.
   std::function<std::size_t()> rank;
-  std::function<bool(const std::string& holder)> holder_is_live;  ///< Whether another holder may still live.
+  std::function<bool(const std::string& holder)>
+      holder_is_live;  ///< Whether another holder may still be live.
   /// A back end reported. `loading`: an order of this gateway is under way there.
   std::function<void(const std::string& backend, const WeightsReport&, bool loading)> on_report;
   std::function<void(const std::string& backend)> on_loading;  ///< An order was sent to the back end.
 };
 
-/// Options of the giver.
+/// Options of the coordinator.
 struct RolloutCoordinatorOptions {
   std::string holder;  ///< The same at each start of one machine.
+  /// Time to wait after another holder's lease has run out before orders are sent.
   Duration takeover_delay = std::chrono::seconds(3);
   RolloutOptions rollout;
   std::uint64_t random_seed = 1;
 };
 
-/// The giver.
+/// See the file comment.
 class RolloutCoordinator {
 public:
   RolloutCoordinator(const boost::asio::any_io_executor& executor, RolloutCoordinatorOptions options,
@@ -43,15 +45,15 @@
   /// @return whether the version is new.
   bool onNamed(const NamedWeights& named);
   std::vector<NamedWeights> named() const { return rollout_.named(); }
-  /// Another gateway gives orders at present.
+  /// Another gateway is sending orders.
   void onOthersActive() { contention_.onOthersActive(clock_.now()); }
-  /// The back ends changed: there may be work.
+  /// The back ends changed: there may be pending work.
   void wake();
-  /// @return whether this gateway held the order lease when last looked at.
+  /// @return whether this gateway held the order lease at the last check.
   bool holding() const { return holding_; }
   /// @return orders sent since the start.
   std::uint64_t ordersSent() const { return orders_sent_; }
-  /// Gives no further order and leaves the lease to others.
+  /// Sends no further orders and releases the lease.
   void stop();
 
 private:
@@ -59,12 +61,12 @@
   void pollLease(TimePoint now);
   void onLeaseRead(const std::optional<LeaseRow>& row);
   void onLeaseWritten(bool written, const std::optional<LeaseRow>& row);
-  void noteLeaseAnswer(bool answered, TimePoint now);
-  void noteRow(const LeaseRow& row, TimePoint now);
+  void recordLeaseResponse(bool responded, TimePoint now);
+  void recordRow(const LeaseRow& row, TimePoint now);
   bool othersMayOrder(TimePoint now) const;
-  void noteHolding(TimePoint now);
-  void giveOrders(TimePoint now);
-  void perform(const RolloutAction& action, std::uint64_t token);
+  void updateHolding(TimePoint now);
+  void sendOrders(TimePoint now);
+  void execute(const RolloutAction& action, std::uint64_t token);
 
   RolloutCoordinatorOptions options_;
   PlatformLink& platform_;
@@ -77,12 +79,12 @@
   bool ticking_ = false;
   bool stopped_ = false;
   bool holding_ = false;
-  bool lease_answers_ = true;
+  bool lease_reachable_ = true;
   TimePoint lease_lost_at_{};
   std::uint64_t orders_sent_ = 0;
-  LeaseRow row_;                  ///< As last seen.
-  std::string other_holder_;      ///< The last one seen that is not this gateway.
-  TimePoint other_renewed_at_{};  ///< When its last renewal was seen.
+  LeaseRow row_;                  ///< As last received.
+  std::string other_holder_;      ///< The last holder observed that is not this gateway.
+  TimePoint other_renewed_at_{};  ///< When its last renewal was observed.
   LeaseContention contention_;
 };
 
--- a/src/gateway_control/weight_rollout.cc
+++ b/src/gateway_control/weight_rollout.cc
@@ -10,20 +10,21 @@
 
 namespace {
 
-/// Reports of one back end come this far apart.
+/// Time between two requests for a report of one back end.
 constexpr Duration kReportInterval = std::chrono::milliseconds(250);
-/// Reports lag: one this soon after an order may be from before it.
+/// Reports lag: one that arrives this soon after an order may predate it.
 constexpr Duration kReportLag = std::chrono::milliseconds(700);
-/// An order that shows no effect by then is given again.
+/// An order that has no effect within this time is sent again.
 constexpr Duration kOrderTimeout = std::chrono::seconds(8);
-/// A back end that failed is left alone for this long.
-constexpr Duration kRest = std::chrono::milliseconds(400);
-/// Part of the limit that is left for the last back ends.
+/// A back end that failed gets no calls for this long.
+constexpr Duration kFailureBackoff = std::chrono::milliseconds(400);
+/// Share of the limit that loads are planned for; the rest is left for the last back ends.
 constexpr double kUsableShare = 0.75;
-/// At most this many times the usual number load at once.
-constexpr std::uint32_t kHurryFactor = 3;
+/// When time is short, at most this many times the usual number load concurrently.
+constexpr std::uint32_t kMaxParallelFactor = 3;
 
-/// @return the model of the back end whose weights are older than named, with its version; or nullptr.
+/// @return the model of the back end whose weights are older than the named version, with its version; or
+/// nullptr.
 template <typename NamedMap>
 const LoadedModel* outdated(const NamedMap& named, const Backend& backend) {
   for (const LoadedModel& loaded : backend.view.models) {
@@ -46,7 +47,7 @@
   return backend.view.state == EngineState::Live || backend.view.state == EngineState::Ejected;
 }
 
-/// One that answers nobody would answer no order either, and hold the place of one that does.
+/// An unresponsive back end would not respond to an order either, and would take the slot of one that does.
 bool takesOrders(const Backend& backend) {
   return takesRequests(backend) && backend.silent_since == TimePoint{};
 }
@@ -93,7 +94,7 @@
   const double wanted = std::ceil(static_cast<double>(remaining) * load_seconds_ / left);
   const double share = std::floor(options_.parallel_share * static_cast<double>(serving));
   const double usual = std::max(static_cast<double>(options_.parallel), share);
-  const double highest = std::max(static_cast<double>(options_.parallel) * kHurryFactor, usual);
+  const double highest = std::max(static_cast<double>(options_.parallel) * kMaxParallelFactor, usual);
   return static_cast<std::uint32_t>(std::clamp(wanted, usual, highest));
 }
 
@@ -121,16 +122,16 @@
   for (const Backend& backend : backends) {
     if (!takesOrders(backend)) continue;
     ++serving;
-    const auto rest = resting_.find(backend.view.name);
-    if (rest != resting_.end() && now < rest->second) continue;
+    const auto backoff = backoff_until_.find(backend.view.name);
+    if (backoff != backoff_until_.end() && now < backoff->second) continue;
     const bool old = outdated(named_, backend) != nullptr;
     remaining += old ? 1 : 0;
     engines.push_back(backend.view);
     engines.back().state = EngineState::Live;
-    // Newer weights than this node knows of are never replaced by older ones.
+    // Weights newer than those this node knows of are never replaced by older ones.
     if (!old) raiseToNamed(engines.back(), named_);
   }
-  // Those furthest behind come first, or a new version every few seconds would starve the last ones.
+  // Those furthest behind come first; otherwise a new version every few seconds would starve the last ones.
   const auto version = [](const EngineView& engine) {
     return engine.models.empty() ? 0 : weightsNumber(engine.models.front().weights_version);
   };
@@ -187,7 +188,7 @@
   run.call_running = false;
   run.next_report_at = now + kReportInterval;
   if (!report) {
-    if (run.step == Step::Asking) fail(backend, now);
+    if (run.step == Step::AwaitingReport) fail(backend, now);
     return;
   }
   for (const LoadedModel& loaded : report->models) {
@@ -207,7 +208,7 @@
   run.step = Step::ToSend;
 }
 
-void WeightRollout::onAnswer(const std::string& backend, OrderAnswer answer, TimePoint now) {
+void WeightRollout::onOrderResponse(const std::string& backend, OrderAnswer answer, TimePoint now) {
   const auto place = runs_.find(backend);
   if (place == runs_.end()) return;
   Run& run = place->second;
@@ -223,7 +224,7 @@
       runs_.erase(place);
       return;
     case OrderAnswer::Conflict:
-      run.step = Step::Asking;
+      run.step = Step::AwaitingReport;
       return;
     case OrderAnswer::Fenced:
     case OrderAnswer::Refused:
@@ -237,7 +238,7 @@
   if (place == runs_.end()) return;
   orders_.onFailed(place->second.order);
   runs_.erase(place);
-  resting_[backend] = now + kRest;
+  backoff_until_[backend] = now + kFailureBackoff;
 }
 
 bool WeightRollout::isLoading(const std::string& backend) const {
@@ -248,7 +249,7 @@
 
 void WeightRollout::reset() {
   runs_.clear();
-  resting_.clear();
+  backoff_until_.clear();
   orders_.reset();
 }
 
--- a/tests/unit/gateway_control/cache_watch_test.cc
+++ b/tests/unit/gateway_control/cache_watch_test.cc
@@ -11,9 +11,9 @@
 
 namespace {
 
-/// A watch of the caches of two engines whose answers the test gives.
+/// A watch of the caches of some engines, two by default. The test provides their responses.
 class WatchedCaches {
-  // Goes last: calls that wait in the platform hold timers of it.
+  // Declared first to be destroyed last: pending calls in the platform hold timers of this context.
   boost::asio::io_context context_;
 
 public:
@@ -27,31 +27,31 @@
     watch_.update(configuration_, backends, [](const Backend&) { return true; });
   }
 
-  /// Answers the call that waits at the engine.
-  void answer(const std::string& address, CachedPartsPage page) {
+  /// Responds to the call that is pending at the engine.
+  void respond(const std::string& address, CachedPartsPage page) {
     runUntil([&] { return platform.events_calls.contains(address); });
     const auto call = platform.events_calls.extract(address);
     call.mapped()(std::move(page));
   }
-  void answerEmpty(const std::string& address) {
+  void respondEmpty(const std::string& address) {
     CachedPartsPage page;
     page.answered = true;
     page.epoch = 1;
-    answer(address, std::move(page));
+    respond(address, std::move(page));
   }
-  void dontAnswer(const std::string& address) { answer(address, {}); }
+  void failToRespond(const std::string& address) { respond(address, {}); }
 
   template <typename Condition>
   void runUntil(Condition condition) {
     while (!condition()) REQUIRE(context_.run_one() > 0);
   }
 
-  void runWhatIsDue() { context_.poll(); }
+  void runReadyHandlers() { context_.poll(); }
 
   FakePlatformLink platform;
-  std::vector<CachedPartsNews> news;
-  std::vector<UnresponsiveCache> silences;
-  std::vector<EngineSlot> heard;
+  std::vector<CachedPartsNews> updates;
+  std::vector<UnresponsiveCache> unresponsive;
+  std::vector<EngineSlot> responsive;
 
 private:
   static Backend engine(EngineSlot slot) {
@@ -65,9 +65,9 @@
   }
   CacheWatchCallbacks callbacks() {
     CacheWatchCallbacks callbacks;
-    callbacks.on_update = [this](CachedPartsNews told) { news.push_back(std::move(told)); };
-    callbacks.on_unresponsive = [this](const UnresponsiveCache& silence) { silences.push_back(silence); };
-    callbacks.on_responsive = [this](EngineSlot slot, std::uint64_t) { heard.push_back(slot); };
+    callbacks.on_update = [this](CachedPartsNews update) { updates.push_back(std::move(update)); };
+    callbacks.on_unresponsive = [this](const UnresponsiveCache& cache) { unresponsive.push_back(cache); };
+    callbacks.on_responsive = [this](EngineSlot slot, std::uint64_t) { responsive.push_back(slot); };
     return callbacks;
   }
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type> guard_{context_.get_executor()};
@@ -78,40 +78,40 @@
 }  // namespace
 
 TEST_CASE(
-    "an engine that does not answer while another one does is told to be silent, once it answers to be heard",
+    "an engine that does not respond while another one does is reported as unresponsive, then as responsive",
     "[cache_watch][silence]") {
   WatchedCaches caches;
-  caches.answerEmpty("a2");
-  caches.dontAnswer("a1");
-  REQUIRE(caches.silences.size() == 1);
-  CHECK(caches.silences[0].slot == 1);
-  CHECK(caches.silences[0].others_responded);
-  CHECK(caches.heard.empty());
-  caches.answerEmpty("a1");
-  CHECK(caches.heard == std::vector<EngineSlot>{1});
-  caches.answerEmpty("a1");
-  CHECK(caches.heard.size() == 1);
+  caches.respondEmpty("a2");
+  caches.failToRespond("a1");
+  REQUIRE(caches.unresponsive.size() == 1);
+  CHECK(caches.unresponsive[0].slot == 1);
+  CHECK(caches.unresponsive[0].others_responded);
+  CHECK(caches.responsive.empty());
+  caches.respondEmpty("a1");
+  CHECK(caches.responsive == std::vector<EngineSlot>{1});
+  caches.respondEmpty("a1");
+  CHECK(caches.responsive.size() == 1);
 }
 
-TEST_CASE("when nobody answers the fault may be this gateway's own", "[cache_watch][silence]") {
+TEST_CASE("when no engine responds the fault may be this gateway's own", "[cache_watch][silence]") {
   WatchedCaches caches;
-  caches.dontAnswer("a1");
-  caches.dontAnswer("a2");
-  REQUIRE(caches.silences.size() == 2);
-  CHECK_FALSE(caches.silences[0].others_responded);
-  CHECK_FALSE(caches.silences[1].others_responded);
+  caches.failToRespond("a1");
+  caches.failToRespond("a2");
+  REQUIRE(caches.unresponsive.size() == 2);
+  CHECK_FALSE(caches.unresponsive[0].others_responded);
+  CHECK_FALSE(caches.unresponsive[1].others_responded);
 }
 
-TEST_CASE("an engine that turns a call away answers", "[cache_watch][silence]") {
+TEST_CASE("an engine that rejects a call counts as responsive", "[cache_watch][silence]") {
   WatchedCaches caches;
-  caches.answerEmpty("a2");
+  caches.respondEmpty("a2");
   CachedPartsPage page;
   page.turned_away = true;
-  caches.answer("a1", page);
-  CHECK(caches.silences.empty());
+  caches.respond("a1", page);
+  CHECK(caches.unresponsive.empty());
 }
 
-TEST_CASE("the first events of a cache are told as what they leave behind", "[cache_watch]") {
+TEST_CASE("the first events of a cache are reported as the parts that remain after them", "[cache_watch]") {
   WatchedCaches watched;
   CachedPartsPage page;
   page.answered = true;
@@ -119,46 +119,46 @@
   page.position = 5;
   page.parts = {
       {"s", "m", 1, 400}, {"s", "m", 2, 300}, {"s", "m", 1, 0}, {"s", "m", 2, 200}, {"t", "m", 1, 100}};
-  watched.answer("a1", page);
-  REQUIRE(watched.news.size() == 1);
-  CHECK(watched.news[0].complete);
-  REQUIRE(watched.news[0].parts.size() == 2);
-  CHECK(watched.news[0].parts[0].tokens == 200);
-  CHECK(watched.news[0].parts[1].tokens == 100);
-  // Later ones are changes, removals among them.
+  watched.respond("a1", page);
+  REQUIRE(watched.updates.size() == 1);
+  CHECK(watched.updates[0].complete);
+  REQUIRE(watched.updates[0].parts.size() == 2);
+  CHECK(watched.updates[0].parts[0].tokens == 200);
+  CHECK(watched.updates[0].parts[1].tokens == 100);
+  // Later events are reported as changes, including removals.
   page.parts = {{"s", "m", 2, 100}, {"s", "m", 2, 0}};
-  watched.answer("a1", page);
-  REQUIRE(watched.news.size() == 2);
-  CHECK_FALSE(watched.news[1].complete);
-  REQUIRE(watched.news[1].parts.size() == 1);
-  CHECK(watched.news[1].parts[0].tokens == 0);
+  watched.respond("a1", page);
+  REQUIRE(watched.updates.size() == 2);
+  CHECK_FALSE(watched.updates[1].complete);
+  REQUIRE(watched.updates[1].parts.size() == 1);
+  CHECK(watched.updates[1].parts[0].tokens == 0);
 }
 
-TEST_CASE("whole caches are asked for a few at a time", "[cache_watch]") {
+TEST_CASE("the number of concurrent requests for whole caches is limited", "[cache_watch]") {
   WatchedCaches watched(12);
   CHECK(watched.platform.events_calls.size() == 4);
-  // The next one is asked as soon as one has answered.
-  watched.answerEmpty("a1");
+  // The next call is made as soon as one cache has responded.
+  watched.respondEmpty("a1");
   CHECK(watched.platform.events_calls.contains("a5"));
-  // Those that take long do not hold up the others for ever.
+  // Slow calls delay the others for a limited time only.
   watched.runUntil([&] { return watched.platform.events_calls.size() == 12; });
 }
 
-TEST_CASE("an engine behind a silent connection is asked again at once, without a wait",
+TEST_CASE("an engine behind a silent connection is called again at once, without a wait for events",
           "[cache_watch][silence]") {
   WatchedCaches caches;
-  caches.answerEmpty("a2");
+  caches.respondEmpty("a2");
   REQUIRE(caches.platform.events_waits["a1"] == std::chrono::milliseconds(400));
-  caches.dontAnswer("a1");
-  caches.runWhatIsDue();
+  caches.failToRespond("a1");
+  caches.runReadyHandlers();
   REQUIRE(caches.platform.events_calls.contains("a1"));
   CHECK(caches.platform.events_waits["a1"] == Duration(0));
-  // One that does not answer a new connection either is asked in its turn.
+  // If it does not respond on a new connection either, it is called again after the usual delay.
   const auto began = std::chrono::steady_clock::now();
-  caches.dontAnswer("a1");
+  caches.failToRespond("a1");
   caches.runUntil([&] { return caches.platform.events_calls.contains("a1"); });
   CHECK(std::chrono::steady_clock::now() - began >= std::chrono::milliseconds(300));
-  caches.answerEmpty("a1");
+  caches.respondEmpty("a1");
   caches.runUntil([&] { return caches.platform.events_calls.contains("a1"); });
   CHECK(caches.platform.events_waits["a1"] == std::chrono::milliseconds(400));
 }
--- a/tests/unit/gateway_control/crash_coordinator_test.cc
+++ b/tests/unit/gateway_control/crash_coordinator_test.cc
@@ -23,7 +23,7 @@
 }
 
 template <typename Action>
-std::vector<Action> only(const std::vector<CrashAction>& actions) {
+std::vector<Action> actionsOfType(const std::vector<CrashAction>& actions) {
   std::vector<Action> found;
   for (const CrashAction& action : actions) {
     if (const auto* one = std::get_if<Action>(&action)) found.push_back(*one);
@@ -32,10 +32,10 @@
 }
 
 /// A gateway whose control loop runs ten times a second.
-struct Site {
-  Site() { pass(seconds(10)); }
+struct GatewayFixture {
+  GatewayFixture() { advance(seconds(10)); }
 
-  void pass(Duration time) {
+  void advance(Duration time) {
     for (const TimePoint end = now + time; now < end; now += milliseconds(100)) {
       coordinator.onRunning(now);
       if (now >= coordinator.nextTimer()) coordinator.onTimer({"a", "b"}, now);
@@ -49,85 +49,87 @@
 
 }  // namespace
 
-TEST_CASE("own evidence goes to all gateways, and what is quarantined to the store",
+TEST_CASE("own evidence is sent to all gateways, and quarantined requests are written to the store",
           "[gateway_control][crash_suspects]") {
-  Site site;
-  site.coordinator.onRecordRead(StoredRecord{}, site.now);
-  site.coordinator.takeActions();
-  site.coordinator.onOwnUpdate(crashesOf(1, 2, site.now), {"a", "b"}, site.now);
-  std::vector<CrashAction> actions = site.coordinator.takeActions();
-  CHECK(only<SendCrashMessage>(actions).size() == 2);
-  CHECK(only<CallStore>(actions).empty());
-  site.coordinator.onOwnUpdate(crashesOf(2, 3, site.now), {"a", "b"}, site.now);
-  actions = site.coordinator.takeActions();
-  CHECK(only<SendCrashMessage>(actions).size() == 2);
-  REQUIRE(only<CallStore>(actions).size() == 1);
-  CHECK(only<CallStore>(actions).front().call.kind == CrashRecordCall::Kind::read);
+  GatewayFixture fixture;
+  fixture.coordinator.onRecordRead(StoredRecord{}, fixture.now);
+  fixture.coordinator.takeActions();
+  fixture.coordinator.onOwnUpdate(crashesOf(1, 2, fixture.now), {"a", "b"}, fixture.now);
+  std::vector<CrashAction> actions = fixture.coordinator.takeActions();
+  CHECK(actionsOfType<SendCrashMessage>(actions).size() == 2);
+  CHECK(actionsOfType<CallStore>(actions).empty());
+  fixture.coordinator.onOwnUpdate(crashesOf(2, 3, fixture.now), {"a", "b"}, fixture.now);
+  actions = fixture.coordinator.takeActions();
+  CHECK(actionsOfType<SendCrashMessage>(actions).size() == 2);
+  REQUIRE(actionsOfType<CallStore>(actions).size() == 1);
+  CHECK(actionsOfType<CallStore>(actions).front().call.kind == CrashRecordCall::Kind::read);
 }
 
-// What gateways tell each other says how long ago things happened when it was sent. A gateway that was
-// stopped for seconds read it with these ages when it went on: crashes looked as if they had just happened,
-// so that an answer of the engine's next start seemed to come too soon after them, and quarantines lasted
-// longer there.
-TEST_CASE("what waited to be read while the gateway stood still is asked for again",
-          "[gateway_control][crash_suspects]") {
-  Site site;
-  const CrashNotes waiting = toNotes(crashesOf(1, 3, site.now), site.now);
-  site.now += seconds(5);
-  site.coordinator.onNotes(waiting, site.now);
-  CHECK(only<NotifyTraffic>(site.coordinator.takeActions()).empty());
-  site.pass(milliseconds(600));
-  site.coordinator.onNotes(toNotes(crashesOf(1, 3, site.now - seconds(6)), site.now), site.now);
-  const auto told = only<NotifyTraffic>(site.coordinator.takeActions());
-  REQUIRE(told.size() == 1);
-  CHECK(told.front().update.crashes.back().crashed_at <= site.now - seconds(6));
+// Notes between gateways hold ages as of when they were sent. If a gateway that was stopped for seconds
+// applied queued notes when it continues, crashes would seem to have just happened: a response from the
+// engine's next start would seem to come too soon after them, and quarantines would last longer on that
+// gateway.
+TEST_CASE(
+    "notes that were queued while the gateway was stopped are dropped and their evidence is accepted when "
+    "sent again",
+    "[gateway_control][crash_suspects]") {
+  GatewayFixture fixture;
+  const CrashNotes waiting = toNotes(crashesOf(1, 3, fixture.now), fixture.now);
+  fixture.now += seconds(5);
+  fixture.coordinator.onNotes(waiting, fixture.now);
+  CHECK(actionsOfType<NotifyTraffic>(fixture.coordinator.takeActions()).empty());
+  fixture.advance(milliseconds(600));
+  fixture.coordinator.onNotes(toNotes(crashesOf(1, 3, fixture.now - seconds(6)), fixture.now), fixture.now);
+  const auto received = actionsOfType<NotifyTraffic>(fixture.coordinator.takeActions());
+  REQUIRE(received.size() == 1);
+  CHECK(received.front().update.crashes.back().crashed_at <= fixture.now - seconds(6));
 }
 
-TEST_CASE("a gateway that knows nothing asks one that tells that it knows something",
+TEST_CASE("a gateway without evidence requests it from the sender of a digest with evidence",
           "[gateway_control][crash_suspects]") {
-  Site site;
-  site.coordinator.onDigest("a", CrashDigest{7}, site.now);
-  const auto sent = only<SendCrashMessage>(site.coordinator.takeActions());
+  GatewayFixture fixture;
+  fixture.coordinator.onDigest("a", CrashDigest{7}, fixture.now);
+  const auto sent = actionsOfType<SendCrashMessage>(fixture.coordinator.takeActions());
   REQUIRE(sent.size() == 1);
   CHECK(sent.front().member == "a");
   const auto* digest = std::get_if<CrashDigest>(&sent.front().message);
   REQUIRE(digest != nullptr);
   CHECK(digest->digest == 0);
-  site.coordinator.onDigest("a", CrashDigest{0}, site.now);  // Neither knows anything.
-  CHECK(site.coordinator.takeActions().empty());
+  fixture.coordinator.onDigest("a", CrashDigest{0}, fixture.now);  // Neither has evidence.
+  CHECK(fixture.coordinator.takeActions().empty());
 }
 
-// An innocent request had run beside a poison request three times and was quarantined; an attempt that was
-// under way then ended whole, which cleared it. The store's record still named it: after all gateways had
-// been killed, those that started refused it until its time was over.
-TEST_CASE("the record forgets a request that was cleared", "[gateway_control][crash_suspects]") {
-  Site site;
-  site.coordinator.onRecordRead(StoredRecord{}, site.now);
-  site.coordinator.takeActions();
-  site.coordinator.onOwnUpdate(crashesOf(1, 3, site.now), {}, site.now);
-  site.coordinator.onRecordRead(StoredRecord{}, site.now);
-  auto calls = only<CallStore>(site.coordinator.takeActions());
+// A harmless request that ran beside a poison request three times is quarantined, and then cleared by an
+// attempt that ends with a complete response. If the store's record still named it, gateways that start after
+// all have been killed would reject it until the quarantine expires.
+TEST_CASE("a cleared request is removed from the record", "[gateway_control][crash_suspects]") {
+  GatewayFixture fixture;
+  fixture.coordinator.onRecordRead(StoredRecord{}, fixture.now);
+  fixture.coordinator.takeActions();
+  fixture.coordinator.onOwnUpdate(crashesOf(1, 3, fixture.now), {}, fixture.now);
+  fixture.coordinator.onRecordRead(StoredRecord{}, fixture.now);
+  auto calls = actionsOfType<CallStore>(fixture.coordinator.takeActions());
   REQUIRE(calls.size() == 2);
   const std::string recorded = calls.back().call.text;
-  site.coordinator.onRecordWritten(true, site.now);
-  site.coordinator.takeActions();
+  fixture.coordinator.onRecordWritten(true, fixture.now);
+  fixture.coordinator.takeActions();
 
-  site.now += seconds(1);
+  fixture.now += seconds(1);
   CrashUpdate cleared;
-  SECTION("by a whole answer") {
-    cleared.cleared.push_back({{1, 1}, site.now});
+  SECTION("by a complete response") {
+    cleared.cleared.push_back({{1, 1}, fixture.now});
   }
-  SECTION("by signs of life of all its back ends") {
-    for (const CrashEvidence& crash : crashesOf(1, 3, site.now - seconds(1)).crashes) {
+  SECTION("by evidence that all its back ends are live") {
+    for (const CrashEvidence& crash : crashesOf(1, 3, fixture.now - seconds(1)).crashes) {
       cleared.alive.push_back({crash.backend, crash.crashed_at});
     }
   }
-  site.coordinator.onOwnUpdate(cleared, {}, site.now);
-  calls = only<CallStore>(site.coordinator.takeActions());
+  fixture.coordinator.onOwnUpdate(cleared, {}, fixture.now);
+  calls = actionsOfType<CallStore>(fixture.coordinator.takeActions());
   REQUIRE(calls.size() == 1);
   CHECK(calls.front().call.kind == CrashRecordCall::Kind::read);
-  site.coordinator.onRecordRead(StoredRecord{recorded, 1, seconds(1)}, site.now);
-  calls = only<CallStore>(site.coordinator.takeActions());
+  fixture.coordinator.onRecordRead(StoredRecord{recorded, 1, seconds(1)}, fixture.now);
+  calls = actionsOfType<CallStore>(fixture.coordinator.takeActions());
   REQUIRE(calls.size() == 1);
   CHECK(calls.front().call.kind == CrashRecordCall::Kind::write);
   const DecodedFrame frame = decodeFrame(calls.front().call.text);
@@ -135,38 +137,40 @@
   CHECK(std::get<CrashNotes>(*frame.message).crashes.empty());
 }
 
-// A gateway that was stopped while a request was cleared kept its evidence: all others knew none any more,
-// and had nothing to answer its digest with.
-TEST_CASE("a gateway that only knows what was cleared tells that", "[gateway_control][crash_suspects]") {
-  Site site;
-  site.coordinator.onOwnUpdate(crashesOf(1, 1, site.now), {}, site.now);
+// A gateway that was stopped while a request was cleared keeps its evidence. The others hold no evidence
+// then, but have to respond to its digest with the clearance.
+TEST_CASE("a gateway that has only clearances sends them in response to a digest",
+          "[gateway_control][crash_suspects]") {
+  GatewayFixture fixture;
+  fixture.coordinator.onOwnUpdate(crashesOf(1, 1, fixture.now), {}, fixture.now);
   CrashUpdate cleared;
-  cleared.cleared.push_back({{1, 1}, site.now});
-  site.coordinator.onOwnUpdate(cleared, {}, site.now);
-  REQUIRE(site.coordinator.digest() == 0);
-  site.coordinator.takeActions();
-  site.coordinator.onDigest("a", CrashDigest{7}, site.now);
-  bool told = false;
-  for (const SendCrashMessage& sent : only<SendCrashMessage>(site.coordinator.takeActions())) {
+  cleared.cleared.push_back({{1, 1}, fixture.now});
+  fixture.coordinator.onOwnUpdate(cleared, {}, fixture.now);
+  REQUIRE(fixture.coordinator.digest() == 0);
+  fixture.coordinator.takeActions();
+  fixture.coordinator.onDigest("a", CrashDigest{7}, fixture.now);
+  bool received = false;
+  for (const SendCrashMessage& sent : actionsOfType<SendCrashMessage>(fixture.coordinator.takeActions())) {
     const auto* notes = std::get_if<CrashNotes>(&sent.message);
-    told = told || (notes != nullptr && notes->cleared.size() == 1);
+    received = received || (notes != nullptr && notes->cleared.size() == 1);
   }
-  CHECK(told);
+  CHECK(received);
 }
 
-// Of three crashes under a request one gateway saw one and another two. All of them refused it, and none
-// wrote it to the store's record: after all gateways had been killed it crashed three engines more.
+// Of three crashes under one request, one gateway observes one and another gateway two. If all gateways
+// reject the request but none writes it to the store's record, it crashes three more engines after all
+// gateways have been killed.
 TEST_CASE("a quarantine that several gateways saw in part is recorded", "[gateway_control][crash_suspects]") {
-  Site site;
-  site.coordinator.onRecordRead(StoredRecord{}, site.now);
-  site.coordinator.takeActions();
-  const CrashUpdate all = crashesOf(1, 3, site.now);
+  GatewayFixture fixture;
+  fixture.coordinator.onRecordRead(StoredRecord{}, fixture.now);
+  fixture.coordinator.takeActions();
+  const CrashUpdate all = crashesOf(1, 3, fixture.now);
   CrashUpdate own;
   own.crashes = {all.crashes[0]};
-  CrashUpdate told;
-  told.crashes = {all.crashes[1], all.crashes[2]};
-  site.coordinator.onOwnUpdate(own, {"a"}, site.now);
-  site.coordinator.takeActions();
-  site.coordinator.onNotes(toNotes(told, site.now), site.now);
-  CHECK(only<CallStore>(site.coordinator.takeActions()).size() == 1);
+  CrashUpdate received;
+  received.crashes = {all.crashes[1], all.crashes[2]};
+  fixture.coordinator.onOwnUpdate(own, {"a"}, fixture.now);
+  fixture.coordinator.takeActions();
+  fixture.coordinator.onNotes(toNotes(received, fixture.now), fixture.now);
+  CHECK(actionsOfType<CallStore>(fixture.coordinator.takeActions()).size() == 1);
 }
--- a/tests/unit/gateway_control/crash_exchange_test.cc
+++ b/tests/unit/gateway_control/crash_exchange_test.cc
@@ -13,13 +13,13 @@
 
 const TimePoint kStart{seconds(1000)};
 
-CrashUpdate oneEnd(std::uint64_t request, std::uint64_t backend) {
+CrashUpdate oneCrash(std::uint64_t request, std::uint64_t backend) {
   CrashUpdate update;
   update.crashes.push_back({{request, 1}, backend, kStart - milliseconds(100), kStart});
   return update;
 }
 
-/// Gateways that lose some of the datagrams between them.
+/// Gateways that exchange digests; some of them may be cut off.
 struct Fleet {
   explicit Fleet(int count) {
     for (int number = 0; number < count; ++number) {
@@ -28,7 +28,7 @@
     }
   }
 
-  /// One interval: each gateway tells its digest, and what is asked for is told.
+  /// One interval: each gateway sends its digest, and receivers respond with evidence where theirs differs.
   void tick() {
     now += CrashExchange::kDigestInterval;
     for (auto& [name, gateway] : gateways) {
@@ -45,7 +45,7 @@
     }
   }
 
-  /// @return intervals until all know the same.
+  /// @return intervals until all gateways have the same evidence, or 100.
   int ticksUntilEqual() {
     for (int ticks = 0; ticks < 100; ++ticks) {
       std::set<std::uint64_t> digests;
@@ -63,31 +63,31 @@
 
 }  // namespace
 
-TEST_CASE("evidence keeps its instants on the wire", "[gateway_control][crash_suspects]") {
-  CrashUpdate update = oneEnd(7, 8);
+TEST_CASE("instants of evidence are preserved on the wire", "[gateway_control][crash_suspects]") {
+  CrashUpdate update = oneCrash(7, 8);
   update.cleared.push_back({{9, 1}, kStart});
   update.alive.push_back({10, kStart});
-  const CrashUpdate told = toUpdate(toNotes(update, kStart + seconds(1)), kStart + seconds(3));
-  CHECK(told.crashes.front().request == RequestFingerprint{7, 1});
-  CHECK(told.crashes.front().sent_at == kStart + milliseconds(1900));
-  CHECK(told.crashes.front().crashed_at == kStart + seconds(2));
-  CHECK(told.cleared.front().at == kStart + seconds(2));
-  CHECK(told.alive.front().at == kStart + seconds(2));
+  const CrashUpdate received = toUpdate(toNotes(update, kStart + seconds(1)), kStart + seconds(3));
+  CHECK(received.crashes.front().request == RequestFingerprint{7, 1});
+  CHECK(received.crashes.front().sent_at == kStart + milliseconds(1900));
+  CHECK(received.crashes.front().crashed_at == kStart + seconds(2));
+  CHECK(received.cleared.front().at == kStart + seconds(2));
+  CHECK(received.alive.front().at == kStart + seconds(2));
 }
 
-TEST_CASE("what one gateway alone knows is known to all within three seconds",
+TEST_CASE("evidence of a single gateway reaches all gateways within three seconds",
           "[gateway_control][crash_suspects]") {
   Fleet fleet(40);
-  fleet.gateways.at("g3").onOwnUpdate(oneEnd(1, 1), fleet.now);
-  fleet.gateways.at("g9").onOwnUpdate(oneEnd(1, 2), fleet.now);
+  fleet.gateways.at("g3").onOwnUpdate(oneCrash(1, 1), fleet.now);
+  fleet.gateways.at("g9").onOwnUpdate(oneCrash(1, 2), fleet.now);
   CHECK(fleet.ticksUntilEqual() * CrashExchange::kDigestInterval <= seconds(3));
 }
 
-TEST_CASE("a gateway that was cut off knows all within three seconds of contact",
+TEST_CASE("a gateway that was cut off has all evidence within three seconds of contact",
           "[gateway_control][crash_suspects]") {
   Fleet fleet(40);
   fleet.cut_off = {"g5"};
-  fleet.gateways.at("g3").onOwnUpdate(oneEnd(1, 1), fleet.now);
+  fleet.gateways.at("g3").onOwnUpdate(oneCrash(1, 1), fleet.now);
   for (int ticks = 0; ticks < 20; ++ticks) fleet.tick();
   CHECK(fleet.gateways.at("g5").digest() == 0);
   fleet.cut_off.clear();
@@ -95,10 +95,11 @@
   CHECK(fleet.ticksUntilEqual() * CrashExchange::kDigestInterval <= seconds(3));
 }
 
-TEST_CASE("gateways that know nothing are quiet", "[gateway_control][crash_suspects]") {
+TEST_CASE("a gateway without evidence sends no digests except after its start",
+          "[gateway_control][crash_suspects]") {
   CrashExchange gateway(1, kStart);
-  CHECK_FALSE(
-      gateway.onTick({"a", "b", "c"}, kStart + seconds(1)).empty());  // It has just started, and asks.
+  CHECK_FALSE(gateway.onTick({"a", "b", "c"}, kStart + seconds(1))
+                  .empty());  // It has just started and requests evidence.
   CHECK(gateway.onTick({"a", "b", "c"}, kStart + seconds(10)).empty());
   CHECK_FALSE(gateway.onDigest(5, kStart));
 }
--- a/tests/unit/gateway_control/crash_record_test.cc
+++ b/tests/unit/gateway_control/crash_record_test.cc
@@ -26,17 +26,17 @@
   StoredRecord record;
 };
 
-/// What one gateway knows, and the record as it keeps it.
-struct Keeper {
-  explicit Keeper(Store& kept) : store(kept), exchange(1, kStart), record(kStart) {}
+/// The evidence of one gateway, and its side of the record.
+struct GatewayFixture {
+  explicit GatewayFixture(Store& kept) : store(kept), exchange(1, kStart), record(kStart) {}
 
-  /// Makes the call that is asked for now.
-  /// @return whether there was one.
+  /// Makes the call that is due, if any.
+  /// @return whether one was due.
   bool call() {
-    const CrashRecordCall asked = record.nextCall(exchange.quarantined(now), now);
-    if (asked.kind == CrashRecordCall::Kind::none) return false;
-    if (asked.kind == CrashRecordCall::Kind::write) {
-      record.onWritten(store.write(asked), now);
+    const CrashRecordCall next = record.nextCall(exchange.quarantined(now), now);
+    if (next.kind == CrashRecordCall::Kind::none) return false;
+    if (next.kind == CrashRecordCall::Kind::write) {
+      record.onWritten(store.write(next), now);
       return true;
     }
     const std::optional<StoredRecord> row = store.read();
@@ -49,7 +49,7 @@
     }
   }
 
-  /// Back ends crashed under the request, one after the other.
+  /// Adds crashes of back ends under the request, one after the other.
   void crashesOf(std::uint64_t request, std::uint64_t crashes) {
     CrashUpdate update;
     for (std::uint64_t crash = 0; crash < crashes; ++crash) {
@@ -68,17 +68,17 @@
 
 }  // namespace
 
-TEST_CASE("a gateway that starts after all have ended knows what was quarantined",
+TEST_CASE("a gateway that starts after all have ended reads the quarantined requests",
           "[gateway_control][crash_suspects]") {
   Store store;
-  Keeper before(store);
+  GatewayFixture before(store);
   before.callAll();
   before.crashesOf(1, 3);
-  before.crashesOf(2, 1);  // A crash that says nothing yet is not worth a row.
+  before.crashesOf(2, 1);  // A single crash does not quarantine the request and is not recorded.
   before.record.save();
   before.callAll();
   REQUIRE(store.record.row_version == 1);
-  Keeper after(store);
+  GatewayFixture after(store);
   CHECK_FALSE(after.record.isReady(after.now));
   after.callAll();
   CHECK(after.record.isReady(after.now));
@@ -86,10 +86,11 @@
   CHECK(after.exchange.allEvidence().crashes.size() == 3);
 }
 
-TEST_CASE("what another gateway has written stays in the record", "[gateway_control][crash_suspects]") {
+TEST_CASE("requests that another gateway has written stay in the record",
+          "[gateway_control][crash_suspects]") {
   Store store;
-  Keeper one(store);
-  Keeper other(store);
+  GatewayFixture one(store);
+  GatewayFixture other(store);
   one.callAll();
   other.callAll();
   one.crashesOf(1, 3);
@@ -104,71 +105,73 @@
   CHECK(other.record.nextTimer() > other.now);
   other.now = other.record.nextTimer();
   other.callAll();
-  Keeper after(store);
+  GatewayFixture after(store);
   after.callAll();
   CHECK(after.exchange.quarantined(after.now).crashes.size() == 6);
 }
 
-TEST_CASE("what is quarantined while the record is written is written after it",
+TEST_CASE("a request that is quarantined during a write of the record is written by the next one",
           "[gateway_control][crash_suspects]") {
   Store store;
-  Keeper keeper(store);
-  keeper.callAll();
-  keeper.crashesOf(1, 3);
-  keeper.record.save();
-  CHECK(keeper.call());
-  const CrashRecordCall write = keeper.record.nextCall(keeper.exchange.quarantined(keeper.now), keeper.now);
+  GatewayFixture gateway(store);
+  gateway.callAll();
+  gateway.crashesOf(1, 3);
+  gateway.record.save();
+  CHECK(gateway.call());
+  const CrashRecordCall write =
+      gateway.record.nextCall(gateway.exchange.quarantined(gateway.now), gateway.now);
   REQUIRE(write.kind == CrashRecordCall::Kind::write);
-  keeper.crashesOf(2, 3);
-  keeper.record.save();
-  CHECK_FALSE(keeper.call());
-  keeper.record.onWritten(store.write(write), keeper.now);
-  keeper.callAll();
-  Keeper after(store);
+  gateway.crashesOf(2, 3);
+  gateway.record.save();
+  CHECK_FALSE(gateway.call());
+  gateway.record.onWritten(store.write(write), gateway.now);
+  gateway.callAll();
+  GatewayFixture after(store);
   after.callAll();
   CHECK(after.exchange.quarantined(after.now).crashes.size() == 6);
 }
 
-TEST_CASE("the record is asked for until the store answers; callers wait a second at most",
+TEST_CASE("reading the record is retried until the store responds; callers wait at most a second",
           "[gateway_control][crash_suspects]") {
   Store store;
   store.reachable = false;
-  Keeper keeper(store);
-  keeper.callAll();
-  CHECK(keeper.reads == 0);
-  CHECK_FALSE(keeper.record.isReady(keeper.now));
-  CHECK(keeper.record.isReady(keeper.now + seconds(1)));
+  GatewayFixture gateway(store);
+  gateway.callAll();
+  CHECK(gateway.reads == 0);
+  CHECK_FALSE(gateway.record.isReady(gateway.now));
+  CHECK(gateway.record.isReady(gateway.now + seconds(1)));
   store.reachable = true;
-  CHECK_FALSE(keeper.call());  // Not at once again.
-  keeper.now = keeper.record.nextTimer();
-  CHECK(keeper.now <= kStart + seconds(1));
-  keeper.callAll();
-  CHECK(keeper.reads == 1);
-  CHECK(keeper.record.isReady(keeper.now));
+  CHECK_FALSE(gateway.call());  // Not retried at once.
+  gateway.now = gateway.record.nextTimer();
+  CHECK(gateway.now <= kStart + seconds(1));
+  gateway.callAll();
+  CHECK(gateway.reads == 1);
+  CHECK(gateway.record.isReady(gateway.now));
 }
 
-TEST_CASE("a record that is not readable counts as none", "[gateway_control][crash_suspects]") {
+TEST_CASE("an unreadable record counts as empty and is replaced", "[gateway_control][crash_suspects]") {
   Store store;
   store.record = {"not a frame", 7, Duration(0)};
-  Keeper keeper(store);
-  keeper.callAll();
-  CHECK(keeper.record.isReady(keeper.now));
-  keeper.crashesOf(1, 3);
-  keeper.record.save();
-  keeper.callAll();
+  GatewayFixture gateway(store);
+  gateway.callAll();
+  CHECK(gateway.record.isReady(gateway.now));
+  gateway.crashesOf(1, 3);
+  gateway.record.save();
+  gateway.callAll();
   CHECK(store.record.row_version == 8);
 }
 
-// A gateway was suspended while it read the record: the answer, with ages as of when the store read the row,
-// was taken ten seconds later, and the requests stayed in quarantine for ten seconds longer.
-TEST_CASE("ages of a record count from when it was asked for", "[gateway_control][crash_suspects]") {
+// A gateway may be suspended while it reads the record. If the response, whose ages date from when the store
+// read the row, is processed ten seconds later, the requests must not stay in quarantine for ten seconds
+// longer.
+TEST_CASE("ages in a record count from when it was requested", "[gateway_control][crash_suspects]") {
   Store store;
-  Keeper before(store);
+  GatewayFixture before(store);
   before.callAll();
   before.crashesOf(1, 3);
   before.record.save();
   before.callAll();
-  Keeper after(store);
+  GatewayFixture after(store);
   REQUIRE(after.record.nextCall({}, after.now).kind == CrashRecordCall::Kind::read);
   const CrashUpdate read = after.record.onRead(store.read(), after.now + seconds(10));
   REQUIRE(read.crashes.size() == 3);
--- a/tests/unit/gateway_control/gateway_admin_test.cc
+++ b/tests/unit/gateway_control/gateway_admin_test.cc
@@ -19,8 +19,8 @@
 
 namespace {
 
-/// Understands no request: every one is malformed.
-class DeafDialect : public Dialect {
+/// Rejects every request as malformed.
+class RejectingDialect : public Dialect {
 public:
   std::optional<ClientRequest> readRequest(const http::Request&) const override { return std::nullopt; }
   http::Headers forwardHeaders(const http::Request& head, const ForwardTerms&) const override {
@@ -44,7 +44,7 @@
   return settings;
 }
 
-/// A gateway without traffic, whose admin address is asked over loopback.
+/// A gateway without traffic whose admin address is queried over loopback.
 class AdminFixture {
 public:
   AdminFixture() {
@@ -59,7 +59,7 @@
       process.publish(std::move(snapshot));
     };
     outputs.on_cached_parts = [](CachedPartsNews) {};
-    outputs.on_connections_silent = [this] { ++silences; };
+    outputs.on_connections_silent = [this] { ++silent_connection_notices; };
     return outputs;
   }
 
@@ -80,14 +80,14 @@
     return answer;
   }
 
-  int silences = 0;  ///< Told to traffic.
+  int silent_connection_notices = 0;  ///< Notifications to traffic.
   boost::asio::io_context context{1};
   NodeSettings settings = nodeSettings();
   BoundedEventLog log{quietLog()};
   GatewayMetrics metrics;
   RequestLog lines{log};
   ObserverPair observers{lines, metrics};
-  GatewayProcess process{processSettings(), std::make_shared<DeafDialect>(), GatewayFacts{}, observers};
+  GatewayProcess process{processSettings(), std::make_shared<RejectingDialect>(), GatewayFacts{}, observers};
   FakePlatformLink platform;
   GatewayControl control{context.get_executor(), settings, 7, platform, outputs(), log};
   GatewayAdmin admin{settings, process, control, metrics, log};
@@ -143,7 +143,8 @@
               R"(crankspur_gateway_requests_total{cause="none",outcome="answered",route="other"} 168)"));
 }
 
-TEST_CASE("a gateway explains a request by its lines, and says when it has none", "[gateway][admin]") {
+TEST_CASE("a gateway explains a request by its log lines, and responds 404 when it has none",
+          "[gateway][admin]") {
   AdminFixture fixture;
   RequestEnded ended;
   ended.request_id = "q1";
@@ -160,7 +161,7 @@
   CHECK(holds(answer, "cause=answer_broke_off backend=b7"));
 }
 
-TEST_CASE("a gateway's status names its members and its part of the fleet", "[gateway][admin]") {
+TEST_CASE("a gateway's status reports its members, back ends and configuration", "[gateway][admin]") {
   AdminFixture fixture;
   CHECK(fixture.get("/healthz").status == 503);
   fixture.platform.news.on_configuration([] {
@@ -192,9 +193,8 @@
   CHECK(holds(fixture.get("/healthz"), "stopping"));
 }
 
-TEST_CASE("traffic hears from the control side that open connections have gone silent",
-          "[gateway][silent_connections]") {
+TEST_CASE("the control side notifies traffic of silent connections", "[gateway][silent_connections]") {
   AdminFixture fixture;
   fixture.platform.news.on_connections_silent();
-  CHECK(fixture.silences == 1);
+  CHECK(fixture.silent_connection_notices == 1);
 }
--- a/tests/unit/gateway_control/rollout_coordinator_test.cc
+++ b/tests/unit/gateway_control/rollout_coordinator_test.cc
@@ -14,7 +14,8 @@
 
 namespace {
 
-/// A platform that grants every lease and keeps the calls to back ends for the test to answer.
+/// A platform that grants every lease and stores the calls to back ends, so that the test can respond to
+/// them.
 class GrantingPlatform : public FakePlatformLink {
 public:
   explicit GrantingPlatform(boost::asio::io_context& context) : context_(context) {}
@@ -32,12 +33,12 @@
   }
   void sendOrder(const WeightsOrder& order, std::function<void(OrderAnswer)> done) override {
     orders.push_back(order);
-    order_answers.push_back(std::move(done));
+    order_callbacks.push_back(std::move(done));
   }
 
   std::vector<std::function<void(std::optional<WeightsReport>)>> reports;
   std::vector<WeightsOrder> orders;
-  std::vector<std::function<void(OrderAnswer)>> order_answers;
+  std::vector<std::function<void(OrderAnswer)>> order_callbacks;
 
 private:
   boost::asio::io_context& context_;
@@ -50,10 +51,11 @@
   return settings;
 }
 
-/// The giver of a fleet of engines that hold version 1 when 2 is named; one loads at a time.
-class GiverSite {
+/// The coordinator of a fleet of engines that hold version 1 when 2 is named; one loads at a time.
+class CoordinatorFixture {
 public:
-  GiverSite() : log_(quietLog()), giver_(context_.get_executor(), options(), platform, callbacks(), log_) {
+  CoordinatorFixture()
+      : log_(quietLog()), coordinator_(context_.get_executor(), options(), platform, callbacks(), log_) {
     for (const char* name : {"a", "b"}) {
       Backend backend;
       backend.view.name = name;
@@ -63,7 +65,7 @@
       backend.view.models = {{"m", "1", {}}};
       backends_.push_back(backend);
     }
-    giver_.onNamed({"m", 2, {}});
+    coordinator_.onNamed({"m", 2, {}});
   }
   void runUntilReports(std::size_t count) {
     while (platform.reports.size() < count) REQUIRE(context_.run_one() > 0);
@@ -102,23 +104,23 @@
 
   std::vector<Backend> backends_;
   BoundedEventLog log_;
-  RolloutCoordinator giver_;
+  RolloutCoordinator coordinator_;
 };
 
 }  // namespace
 
-TEST_CASE("an engine that holds older weights gets an order after its report", "[order_giver]") {
-  GiverSite site;
-  site.runUntilReports(1);
-  CHECK(site.platform.orders.empty());
-  site.platform.reports[0](GiverSite::report("1"));
-  site.runUntilOrders(1);
-  CHECK(site.platform.orders[0].version == 2);
+TEST_CASE("an engine whose report shows older weights gets an order", "[rollout_coordinator]") {
+  CoordinatorFixture fixture;
+  fixture.runUntilReports(1);
+  CHECK(fixture.platform.orders.empty());
+  fixture.platform.reports[0](CoordinatorFixture::report("1"));
+  fixture.runUntilOrders(1);
+  CHECK(fixture.platform.orders[0].version == 2);
 }
 
-TEST_CASE("an engine that has the weights already gets no order", "[order_giver]") {
-  GiverSite site;
-  site.runUntilReports(1);
-  site.platform.reports[0](GiverSite::report("2"));
-  CHECK(site.platform.orders.empty());
+TEST_CASE("an engine whose report shows the named weights gets no order", "[rollout_coordinator]") {
+  CoordinatorFixture fixture;
+  fixture.runUntilReports(1);
+  fixture.platform.reports[0](CoordinatorFixture::report("2"));
+  CHECK(fixture.platform.orders.empty());
 }
--- a/tests/unit/gateway_control/weight_rollout_test.cc
+++ b/tests/unit/gateway_control/weight_rollout_test.cc
@@ -13,17 +13,18 @@
 
 const TimePoint kStart(1h);
 
-/// A back end that loses some answers and carries some orders out late.
+/// State of a simulated back end.
 struct Runner {
   std::string id;
   std::uint64_t version = 1;
   std::uint64_t orders_taken = 0;
   std::uint64_t loading = 0;  ///< Version that it loads.
-  bool silent = false;        ///< Answers nobody, and is known to.
+  bool unresponsive = false;  ///< Known to be unresponsive.
   TimePoint loaded_at{};
 };
 
-/// Back ends with a roll-out, in steps of its tick.
+/// Back ends that execute the calls of a roll-out in steps of its tick. A share of the responses to orders is
+/// lost; half of the orders concerned are executed all the same.
 class Fleet {
 public:
   explicit Fleet(int count, double lost) : lost_(lost) {
@@ -39,7 +40,7 @@
       backend.view.pool = "pool";
       backend.view.incarnation = 1;
       backend.view.models = {{"m", std::to_string(runner.version), {}}};
-      if (runner.silent) backend.silent_since = kStart;
+      if (runner.unresponsive) backend.silent_since = kStart;
       all.push_back(backend);
     }
     return all;
@@ -53,8 +54,8 @@
       }
       loading += runner.loading != 0 ? 1 : 0;
     }
-    most_loading = std::max(most_loading, loading);
-    for (const RolloutAction& action : rollout.due(backends(), now)) perform(rollout, action, now);
+    max_loading = std::max(max_loading, loading);
+    for (const RolloutAction& action : rollout.due(backends(), now)) execute(rollout, action, now);
   }
 
   bool all(std::uint64_t version) const {
@@ -63,9 +64,9 @@
   }
   std::vector<Runner>& runners() { return runners_; }
 
-  std::size_t most_loading = 0;
+  std::size_t max_loading = 0;
   std::size_t orders = 0;
-  std::size_t asked_silent = 0;  ///< Calls to runners that answer nobody.
+  std::size_t calls_to_unresponsive = 0;
 
 private:
   Runner& find(const std::string& id) {
@@ -73,9 +74,9 @@
                          [&id](const Runner& runner) { return runner.id == id; });
   }
 
-  void perform(WeightRollout& rollout, const RolloutAction& action, TimePoint now) {
+  void execute(WeightRollout& rollout, const RolloutAction& action, TimePoint now) {
     Runner& runner = find(action.backend);
-    if (runner.silent) ++asked_silent;
+    if (runner.unresponsive) ++calls_to_unresponsive;
     if (action.kind == RolloutAction::Kind::Report) {
       WeightsReport report;
       report.orders_taken = runner.orders_taken;
@@ -87,14 +88,14 @@
     CHECK(action.version > runner.version);
     const bool lost = random_.chance(lost_);
     const bool taken = runner.loading == 0 && action.expected_orders_taken == runner.orders_taken;
-    const bool carried_out = taken && (!lost || random_.chance(0.5));
-    if (carried_out) {
+    const bool executed = taken && (!lost || random_.chance(0.5));
+    if (executed) {
       ++runner.orders_taken;
       runner.loading = action.version;
       runner.loaded_at = now + 600ms;
     }
-    const OrderAnswer answer = taken ? OrderAnswer::Begun : OrderAnswer::Conflict;
-    rollout.onAnswer(runner.id, lost ? OrderAnswer::Unknown : answer, now);
+    const OrderAnswer response = taken ? OrderAnswer::Begun : OrderAnswer::Conflict;
+    rollout.onOrderResponse(runner.id, lost ? OrderAnswer::Unknown : response, now);
   }
 
   double lost_;
@@ -104,7 +105,7 @@
 
 }  // namespace
 
-TEST_CASE("new weights reach all back ends in time, a few at once", "[weight_rollout]") {
+TEST_CASE("new weights reach all back ends within the limit, with few concurrent loads", "[weight_rollout]") {
   WeightRollout rollout({8s, 2});
   Fleet fleet(12, 0);
   CHECK(rollout.onNamed({"m", 2, {}}, kStart));
@@ -113,39 +114,40 @@
   for (; now < kStart + 8s && !fleet.all(2); now += kRolloutTick) fleet.step(rollout, now);
   CHECK(fleet.all(2));
   CHECK(fleet.orders == 12);
-  CHECK(fleet.most_loading <= 6);
+  CHECK(fleet.max_loading <= 6);
   CHECK_FALSE(rollout.pending(fleet.backends()));
 }
 
-TEST_CASE("a larger fleet loads a share of itself at once, so that its size does not make new weights late",
-          "[weight_rollout]") {
+TEST_CASE(
+    "in a large fleet the number of concurrent loads grows with its size, so that new weights are not late",
+    "[weight_rollout]") {
   WeightRollout rollout({10s, 2});
   Fleet fleet(90, 0);
   rollout.onNamed({"m", 2, {}}, kStart);
   TimePoint now = kStart;
   for (; now < kStart + 6s && !fleet.all(2); now += kRolloutTick) fleet.step(rollout, now);
   CHECK(fleet.all(2));
-  CHECK(fleet.most_loading >= 18);
-  CHECK(fleet.most_loading <= 30);
+  CHECK(fleet.max_loading >= 18);
+  CHECK(fleet.max_loading <= 30);
 }
 
-TEST_CASE("an engine that answers nobody takes no place of one that does", "[weight_rollout]") {
+TEST_CASE("an unresponsive engine takes no load slot of a responsive one", "[weight_rollout]") {
   WeightRollout rollout({10s, 2});
   Fleet fleet(90, 0);
-  for (std::size_t index = 0; index < 24; ++index) fleet.runners()[index].silent = true;
+  for (std::size_t index = 0; index < 24; ++index) fleet.runners()[index].unresponsive = true;
   rollout.onNamed({"m", 2, {}}, kStart);
   TimePoint now = kStart;
   for (; now < kStart + 6s; now += kRolloutTick) fleet.step(rollout, now);
-  CHECK(fleet.asked_silent == 0);
+  CHECK(fleet.calls_to_unresponsive == 0);
   CHECK(std::count_if(fleet.runners().begin(), fleet.runners().end(),
                       [](const Runner& runner) { return runner.version == 2; }) == 66);
-  // They get their order once they answer.
-  for (Runner& runner : fleet.runners()) runner.silent = false;
+  // They get their orders once they respond again.
+  for (Runner& runner : fleet.runners()) runner.unresponsive = false;
   for (; now < kStart + 10s; now += kRolloutTick) fleet.step(rollout, now);
   CHECK(fleet.all(2));
 }
 
-TEST_CASE("orders whose answers are lost are given again until they show their effect", "[weight_rollout]") {
+TEST_CASE("orders whose responses are lost are sent again until they take effect", "[weight_rollout]") {
   WeightRollout rollout({8s, 2});
   Fleet fleet(12, 0.5);
   rollout.onNamed({"m", 2, {}}, kStart);
@@ -155,7 +157,7 @@
   CHECK(fleet.orders >= 12);
 }
 
-TEST_CASE("versions that follow one another leave no back end behind", "[weight_rollout]") {
+TEST_CASE("versions named in quick succession reach all back ends", "[weight_rollout]") {
   WeightRollout rollout({8s, 2});
   Fleet fleet(12, 0);
   TimePoint now = kStart;
@@ -169,7 +171,7 @@
   CHECK(fleet.orders < 48);
 }
 
-TEST_CASE("newer weights than named are never replaced, and one that vanished is not waited for",
+TEST_CASE("weights newer than named are never replaced, and a removed back end is not waited for",
           "[weight_rollout]") {
   WeightRollout rollout({8s, 1});
   Fleet fleet(2, 0);
