--- a/src/gateway_control/cache_exchange.cc
+++ b/src/gateway_control/cache_exchange.cc
@@ -106,8 +106,8 @@
 
 // Caches that other gateways follow.
 
-bool CacheExchange::needsWholeCache(RemoteCache& known, const std::string& sender, const CacheNote& note,
-                                    TimePoint now) {
+bool CacheExchange::needsCompleteContent(RemoteCache& known, const std::string& sender, const CacheNote& note,
+                                         TimePoint now) {
   const bool in_sequence = known.sender == sender && note.sequence <= known.sequence + 1;
   known.sender = sender;
   known.sequence = std::max(note.sequence, in_sequence ? known.sequence : note.sequence);
@@ -125,7 +125,7 @@
     RemoteCache& known = remote_[note.backend];
     const bool outdated = known.sender == sender && note.sequence < known.sequence && !note.complete;
     if (outdated) continue;
-    if (needsWholeCache(known, sender, note, now)) received.wanted.push_back({note.backend});
+    if (needsCompleteContent(known, sender, note, now)) received.wanted.push_back({note.backend});
     ReceivedCacheUpdate update;
     update.backend = note.backend;
     update.complete = note.complete;
--- a/src/gateway_control/cache_exchange.h
+++ b/src/gateway_control/cache_exchange.h
@@ -69,7 +69,8 @@
     TimePoint requested_at{};
   };
 
-  bool needsWholeCache(RemoteCache& known, const std::string& sender, const CacheNote& note, TimePoint now);
+  bool needsCompleteContent(RemoteCache& known, const std::string& sender, const CacheNote& note,
+                            TimePoint now);
 
   std::map<std::string, OwnCache> own_;
   std::map<std::string, RemoteCache> remote_;
--- a/src/gateway_control/cache_watch.cc
+++ b/src/gateway_control/cache_watch.cc
@@ -100,9 +100,9 @@
         followed->address, [this, followed](CachedPartsPage page) { onContent(followed, std::move(page)); });
     return;
   }
-  // After a call without response the next one returns at once. If the engine is live behind a silent
-  // connection, requests then avoid it for some milliseconds instead of for the delay and another wait (0.7
-  // s).
+  // After a call without response the next one does not wait for events. If the engine is live behind a
+  // silent connection, requests then avoid it for some milliseconds only, and not for kUnresponsiveDelay and
+  // another wait (0.7 s).
   const Duration wait = followed->unresponsive ? Duration(0) : kEventsWait;
   platform_.readCacheEvents(followed->address, followed->position, wait,
                             [this, followed](CachedPartsPage page) { onEvents(followed, std::move(page)); });
--- a/src/gateway_control/rollout_coordinator.cc
+++ b/src/gateway_control/rollout_coordinator.cc
@@ -128,7 +128,7 @@
   other_renewed_at_ = now - row.age.value_or(Duration(0));
 }
 
-/// A holder may send orders until its lease runs out; one that is known to be down sends none.
+/// A holder may send orders until its lease runs out; one that is known not to be live sends none.
 bool RolloutCoordinator::othersMayOrder(TimePoint now) const {
   if (other_holder_.empty() || !callbacks_.holder_is_live(other_holder_)) return false;
   return now < other_renewed_at_ + kLeaseLifetime + options_.takeover_delay;
--- a/src/gateway_control/rollout_coordinator.h
+++ b/src/gateway_control/rollout_coordinator.h
@@ -21,8 +21,8 @@
   std::function<std::vector<Backend>()> backends;
   /// @return how many live gateways rank before this one in contending for the lease.
   std::function<std::size_t()> rank;
-  std::function<bool(const std::string& holder)>
-      holder_is_live;  ///< Whether another holder may still be live.
+  /// @return whether another holder may still be live.
+  std::function<bool(const std::string& holder)> holder_is_live;
   /// A back end reported. `loading`: an order of this gateway is under way there.
   std::function<void(const std::string& backend, const WeightsReport&, bool loading)> on_report;
   std::function<void(const std::string& backend)> on_loading;  ///< An order was sent to the back end.
--- a/tests/unit/gateway_control/cache_exchange_test.cc
+++ b/tests/unit/gateway_control/cache_exchange_test.cc
@@ -17,7 +17,7 @@
   return {"scope", "model", id, tokens};
 }
 
-/// A gateway that applies received notes; `held` is its assumed content of a cache, by part.
+/// A gateway that applies received notes. `held` is the content that it assumes of the cache, by part.
 class Receiver {
 public:
   /// @return its requests to the sender.
@@ -137,14 +137,14 @@
   sender.onOwnUpdate("e1", parts, true);
   const std::vector<CacheNotes> datagrams = sender.takeNotes();
   REQUIRE(datagrams.size() == 3);
-  Receiver whole;
-  CHECK(whole.receiveAll(datagrams).empty());
-  CHECK(whole.held.size() == 1000);
-  Receiver lacking;
-  lacking.receive(datagrams[0]);
-  CHECK(lacking.receive(datagrams[2]).size() == 1);
-  CHECK(lacking.receiveAll(sender.onWanted({"e1"})).empty());
-  CHECK(lacking.held.size() == 1000);
+  Receiver all_received;
+  CHECK(all_received.receiveAll(datagrams).empty());
+  CHECK(all_received.held.size() == 1000);
+  Receiver one_lost;
+  one_lost.receive(datagrams[0]);
+  CHECK(one_lost.receive(datagrams[2]).size() == 1);
+  CHECK(one_lost.receiveAll(sender.onWanted({"e1"})).empty());
+  CHECK(one_lost.held.size() == 1000);
 }
 
 TEST_CASE("the complete content is requested from a new sender of a cache, including one that restarted",
--- a/tests/unit/gateway_control/crash_coordinator_test.cc
+++ b/tests/unit/gateway_control/crash_coordinator_test.cc
@@ -32,8 +32,8 @@
 }
 
 /// A gateway whose control loop runs ten times a second.
-struct GatewayFixture {
-  GatewayFixture() { advance(seconds(10)); }
+struct CrashFixture {
+  CrashFixture() { advance(seconds(10)); }
 
   void advance(Duration time) {
     for (const TimePoint end = now + time; now < end; now += milliseconds(100)) {
@@ -51,7 +51,7 @@
 
 TEST_CASE("own evidence is sent to all gateways, and quarantined requests are written to the store",
           "[gateway_control][crash_suspects]") {
-  GatewayFixture fixture;
+  CrashFixture fixture;
   fixture.coordinator.onRecordRead(StoredRecord{}, fixture.now);
   fixture.coordinator.takeActions();
   fixture.coordinator.onOwnUpdate(crashesOf(1, 2, fixture.now), {"a", "b"}, fixture.now);
@@ -66,14 +66,14 @@
 }
 
 // Notes between gateways hold ages as of when they were sent. If a gateway that was stopped for seconds
-// applied queued notes when it continues, crashes would seem to have just happened: a response from the
-// engine's next start would seem to come too soon after them, and quarantines would last longer on that
+// applied notes that were queued meanwhile, crashes would seem to have just happened: a response from the
+// engine after its restart would seem to come too soon after them, and quarantines would last longer on that
 // gateway.
 TEST_CASE(
     "notes that were queued while the gateway was stopped are dropped and their evidence is accepted when "
     "sent again",
     "[gateway_control][crash_suspects]") {
-  GatewayFixture fixture;
+  CrashFixture fixture;
   const CrashNotes waiting = toNotes(crashesOf(1, 3, fixture.now), fixture.now);
   fixture.now += seconds(5);
   fixture.coordinator.onNotes(waiting, fixture.now);
@@ -87,7 +87,7 @@
 
 TEST_CASE("a gateway without evidence requests it from the sender of a digest with evidence",
           "[gateway_control][crash_suspects]") {
-  GatewayFixture fixture;
+  CrashFixture fixture;
   fixture.coordinator.onDigest("a", CrashDigest{7}, fixture.now);
   const auto sent = actionsOfType<SendCrashMessage>(fixture.coordinator.takeActions());
   REQUIRE(sent.size() == 1);
@@ -103,7 +103,7 @@
 // attempt that ends with a complete response. If the store's record still named it, gateways that start after
 // all have been killed would reject it until the quarantine expires.
 TEST_CASE("a cleared request is removed from the record", "[gateway_control][crash_suspects]") {
-  GatewayFixture fixture;
+  CrashFixture fixture;
   fixture.coordinator.onRecordRead(StoredRecord{}, fixture.now);
   fixture.coordinator.takeActions();
   fixture.coordinator.onOwnUpdate(crashesOf(1, 3, fixture.now), {}, fixture.now);
@@ -141,7 +141,7 @@
 // then, but have to respond to its digest with the clearance.
 TEST_CASE("a gateway that has only clearances sends them in response to a digest",
           "[gateway_control][crash_suspects]") {
-  GatewayFixture fixture;
+  CrashFixture fixture;
   fixture.coordinator.onOwnUpdate(crashesOf(1, 1, fixture.now), {}, fixture.now);
   CrashUpdate cleared;
   cleared.cleared.push_back({{1, 1}, fixture.now});
@@ -161,7 +161,7 @@
 // reject the request but none writes it to the store's record, it crashes three more engines after all
 // gateways have been killed.
 TEST_CASE("a quarantine that several gateways saw in part is recorded", "[gateway_control][crash_suspects]") {
-  GatewayFixture fixture;
+  CrashFixture fixture;
   fixture.coordinator.onRecordRead(StoredRecord{}, fixture.now);
   fixture.coordinator.takeActions();
   const CrashUpdate all = crashesOf(1, 3, fixture.now);
--- a/tests/unit/gateway_control/crash_record_test.cc
+++ b/tests/unit/gateway_control/crash_record_test.cc
@@ -27,8 +27,8 @@
 };
 
 /// The evidence of one gateway, and its side of the record.
-struct GatewayFixture {
-  explicit GatewayFixture(Store& kept) : store(kept), exchange(1, kStart), record(kStart) {}
+struct RecordFixture {
+  explicit RecordFixture(Store& shared_store) : store(shared_store), exchange(1, kStart), record(kStart) {}
 
   /// Makes the call that is due, if any.
   /// @return whether one was due.
@@ -71,14 +71,14 @@
 TEST_CASE("a gateway that starts after all have ended reads the quarantined requests",
           "[gateway_control][crash_suspects]") {
   Store store;
-  GatewayFixture before(store);
+  RecordFixture before(store);
   before.callAll();
   before.crashesOf(1, 3);
   before.crashesOf(2, 1);  // A single crash does not quarantine the request and is not recorded.
   before.record.save();
   before.callAll();
   REQUIRE(store.record.row_version == 1);
-  GatewayFixture after(store);
+  RecordFixture after(store);
   CHECK_FALSE(after.record.isReady(after.now));
   after.callAll();
   CHECK(after.record.isReady(after.now));
@@ -89,8 +89,8 @@
 TEST_CASE("requests that another gateway has written stay in the record",
           "[gateway_control][crash_suspects]") {
   Store store;
-  GatewayFixture one(store);
-  GatewayFixture other(store);
+  RecordFixture one(store);
+  RecordFixture other(store);
   one.callAll();
   other.callAll();
   one.crashesOf(1, 3);
@@ -105,7 +105,7 @@
   CHECK(other.record.nextTimer() > other.now);
   other.now = other.record.nextTimer();
   other.callAll();
-  GatewayFixture after(store);
+  RecordFixture after(store);
   after.callAll();
   CHECK(after.exchange.quarantined(after.now).crashes.size() == 6);
 }
@@ -113,7 +113,7 @@
 TEST_CASE("a request that is quarantined during a write of the record is written by the next one",
           "[gateway_control][crash_suspects]") {
   Store store;
-  GatewayFixture gateway(store);
+  RecordFixture gateway(store);
   gateway.callAll();
   gateway.crashesOf(1, 3);
   gateway.record.save();
@@ -126,7 +126,7 @@
   CHECK_FALSE(gateway.call());
   gateway.record.onWritten(store.write(write), gateway.now);
   gateway.callAll();
-  GatewayFixture after(store);
+  RecordFixture after(store);
   after.callAll();
   CHECK(after.exchange.quarantined(after.now).crashes.size() == 6);
 }
@@ -135,7 +135,7 @@
           "[gateway_control][crash_suspects]") {
   Store store;
   store.reachable = false;
-  GatewayFixture gateway(store);
+  RecordFixture gateway(store);
   gateway.callAll();
   CHECK(gateway.reads == 0);
   CHECK_FALSE(gateway.record.isReady(gateway.now));
@@ -152,7 +152,7 @@
 TEST_CASE("an unreadable record counts as empty and is replaced", "[gateway_control][crash_suspects]") {
   Store store;
   store.record = {"not a frame", 7, Duration(0)};
-  GatewayFixture gateway(store);
+  RecordFixture gateway(store);
   gateway.callAll();
   CHECK(gateway.record.isReady(gateway.now));
   gateway.crashesOf(1, 3);
@@ -166,12 +166,12 @@
 // longer.
 TEST_CASE("ages in a record count from when it was requested", "[gateway_control][crash_suspects]") {
   Store store;
-  GatewayFixture before(store);
+  RecordFixture before(store);
   before.callAll();
   before.crashesOf(1, 3);
   before.record.save();
   before.callAll();
-  GatewayFixture after(store);
+  RecordFixture after(store);
   REQUIRE(after.record.nextCall({}, after.now).kind == CrashRecordCall::Kind::read);
   const CrashUpdate read = after.record.onRead(store.read(), after.now + seconds(10));
   REQUIRE(read.crashes.size() == 3);
--- a/tests/unit/gateway_control/gateway_admin_test.cc
+++ b/tests/unit/gateway_control/gateway_admin_test.cc
@@ -67,17 +67,17 @@
     const std::unique_ptr<http::Client> client = http::makeClient(context.get_executor());
     http::Request request;
     request.target = target;
-    http::Response answer;
+    http::Response result;
     bool done = false;
     http::ExchangeCallbacks callbacks;
     callbacks.on_done = [&](std::error_code error, http::SendState, const http::Response& response) {
       CHECK_FALSE(error);
-      answer = response;
+      result = response;
       done = true;
     };
     client->start("127.0.0.1:" + std::to_string(admin.port()), std::move(request), std::move(callbacks), {});
     while (!done) context.run_one_for(std::chrono::milliseconds(100));
-    return answer;
+    return result;
   }
 
   int silent_connection_notices = 0;  ///< Notifications to traffic.
@@ -155,10 +155,10 @@
   fixture.observers.onEnded(ended);
   CHECK(fixture.get(explainTarget("q2")).status == 404);
   CHECK(fixture.get(explainTarget("")).status == 404);
-  const http::Response answer = fixture.get(explainTarget("q1"));
-  CHECK(answer.status == 200);
-  CHECK(holds(answer, "event=1226 name=GatewayRequestFailed"));
-  CHECK(holds(answer, "cause=answer_broke_off backend=b7"));
+  const http::Response result = fixture.get(explainTarget("q1"));
+  CHECK(result.status == 200);
+  CHECK(holds(result, "event=1226 name=GatewayRequestFailed"));
+  CHECK(holds(result, "cause=answer_broke_off backend=b7"));
 }
 
 TEST_CASE("a gateway's status reports its members, back ends and configuration", "[gateway][admin]") {
