--- a/src/gateway/gateway_answers.cc
+++ b/src/gateway/gateway_answers.cc
@@ -216,7 +216,7 @@
 }
 
 /// @return whether the request was sent before the last onConnectionsSilent() and nothing was received for it
-/// since. What the back end sends on other connections says nothing of this one.
+/// since. What the back end backends_reached on other connections says nothing of this one.
 bool Gateway::mayBeOnSilentConnection(const ActiveExchange& active) const {
   return active.sent_at < connections_silent_at_ && active.last_received_at <= connections_silent_at_;
 }
--- /dev/null
+++ b/src/gateway_control/gateway_control_load.cc
@@ -0,0 +1,38 @@
+/// @file Part of GatewayControl: gateways report to each other the load that they have at each engine.
+
+#include <utility>
+
+#include "gateway_control/gateway_control.h"
+
+namespace crankspur::gateway {
+namespace {
+
+/// Digests from other gateways are forwarded to the traffic thread in batches of this time, since each
+/// hand-over wakes it.
+constexpr Duration kForwardInterval = std::chrono::milliseconds(20);
+
+}  // namespace
+
+void GatewayControl::onOwnLoadDigest(const LoadDigest& digest) {
+  for (const std::string& peer : peers()) gossip_.sendTo(peer, digest);
+}
+
+void GatewayControl::onLoadDigest(const std::string& sender, const LoadDigest& digest) {
+  const bool waiting = !peer_work_.empty();
+  LoadDigest& latest = peer_work_[sender];
+  latest = digest;
+  latest.sender = sender;
+  if (waiting) return;
+  peer_work_timer_.expires_after(kForwardInterval);
+  peer_work_timer_.async_wait([this](boost::system::error_code error) {
+    if (!error) forwardPeerLoad();
+  });
+}
+
+void GatewayControl::forwardPeerLoad() {
+  std::vector<LoadDigest> digests;
+  for (auto& [sender, digest] : std::exchange(peer_work_, {})) digests.push_back(std::move(digest));
+  if (outputs_.on_peer_load) outputs_.on_peer_load(std::move(digests));
+}
+
+}  // namespace crankspur::gateway
--- /dev/null
+++ b/src/gateway_control/gateway_control_unresponsive.cc
@@ -0,0 +1,69 @@
+/// @file Part of GatewayControl: detects unresponsive engines. The gateway that follows an engine's cache
+/// always has a call pending there, so that it notices within a second when the engine stops responding,
+/// regardless of traffic. Where gateways share the work of following caches, it notifies the others.
+
+#include <algorithm>
+
+#include "gateway_control/gateway_control.h"
+
+namespace crankspur::gateway {
+namespace {
+
+std::uint32_t wholeMilliseconds(Duration time) {
+  const auto count = std::chrono::duration_cast<std::chrono::milliseconds>(time).count();
+  return static_cast<std::uint32_t>(std::max<std::int64_t>(1, count));
+}
+
+}  // namespace
+
+/// A gateway that gets no response from any cache is itself cut off, or was suspended; it then reports no
+/// engine as unresponsive.
+void GatewayControl::onCacheUnresponsive(const UnresponsiveCache& cache) {
+  const Backend* backend = findBackend(cache.slot, cache.incarnation);
+  if (backend == nullptr) return;
+  if (backend->is_kv_store) return onStoreUnresponsive(*backend);
+  if (!cache.others_responded) return;
+  const bool known = backend->silent_since != TimePoint{};
+  const Duration time = now() - cache.since;
+  if (!known) logUnresponsive(backend->view.name, true, time);
+  fleet_.onSilent(backend->view.name, cache.since, now());
+  BackendNote note;
+  note.name = backend->view.name;
+  note.silent_milliseconds = wholeMilliseconds(time);
+  sendToSharingGateways(note);
+  publishSoon();
+}
+
+void GatewayControl::onCacheResponsive(EngineSlot slot, std::uint64_t incarnation) {
+  const Backend* backend = findBackend(slot, incarnation);
+  if (backend == nullptr || !fleet_.onHeard(backend->view.name, now())) return;
+  logUnresponsive(backend->view.name, false, now() - backend->silent_since);
+  BackendNote note;
+  note.name = backend->view.name;
+  note.heard = true;
+  sendToSharingGateways(note);
+  publishSoon();
+}
+
+void GatewayControl::onUnresponsiveNote(const BackendNote& note) {
+  if (findBackend(note.name) == nullptr) return;
+  if (note.heard) {
+    if (fleet_.onHeard(note.name, now())) publishSoon();
+    return;
+  }
+  fleet_.onSilent(note.name, now() - std::chrono::milliseconds(note.silent_milliseconds), now());
+  publishSoon();
+}
+
+void GatewayControl::sendToSharingGateways(const BackendNote& note) {
+  for (const std::string& member : sharing_) {
+    if (member != gossip_.ownName()) gossip_.sendTo(member, BackendNotes{{note}});
+  }
+}
+
+void GatewayControl::logUnresponsive(const std::string& backend, bool silent, Duration time) {
+  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(time).count();
+  log_.write(EventId::BackendSilent, {{"backend", backend}, {"silent", silent}, {"for_ms", ms}});
+}
+
+}  // namespace crankspur::gateway
--- a/src/gateway_control/order_giver.cc
+++ b/src/gateway_control/rollout_coordinator.cc
@@ -1,4 +1,4 @@
-#include "gateway_control/order_giver.h"
+#include "gateway_control/rollout_coordinator.h"
 
 #include <algorithm>
 #include <utility>
@@ -30,8 +30,9 @@
 
 }  // namespace
 
-OrderGiver::OrderGiver(const boost::asio::any_io_executor& executor, OrderGiverOptions options,
-                       PlatformLink& platform, OrderGiverCallbacks callbacks, EventLog& log)
+RolloutCoordinator::RolloutCoordinator(const boost::asio::any_io_executor& executor,
+                                       RolloutCoordinatorOptions options, PlatformLink& platform,
+                                       RolloutCoordinatorCallbacks callbacks, EventLog& log)
     : options_(std::move(options)),
       platform_(platform),
       callbacks_(std::move(callbacks)),
@@ -40,19 +41,19 @@
       lease_(makeLease(options_.holder, kLeaseLifetime, options_.random_seed)),
       rollout_(options_.rollout) {}
 
-bool OrderGiver::onNamed(const NamedWeights& named) {
-  const bool news = rollout_.onNamed(named, clock_.now());
-  if (news) wake();
-  return news;
+bool RolloutCoordinator::onNamed(const NamedWeights& named) {
+  const bool is_new = rollout_.onNamed(named, clock_.now());
+  if (is_new) wake();
+  return is_new;
 }
 
-void OrderGiver::wake() {
+void RolloutCoordinator::wake() {
   if (ticking_ || stopped_ || !rollout_.pending(callbacks_.backends())) return;
   ticking_ = true;
   tick();
 }
 
-void OrderGiver::stop() {
+void RolloutCoordinator::stop() {
   stopped_ = true;
   timer_.cancel();
   if (!holding_) return;
@@ -60,23 +61,23 @@
   platform_.writeLease(kLeaseName, released, row_.row_version, [](bool, const std::optional<LeaseRow>&) {});
 }
 
-void OrderGiver::tick() {
+void RolloutCoordinator::tick() {
   const TimePoint now = clock_.now();
-  contention_.onWork(rollout_.pendingSince(callbacks_.backends()), now);
+  contention_.onPendingWork(rollout_.pendingSince(callbacks_.backends()), now);
   if (!rollout_.pending(callbacks_.backends()) && !rollout_.busy()) {
     ticking_ = false;
     return;
   }
   if (holding_ || contention_.contends(callbacks_.rank(), now)) pollLease(now);
-  noteHolding(now);
-  giveOrders(now);
+  updateHolding(now);
+  sendOrders(now);
   timer_.expires_after(kRolloutTick);
   timer_.async_wait([this](boost::system::error_code error) {
     if (!error && !stopped_) tick();
   });
 }
 
-void OrderGiver::pollLease(TimePoint now) {
+void RolloutCoordinator::pollLease(TimePoint now) {
   const std::optional<LeaseAction> action = lease_->poll(now);
   if (!action) return;
   if (action->kind == LeaseAction::Kind::Read) {
@@ -88,52 +89,52 @@
       [this](bool written, const std::optional<LeaseRow>& row) { onLeaseWritten(written, row); });
 }
 
-/// The table of leases can be lost while the platform's feeds are answered.
-void OrderGiver::noteLeaseAnswer(bool answered, TimePoint now) {
-  if (answered == lease_answers_) return;
-  lease_answers_ = answered;
-  if (!answered) {
+/// The lease table can be unreachable while the platform's feeds still respond.
+void RolloutCoordinator::recordLeaseResponse(bool responded, TimePoint now) {
+  if (responded == lease_reachable_) return;
+  lease_reachable_ = responded;
+  if (!responded) {
     lease_lost_at_ = now;
-    log_.write(EventId::PlatformUnreachable, {{"service", "lease"}, {"reason", "no answer, or turned away"}});
+    log_.write(EventId::PlatformUnreachable, {{"service", "lease"}, {"reason", "no response, or rejected"}});
     return;
   }
   const auto lost_for = std::chrono::duration_cast<std::chrono::milliseconds>(now - lease_lost_at_);
   log_.write(EventId::PlatformReachable, {{"service", "lease"}, {"unreachable_ms", lost_for.count()}});
 }
 
-void OrderGiver::onLeaseRead(const std::optional<LeaseRow>& row) {
+void RolloutCoordinator::onLeaseRead(const std::optional<LeaseRow>& row) {
   const TimePoint now = clock_.now();
-  noteLeaseAnswer(row.has_value(), now);
+  recordLeaseResponse(row.has_value(), now);
   if (!row) return lease_->onFailed(now);
-  noteRow(*row, now);
+  recordRow(*row, now);
   lease_->onRead(*row, now);
 }
 
-void OrderGiver::onLeaseWritten(bool written, const std::optional<LeaseRow>& row) {
+void RolloutCoordinator::onLeaseWritten(bool written, const std::optional<LeaseRow>& row) {
   const TimePoint now = clock_.now();
-  noteLeaseAnswer(row.has_value(), now);
+  recordLeaseResponse(row.has_value(), now);
   if (!row) return lease_->onFailed(now);
-  noteRow(*row, now);
+  recordRow(*row, now);
   lease_->onWritten(written, *row, now);
 }
 
-void OrderGiver::noteRow(const LeaseRow& row, TimePoint now) {
+void RolloutCoordinator::recordRow(const LeaseRow& row, TimePoint now) {
   const bool renewed = row.row_version != row_.row_version;
   row_ = row;
   const bool other = !row.holder.empty() && row.holder != options_.holder;
   if (!other || !renewed) return;
   other_holder_ = row.holder;
-  // Without an age the renewal may be as young as this look at it.
+  // Without an age the renewal may be as recent as this response.
   other_renewed_at_ = now - row.age.value_or(Duration(0));
 }
 
-/// A holder may give orders until its lease runs out; one that is known to be gone gives none.
-bool OrderGiver::othersMayOrder(TimePoint now) const {
-  if (other_holder_.empty() || !callbacks_.holder_alive(other_holder_)) return false;
-  return now < other_renewed_at_ + kLeaseLifetime + options_.rest;
+/// A holder may send orders until its lease runs out; one that is known not to be live sends none.
+bool RolloutCoordinator::othersMayOrder(TimePoint now) const {
+  if (other_holder_.empty() || !callbacks_.holder_is_live(other_holder_)) return false;
+  return now < other_renewed_at_ + kLeaseLifetime + options_.takeover_delay;
 }
 
-void OrderGiver::noteHolding(TimePoint now) {
+void RolloutCoordinator::updateHolding(TimePoint now) {
   const std::optional<std::uint64_t> token = lease_->heldToken(now);
   if (token.has_value() == holding_) return;
   holding_ = token.has_value();
@@ -141,13 +142,13 @@
   log_.write(holding_ ? EventId::OrderLeaseTaken : EventId::OrderLeaseLost, {{"token", token.value_or(0)}});
 }
 
-void OrderGiver::giveOrders(TimePoint now) {
+void RolloutCoordinator::sendOrders(TimePoint now) {
   const std::optional<std::uint64_t> token = lease_->heldToken(now);
   if (!token || othersMayOrder(now)) return;
-  for (const RolloutAction& action : rollout_.due(callbacks_.backends(), now)) perform(action, *token);
+  for (const RolloutAction& action : rollout_.due(callbacks_.backends(), now)) execute(action, *token);
 }
 
-void OrderGiver::perform(const RolloutAction& action, std::uint64_t token) {
+void RolloutCoordinator::execute(const RolloutAction& action, std::uint64_t token) {
   const std::string backend = action.backend;
   if (action.kind == RolloutAction::Kind::Report) {
     platform_.readWeights(action.address, [this, backend](const std::optional<WeightsReport>& report) {
@@ -178,7 +179,7 @@
     } else {
       log_.write(EventId::OrderAnswered, {{"engine", backend}, {"answer", nameOf(answer)}});
     }
-    rollout_.onAnswer(backend, answer, clock_.now());
+    rollout_.onOrderResponse(backend, answer, clock_.now());
   });
 }
 
