--- a/sim/gateway_world/gateway_node_control.cc
+++ b/sim/gateway_world/gateway_node_control.cc
@@ -57,7 +57,7 @@
 }
 
 void GatewayNode::onStoreTrouble() {
-  process_->fleet.onPlatformTrouble(now());
+  process_->fleet.onPlatformFailure(now());
 }
 
 void GatewayNode::onStoreAnswer(const EngineTableNews& news, TimePoint asked_at, TimePoint asked_true) {
@@ -66,7 +66,7 @@
     EngineProcess& engine = world_.engine(row.engine);
     const std::string name = fmt::format("i-{}#{}", row.engine, row.born_ms);
     std::string& listed = process_->listed[row.engine];
-    if (!listed.empty() && (listed != name || !row.present)) process_->fleet.onGone(listed, now());
+    if (!listed.empty() && (listed != name || !row.present)) process_->fleet.onRemoved(listed, now());
     listed = row.present ? name : "";
     if (row.present) process_->fleet.onListed(listedBackend(engine, row, name), now());
   }
--- a/src/gateway_control/cache_watch.cc
+++ b/src/gateway_control/cache_watch.cc
@@ -118,7 +118,7 @@
   if (followed->dropped) return;
   started(*followed);
   startNext();
-  if (!page.answered) return onNoAnswer(followed, page.turned_away);
+  if (!page.answered) return onNoAnswer(followed, page.rejected);
   onAnswer(*followed);
   const bool restarted = followed->known && followed->epoch != page.epoch;
   const bool first = !std::exchange(followed->known, true);
@@ -143,7 +143,7 @@
 
 void CacheWatch::onContent(const FollowedPointer& followed, CachedPartsPage page) {
   if (followed->dropped) return;
-  if (!page.answered) return onNoAnswer(followed, page.turned_away);
+  if (!page.answered) return onNoAnswer(followed, page.rejected);
   onAnswer(*followed);
   followed->want_content = false;
   followed->epoch = page.epoch;
@@ -163,8 +163,8 @@
 }
 
 /// One that turns calls away answers, if only with that.
-void CacheWatch::onNoAnswer(const FollowedPointer& followed, bool turned_away) {
-  if (turned_away) {
+void CacheWatch::onNoAnswer(const FollowedPointer& followed, bool rejected) {
+  if (rejected) {
     onAnswer(*followed);
     return askLater(followed, kPauseAfterRefusal);
   }
--- a/src/gateway_control/cache_watch.h
+++ b/src/gateway_control/cache_watch.h
@@ -69,7 +69,7 @@
   void onContent(const FollowedPointer& followed, CachedPartsPage page);
   void tell(const Followed& followed, std::vector<CachedPart> parts, bool complete);
   void onAnswer(Followed& followed);
-  void onNoAnswer(const FollowedPointer& followed, bool turned_away);
+  void onNoAnswer(const FollowedPointer& followed, bool rejected);
   bool othersAnswer(const Followed& followed) const;
 
   boost::asio::any_io_executor executor_;
--- a/src/gateway_control/engine_silence.cc
+++ b/src/gateway_control/engine_silence.cc
@@ -25,33 +25,33 @@
   const bool known = backend->silent_since != TimePoint{};
   const Duration time = now() - silence.since;
   if (!known) logSilence(backend->view.name, true, time);
-  fleet_.onSilent(backend->view.name, silence.since, now());
+  fleet_.onUnresponsive(backend->view.name, silence.since, now());
   BackendNote note;
   note.name = backend->view.name;
   note.silent_milliseconds = wholeMilliseconds(time);
   tellSharing(note);
-  publishSoon();
+  schedulePublish();
 }
 
 void GatewayControl::onCacheHeard(EngineSlot slot, std::uint64_t incarnation) {
   const Backend* backend = findBackend(slot, incarnation);
-  if (backend == nullptr || !fleet_.onHeard(backend->view.name, now())) return;
+  if (backend == nullptr || !fleet_.onResponsive(backend->view.name, now())) return;
   logSilence(backend->view.name, false, now() - backend->silent_since);
   BackendNote note;
   note.name = backend->view.name;
   note.heard = true;
   tellSharing(note);
-  publishSoon();
+  schedulePublish();
 }
 
 void GatewayControl::onSilenceNote(const BackendNote& note) {
   if (findBackend(note.name) == nullptr) return;
   if (note.heard) {
-    if (fleet_.onHeard(note.name, now())) publishSoon();
+    if (fleet_.onResponsive(note.name, now())) schedulePublish();
     return;
   }
-  fleet_.onSilent(note.name, now() - std::chrono::milliseconds(note.silent_milliseconds), now());
-  publishSoon();
+  fleet_.onUnresponsive(note.name, now() - std::chrono::milliseconds(note.silent_milliseconds), now());
+  schedulePublish();
 }
 
 void GatewayControl::tellSharing(const BackendNote& note) {
--- a/src/gateway_control/fleet_view.cc
+++ b/src/gateway_control/fleet_view.cc
@@ -34,17 +34,17 @@
 
 }  // namespace
 
-std::string_view nameOf(BeliefSource source) {
+std::string_view nameOf(StateSource source) {
   switch (source) {
-    case BeliefSource::list:
+    case StateSource::list:
       return "list";
-    case BeliefSource::own_traffic:
+    case StateSource::own_traffic:
       return "own_traffic";
-    case BeliefSource::report:
+    case StateSource::report:
       return "report";
-    case BeliefSource::order:
+    case StateSource::order:
       return "order";
-    case BeliefSource::elapsed_time:
+    case StateSource::elapsed_time:
       return "elapsed_time";
   }
   return "list";
@@ -85,7 +85,7 @@
 }
 
 void FleetView::raiseWeights(Entry& entry, const std::string& model, const std::string& version,
-                             BeliefSource source) {
+                             StateSource source) {
   for (LoadedModel& loaded : entry.backend.view.models) {
     const bool newer = weightsNumber(version) > weightsNumber(loaded.weights_version);
     if (loaded.model != model || !newer) continue;
@@ -99,8 +99,7 @@
   for (const LoadedModel& before : held) {
     const std::string version = view.weightsOf(before.model);
     if (version == before.weights_version) continue;
-    weights_changes_.push_back(
-        {view.name, before.model, before.weights_version, version, BeliefSource::list});
+    weights_changes_.push_back({view.name, before.model, before.weights_version, version, StateSource::list});
   }
 }
 
@@ -108,7 +107,7 @@
   return std::exchange(weights_changes_, {});
 }
 
-void FleetView::onGone(const std::string& id, TimePoint now) {
+void FleetView::onRemoved(const std::string& id, TimePoint now) {
   const auto place = entries_.find(id);
   if (place == entries_.end() || !place->second.listed) return;
   Entry& entry = place->second;
@@ -118,16 +117,16 @@
   entry.gone_from = doubtful ? trouble_at_ + kTroubleRest : now;
 }
 
-void FleetView::onWholeList(const std::vector<std::string>& ids, TimePoint now) {
+void FleetView::onFullList(const std::vector<std::string>& ids, TimePoint now) {
   const std::set<std::string> listed(ids.begin(), ids.end());
   std::vector<std::string> gone;
   for (const auto& [id, entry] : entries_) {
     if (entry.listed && !entry.backend.is_kv_store && !listed.contains(id)) gone.push_back(id);
   }
-  for (const std::string& id : gone) onGone(id, now);
+  for (const std::string& id : gone) onRemoved(id, now);
 }
 
-void FleetView::onPlatformTrouble(TimePoint now) {
+void FleetView::onPlatformFailure(TimePoint now) {
   had_trouble_ = true;
   trouble_at_ = now;
   for (auto& [id, entry] : entries_) {
@@ -144,7 +143,7 @@
   entry->avoided_until = now + std::min(kLongestAvoidance, kFirstAvoidance * (1U << doublings));
 }
 
-void FleetView::onSilent(const std::string& id, TimePoint since, TimePoint now) {
+void FleetView::onUnresponsive(const std::string& id, TimePoint since, TimePoint now) {
   const auto place = entries_.find(id);
   if (place == entries_.end()) return;
   Entry& entry = place->second;
@@ -152,7 +151,7 @@
   entry.silent_until = now + kSilenceLifetime;
 }
 
-bool FleetView::onHeard(const std::string& id, TimePoint now) {
+bool FleetView::onResponsive(const std::string& id, TimePoint now) {
   const auto place = entries_.find(id);
   if (place == entries_.end() || now >= place->second.silent_until) return false;
   place->second.silent_until = now;
@@ -160,7 +159,7 @@
 }
 
 void FleetView::onWeights(const std::string& id, const std::string& model, const std::string& version,
-                          TimePoint now, BeliefSource source) {
+                          TimePoint now, StateSource source) {
   const auto place = entries_.find(id);
   if (place == entries_.end()) return;
   raiseWeights(place->second, model, version, source);
@@ -172,7 +171,7 @@
   Entry* entry = findSlot(slot, incarnation);
   if (entry == nullptr || entry->backend.view.models.size() != 1) return;
   const std::string model = entry->backend.view.models.front().model;
-  onWeights(entry->backend.view.name, model, version, now, BeliefSource::own_traffic);
+  onWeights(entry->backend.view.name, model, version, now, StateSource::own_traffic);
 }
 
 void FleetView::onLoading(const std::string& id, TimePoint until) {
@@ -204,18 +203,18 @@
 }
 
 FleetView::JudgedState FleetView::judge(const Entry& entry, TimePoint now) const {
-  if (superseded(entry)) return {EngineState::Dead, "address_taken_over", BeliefSource::list};
-  if (entry.draining) return {EngineState::Leaving, "draining", BeliefSource::list};
-  if (!entry.listed && now >= entry.gone_from) return {EngineState::Leaving, "unlisted", BeliefSource::list};
+  if (superseded(entry)) return {EngineState::Dead, "address_taken_over", StateSource::list};
+  if (entry.draining) return {EngineState::Leaving, "draining", StateSource::list};
+  if (!entry.listed && now >= entry.gone_from) return {EngineState::Leaving, "unlisted", StateSource::list};
   if (now < entry.loading_until && entry.backend.is_kv_store) {
-    return {EngineState::Ejected, "silent", BeliefSource::report};
+    return {EngineState::Ejected, "silent", StateSource::report};
   }
-  if (now < entry.loading_until) return {EngineState::Ejected, "loading_weights", BeliefSource::order};
-  if (now < entry.avoided_until) return {EngineState::Ejected, "unreachable", BeliefSource::own_traffic};
+  if (now < entry.loading_until) return {EngineState::Ejected, "loading_weights", StateSource::order};
+  if (now < entry.avoided_until) return {EngineState::Ejected, "unreachable", StateSource::own_traffic};
   if (entry.last_state == EngineState::Ejected) {
-    return {EngineState::Live, "tried_again", BeliefSource::elapsed_time};
+    return {EngineState::Live, "tried_again", StateSource::elapsed_time};
   }
-  return {EngineState::Live, "listed", BeliefSource::list};
+  return {EngineState::Live, "listed", StateSource::list};
 }
 
 std::vector<Backend> FleetView::backends(TimePoint now) {
--- a/src/gateway_control/fleet_view.h
+++ b/src/gateway_control/fleet_view.h
@@ -16,7 +16,7 @@
 namespace crankspur::gateway {
 
 /// What a belief about a back end rests on.
-enum class BeliefSource {
+enum class StateSource {
   list,          ///< The platform's list.
   own_traffic,   ///< Requests that this gateway sent.
   report,        ///< The back end's report, to this gateway or to another one that told it on.
@@ -25,7 +25,7 @@
 };
 
 /// @return the source as it stands in logs.
-std::string_view nameOf(BeliefSource source);
+std::string_view nameOf(StateSource source);
 
 /// A change of a back end's state, for the log.
 struct FleetChange {
@@ -34,7 +34,7 @@
   EngineState previous = EngineState::Dead;
   EngineState state = EngineState::Dead;
   std::string_view cause;  ///< For example "draining" or "unreachable".
-  BeliefSource source = BeliefSource::list;
+  StateSource source = StateSource::list;
 };
 
 /// A change of the weights that a back end is believed to hold, for the log.
@@ -43,28 +43,28 @@
   std::string model;
   std::string previous;
   std::string version;
-  BeliefSource source = BeliefSource::list;
+  StateSource source = StateSource::list;
 };
 
 /// The view. Not thread-safe.
 class FleetView {
 public:
   void onListed(const ListedBackend& listed, TimePoint now);
-  void onGone(const std::string& id, TimePoint now);
+  void onRemoved(const std::string& id, TimePoint now);
   /// Back ends that are listed and not among `ids` are gone.
-  void onWholeList(const std::vector<std::string>& ids, TimePoint now);
+  void onFullList(const std::vector<std::string>& ids, TimePoint now);
   /// The platform answers badly: entries that vanish soon after may belong to sound back ends.
-  void onPlatformTrouble(TimePoint now);
+  void onPlatformFailure(TimePoint now);
   /// Traffic could not reach the back end.
   void onUnreachable(EngineSlot slot, std::uint64_t incarnation, TimePoint now);
   /// It has not answered those who follow its cache since `since`. Holds for a while unless it is told again.
-  void onSilent(const std::string& id, TimePoint since, TimePoint now);
+  void onUnresponsive(const std::string& id, TimePoint since, TimePoint now);
   /// It has answered one of them.
   /// @return whether it was taken to be silent.
-  bool onHeard(const std::string& id, TimePoint now);
+  bool onResponsive(const std::string& id, TimePoint now);
   /// The back end itself, or an answer of it, stated the version of weights that it holds.
   void onWeights(const std::string& id, const std::string& model, const std::string& version, TimePoint now,
-                 BeliefSource source = BeliefSource::report);
+                 StateSource source = StateSource::report);
   /// As above, for a back end that holds one model.
   void onWeightsOfSlot(EngineSlot slot, std::uint64_t incarnation, const std::string& version, TimePoint now);
   /// An order to load weights is running at the back end until `until`; it takes no new request meanwhile.
@@ -102,11 +102,11 @@
   struct JudgedState {
     EngineState state = EngineState::Live;
     std::string_view cause;
-    BeliefSource source = BeliefSource::list;
+    StateSource source = StateSource::list;
   };
   JudgedState judge(const Entry& entry, TimePoint now) const;
   bool superseded(const Entry& entry) const;
-  void raiseWeights(Entry& entry, const std::string& model, const std::string& version, BeliefSource source);
+  void raiseWeights(Entry& entry, const std::string& model, const std::string& version, StateSource source);
   void noteListedWeights(const Entry& entry, const std::vector<LoadedModel>& held);
 
   std::map<std::string, Entry> entries_;
--- a/src/gateway_control/gateway_control.cc
+++ b/src/gateway_control/gateway_control.cc
@@ -98,9 +98,9 @@
       crashes_(combineHashes(hashBytes(settings.name, 4), incarnation), clock_.now()),
       publish_timer_(executor),
       change_timer_(executor),
-      tell_timer_(executor),
-      told_timer_(executor),
-      peer_work_timer_(executor),
+      cache_send_timer_(executor),
+      received_cache_timer_(executor),
+      peer_load_timer_(executor),
       serving_timer_(executor),
       crash_timer_(executor),
       suspension_timer_(executor) {}
@@ -117,8 +117,8 @@
   return {};
 }
 
-PlatformNews GatewayControl::platformNews() {
-  PlatformNews news;
+PlatformCallbacks GatewayControl::platformNews() {
+  PlatformCallbacks news;
   news.on_configuration = [this](std::shared_ptr<const Configuration> configuration) {
     onConfiguration(std::move(configuration));
   };
@@ -130,19 +130,19 @@
     log_.write(EventId::WeightsNamed, {{"model", named.model},
                                        {"version", named.version},
                                        {"age_ms", milliseconds(now() - named.named_at)}});
-    publishSoon();
+    schedulePublish();
   };
   news.on_backend = [this](const ListedBackend& listed) {
     fleet_.onListed(listed, now());
-    publishSoon();
+    schedulePublish();
   };
-  news.on_backend_gone = [this](const std::string& id) {
-    fleet_.onGone(id, now());
-    publishSoon();
+  news.on_backend_removed = [this](const std::string& id) {
+    fleet_.onRemoved(id, now());
+    schedulePublish();
   };
-  news.on_whole_list = [this](const std::vector<std::string>& ids) {
-    fleet_.onWholeList(ids, now());
-    publishSoon();
+  news.on_full_list = [this](const std::vector<std::string>& ids) {
+    fleet_.onFullList(ids, now());
+    schedulePublish();
   };
   news.on_contact = [this](TimePoint as_of) { onContact(as_of); };
   news.on_trouble = [this] { onTrouble(); };
@@ -198,7 +198,7 @@
   members_ = std::move(present);
   noteServing(serving_.onMembers(gossip_.members(), now()));
   nameReaders();
-  publishSoon();
+  schedulePublish();
 }
 
 void GatewayControl::logMember(const MemberRecord& member, std::string_view from, std::string_view to) {
@@ -233,7 +233,7 @@
 }
 
 void GatewayControl::onTrouble() {
-  fleet_.onPlatformTrouble(now());
+  fleet_.onPlatformFailure(now());
   if (std::exchange(reachable_, false)) {
     lost_at_ = now();
     log_.write(EventId::PlatformUnreachable,
@@ -269,19 +269,19 @@
   const Duration loading = std::chrono::milliseconds(note.loading_milliseconds);
   fleet_.onLoading(note.name, now() + std::min(loading, kLoadingTime));
   if (!note.model.empty()) fleet_.onWeights(note.name, note.model, note.weights_version, now());
-  publishSoon();
+  schedulePublish();
 }
 
 void GatewayControl::onUnreachable(EngineSlot slot, std::uint64_t incarnation) {
   fleet_.onUnreachable(slot, incarnation, now());
-  publishSoon();
+  schedulePublish();
 }
 
 void GatewayControl::onWrongBackend(EngineSlot slot, std::uint64_t incarnation,
                                     std::optional<std::uint64_t> weights_version) {
   if (!weights_version) return;
   fleet_.onWeightsOfSlot(slot, incarnation, std::to_string(*weights_version), now());
-  publishSoon();
+  schedulePublish();
 }
 
 /// Those that serve go first: they hear what the giver of orders tells.
@@ -318,7 +318,7 @@
   status.holds_order_lease = orders_.holding();
   status.orders_sent = orders_.ordersSent();
   status.members = gossip_.members();
-  if (serving_.everyoneServes()) {
+  if (serving_.allServe()) {
     for (const MemberRecord& member : status.members) status.serving.push_back(member.name);
   } else {
     status.serving = serving_.serving();
@@ -336,7 +336,7 @@
   settings_.key_validity = settings.key_validity;
   settings_.seeds = settings.seeds;
   gossip_.seed(gossipAddresses(settings_));
-  publishSoon();
+  schedulePublish();
 }
 
 void GatewayControl::leave() {
@@ -346,10 +346,10 @@
   serving_.leave();
   ServingNotice notice;
   notice.leaving = true;
-  if (!serving_.everyoneServes()) tellNotice(notice, true);
+  if (!serving_.allServe()) tellNotice(notice, true);
 }
 
-void GatewayControl::publishSoon() {
+void GatewayControl::schedulePublish() {
   if (std::exchange(publish_waiting_, true)) return;
   const Duration wanted = kPublishDelayPerBackend * static_cast<Duration::rep>(backends_.size());
   publish_timer_.expires_after(std::max(kLeastPublishDelay, wanted));
@@ -384,7 +384,8 @@
 }
 
 void GatewayControl::armPublishTimer() {
-  TimePoint next = std::min(now() + (settled_ ? kLongestPause : kPauseUntilKnown), fleet_.nextChange(now()));
+  TimePoint next =
+      std::min(now() + (fleet_stable_ ? kLongestPause : kPauseUntilKnown), fleet_.nextChange(now()));
   if (!crashes_.isSettled(now())) next = std::min(next, now() + kPauseUntilKnown);
   if (settings_.key_validity && keys_current_) {
     next = std::min(next, contact_->vouchedAt() + *settings_.key_validity);
--- a/src/gateway_control/gateway_control.h
+++ b/src/gateway_control/gateway_control.h
@@ -30,7 +30,7 @@
 struct GatewayControlOutputs {
   std::function<void(std::shared_ptr<const GatewaySnapshot>)> publish;
   std::function<void(CachedPartsNews)> on_cached_parts;
-  std::function<void(std::vector<LoadDigest>)> on_peer_work;
+  std::function<void(std::vector<LoadDigest>)> on_peer_load;
   std::function<void(CrashUpdate)> on_crash_update;
   /// Open connections have gone silent: those of traffic may have, too.
   std::function<void()> on_connections_silent;
@@ -72,14 +72,14 @@
   void onWrongBackend(EngineSlot slot, std::uint64_t incarnation,
                       std::optional<std::uint64_t> weights_version);
   /// Tells the other gateways, in a large fleet those that serve, what this one has at each engine.
-  void onOwnWork(const LoadDigest& digest);
+  void onOwnLoadDigest(const LoadDigest& digest);
   void onOwnLoad(const OwnLoad& load) { own_load_ = load; }
   /// Tells all other gateways which back ends ended under which requests.
   void onOwnCrashUpdate(const CrashUpdate& news);
 
 private:
   TimePoint now() const { return clock_.now(); }
-  PlatformNews platformNews();
+  PlatformCallbacks platformNews();
   OrderGiverCallbacks orderCallbacks();
   void onMembersChanged() override;
   void onBackendNote(const BackendNote& note) override;
@@ -136,7 +136,7 @@
   std::size_t rank() const;
   bool memberLives(const std::string& name) const;
   bool keysCurrent() const;
-  void publishSoon();
+  void schedulePublish();
   void publish();
   void armPublishTimer();
   void logFleet();
@@ -154,12 +154,12 @@
   CacheWatch cache_watch_;
   CacheExchange caches_;
   CrashCoordinator crashes_;
-  bool tell_waiting_ = false;
-  TimePoint member_added_at_{};                  ///< When a gateway that was not known before became known.
-  bool settled_ = false;                         ///< A large fleet is known: see fleetIsKnown().
-  std::vector<CachedPartsNews> told_;            ///< By other gateways, not yet passed on to traffic.
-  std::set<std::string> kv_stores_;              ///< Ids of those that the configuration names.
-  std::map<std::string, LoadDigest> peer_work_;  ///< By teller and zone, not yet passed on to traffic.
+  bool cache_send_scheduled_ = false;
+  TimePoint member_added_at_{};  ///< When a gateway that was not known before became known.
+  bool fleet_stable_ = false;    ///< A large fleet is known: see fleetIsKnown().
+  std::vector<CachedPartsNews> received_cache_updates_;  ///< By other gateways, not yet passed on to traffic.
+  std::set<std::string> kv_stores_;                      ///< Ids of those that the configuration names.
+  std::map<std::string, LoadDigest> peer_loads_;  ///< By teller and zone, not yet passed on to traffic.
   OwnLoad own_load_;
   int looks_at_serving_ = 0;             ///< Since the start.
   std::map<std::string, bool> follows_;  ///< Whether this gateway follows a back end's cache, among sharing_.
@@ -176,9 +176,9 @@
   bool keys_current_ = true;
   boost::asio::steady_timer publish_timer_;
   boost::asio::steady_timer change_timer_;
-  boost::asio::steady_timer tell_timer_;
-  boost::asio::steady_timer told_timer_;
-  boost::asio::steady_timer peer_work_timer_;
+  boost::asio::steady_timer cache_send_timer_;
+  boost::asio::steady_timer received_cache_timer_;
+  boost::asio::steady_timer peer_load_timer_;
   boost::asio::steady_timer serving_timer_;
   boost::asio::steady_timer crash_timer_;
   SuspensionWatch suspension_;
--- a/src/gateway_control/shared_serving.cc
+++ b/src/gateway_control/gateway_control_serving.cc
@@ -11,7 +11,7 @@
 #include "base/endpoint.h"
 #include "base/hash.h"
 #include "gateway_control/gateway_control.h"
-#include "gateway_control/list_pause.h"
+#include "gateway_control/list_batch_delay.h"
 #include "gateway_control/serving_timings.h"
 
 namespace crankspur::gateway {
@@ -34,8 +34,8 @@
 void GatewayControl::lookAtServing() {
   ++looks_at_serving_;
   noteServing(serving_.refresh(now()));
-  if (looks_at_serving_ % (kNoticeInterval / kServingLook) == 0) tellServing();
-  serving_timer_.expires_after(kServingLook);
+  if (looks_at_serving_ % (kNoticeInterval / kServingRefreshInterval) == 0) tellServing();
+  serving_timer_.expires_after(kServingRefreshInterval);
   serving_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) lookAtServing();
   });
@@ -44,21 +44,21 @@
 void GatewayControl::noteServing(bool changed) {
   if (!changed) return;
   nameReaders();
-  if (serving_.everyoneServes()) return;
+  if (serving_.allServe()) return;
   log_.write(EventId::ServingSetChanged,
              {{"serves", serving_.serves(gossip_.ownName())},
               {"gateways", serving_.serving().size()},
               {"zone_requests_per_second", std::lround(serving_.demandOf(settings_.zone))},
               {"own_zone", fmt::format("{}", fmt::join(serving_.servingIn(settings_.zone), ","))}});
-  publishSoon();
+  schedulePublish();
 }
 
 /// Those that serve read the platform; one that stands by asks those of its zone, each a different one first,
 /// and then two of other zones.
 void GatewayControl::nameReaders() {
   const bool reads = serving_.serves(gossip_.ownName());
-  const std::size_t readers = serving_.everyoneServes() ? members_.size() : serving_.serving().size();
-  platform_.setListPause(listPause(readers, settings_.departure_limit));
+  const std::size_t readers = serving_.allServe() ? members_.size() : serving_.serving().size();
+  platform_.setListBatchDelay(listBatchDelay(readers, settings_.departure_limit));
   if (reads) return platform_.setReaders({});
   const std::uint64_t own = hashBytes(gossip_.ownName());
   std::vector<std::string> named = serving_.servingIn(settings_.zone);
@@ -76,14 +76,14 @@
 
 /// One that serves tells so, and one that stands by and yet has clients.
 void GatewayControl::tellServing() {
-  if (serving_.everyoneServes() || leaving_) return;
+  if (serving_.allServe() || leaving_) return;
   const bool serves = serving_.serves(gossip_.ownName());
   if (!serves && own_load_.requests_per_second < 1) return;
   ServingNotice notice;
   notice.requests_per_second = static_cast<std::uint32_t>(std::lround(own_load_.requests_per_second));
   notice.pressed = own_load_.pressed;
   serving_.onNotice(gossip_.ownName(), notice, now());
-  const int notices = looks_at_serving_ / static_cast<int>(kNoticeInterval / kServingLook);
+  const int notices = looks_at_serving_ / static_cast<int>(kNoticeInterval / kServingRefreshInterval);
   tellNotice(notice, notices % kNoticesPerWideNotice == 0);
 }
 
@@ -101,7 +101,7 @@
 }
 
 std::vector<std::string> GatewayControl::clientAddresses(const std::string& zone) const {
-  if (serving_.everyoneServes()) return allClientAddresses();
+  if (serving_.allServe()) return allClientAddresses();
   const std::string port = portOf(settings_.front);
   std::vector<std::string> addresses;
   for (const std::string& name : serving_.servingIn(zone)) addresses.push_back(hostOf(name) + ":" + port);
@@ -125,7 +125,7 @@
 /// @return the other gateways that place requests: what this one has at the engines counts for them.
 std::vector<std::string> GatewayControl::peers() const {
   std::vector<std::string> names;
-  if (!serving_.everyoneServes()) {
+  if (!serving_.allServe()) {
     names = serving_.serving();
   } else {
     for (const MemberRecord& member : gossip_.members()) {
@@ -142,7 +142,7 @@
 }
 
 void GatewayControl::shareOut(GatewaySnapshot& snapshot) const {
-  if (serving_.everyoneServes()) {
+  if (serving_.allServe()) {
     snapshot.share_divisor =
         static_cast<std::uint32_t>(std::max<std::size_t>(1, allClientAddresses().size()));
     snapshot.peer_count = snapshot.share_divisor - 1;
--- a/src/gateway_control/kv_stores.cc
+++ b/src/gateway_control/kv_stores.cc
@@ -28,7 +28,7 @@
     fleet_.onListed(store, now());
   }
   for (const std::string& id : std::exchange(kv_stores_, named)) {
-    if (!named.contains(id)) fleet_.onGone(id, now());
+    if (!named.contains(id)) fleet_.onRemoved(id, now());
   }
 }
 
@@ -39,7 +39,7 @@
   const auto pause = std::chrono::duration_cast<std::chrono::milliseconds>(kSilentPause);
   if (!sharing_.empty())
     gossip_.tellAll({{BackendNote{id, static_cast<std::uint32_t>(pause.count()), "", "", 0, false}}});
-  publishSoon();
+  schedulePublish();
 }
 
 }  // namespace crankspur::gateway
--- a/src/gateway_control/list_pause.cc
+++ b/src/gateway_control/list_batch_delay.cc
@@ -1,4 +1,4 @@
-#include "gateway_control/list_pause.h"
+#include "gateway_control/list_batch_delay.h"
 
 #include <algorithm>
 
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-Duration listPause(std::size_t gateways, Duration departure_limit) {
+Duration listBatchDelay(std::size_t gateways, Duration departure_limit) {
   const Duration longest(
       static_cast<Duration::rep>(static_cast<double>(departure_limit.count()) * kShareOfLimit));
   return std::min(longest, kPausePerGateway * static_cast<Duration::rep>(gateways));
--- a/src/gateway_control/list_pause.h
+++ b/src/gateway_control/list_batch_delay.h
@@ -12,6 +12,6 @@
 /// @param gateways live ones.
 /// @param departure_limit from the listing of a back end as leaving to the last new request for it; more than
 /// a part of it is never spent on gathering.
-Duration listPause(std::size_t gateways, Duration departure_limit);
+Duration listBatchDelay(std::size_t gateways, Duration departure_limit);
 
 }  // namespace crankspur::gateway
--- a/src/gateway_control/order_giver.cc
+++ b/src/gateway_control/order_giver.cc
@@ -7,19 +7,19 @@
 
 namespace {
 
-std::string_view nameOf(OrderAnswer answer) {
+std::string_view nameOf(OrderResponse answer) {
   switch (answer) {
-    case OrderAnswer::Begun:
+    case OrderResponse::Begun:
       return "begun";
-    case OrderAnswer::InEffect:
+    case OrderResponse::InEffect:
       return "in_effect";
-    case OrderAnswer::Conflict:
+    case OrderResponse::Conflict:
       return "conflict";
-    case OrderAnswer::Fenced:
+    case OrderResponse::Fenced:
       return "fenced";
-    case OrderAnswer::Refused:
+    case OrderResponse::Refused:
       return "refused";
-    case OrderAnswer::Unknown:
+    case OrderResponse::Unknown:
       return "unknown";
   }
   return "unknown";
@@ -171,8 +171,8 @@
                                   {"token", token}});
   ++orders_sent_;
   callbacks_.on_loading(backend);
-  platform_.sendOrder(order, [this, backend](OrderAnswer answer) {
-    const bool failed = answer == OrderAnswer::Refused || answer == OrderAnswer::Fenced;
+  platform_.sendOrder(order, [this, backend](OrderResponse answer) {
+    const bool failed = answer == OrderResponse::Refused || answer == OrderResponse::Fenced;
     if (failed) {
       log_.write(EventId::OrderFailed, {{"engine", backend}, {"reason", nameOf(answer)}});
     } else {
--- a/src/gateway_control/platform_link.h
+++ b/src/gateway_control/platform_link.h
@@ -32,15 +32,15 @@
 };
 
 /// What the platform tells unasked. Listed back ends come before the contact that vouches for them.
-struct PlatformNews {
+struct PlatformCallbacks {
   /// A configuration that the operator had accepted; versions may repeat but never mean different things.
   std::function<void(std::shared_ptr<const Configuration>)> on_configuration;
   std::function<void(NamedWeights)> on_weights;
   std::function<void(const ListedBackend&)> on_backend;
   /// The platform lists the back end no longer.
-  std::function<void(const std::string& id)> on_backend_gone;
+  std::function<void(const std::string& id)> on_backend_removed;
   /// A whole list has been told: back ends that it left out are listed no longer.
-  std::function<void(const std::vector<std::string>& ids)> on_whole_list;
+  std::function<void(const std::vector<std::string>& ids)> on_full_list;
   /// Everything that the operator had accepted by `as_of` has been told.
   std::function<void(TimePoint as_of)> on_contact;
   /// The platform did not answer or turned a call away.
@@ -69,7 +69,7 @@
 };
 
 /// How a back end answered an order.
-enum class OrderAnswer {
+enum class OrderResponse {
   Begun,     ///< It is loading.
   InEffect,  ///< It has these weights.
   Conflict,  ///< Another order runs, or others were taken since the report.
@@ -81,7 +81,7 @@
 /// One answer about the cached parts of a back end or store.
 struct CachedPartsPage {
   bool answered = false;
-  bool turned_away = false;    ///< It answers, but holds as many such calls as it may.
+  bool rejected = false;       ///< It answers, but holds as many such calls as it may.
   std::uint64_t epoch = 0;     ///< Differs after each restart of the cache.
   std::uint64_t position = 0;  ///< Where the next question begins.
   bool gap = false;            ///< Events were lost: ask for the whole.
@@ -100,12 +100,12 @@
 public:
   virtual ~PlatformLink() = default;
   /// Begins to tell news.
-  virtual void start(PlatformNews news) = 0;
+  virtual void start(PlatformCallbacks news) = 0;
   /// The machine was suspended: connections of before are not trusted, and what the platform holds is asked
   /// for anew.
   virtual void onWake() = 0;
   /// Changes of the list of back ends may be gathered for so long before they are told.
-  virtual void setListPause(Duration pause) = 0;
+  virtual void setListBatchDelay(Duration pause) = 0;
   /// Names other gateways to ask for what the platform holds.
   /// @param addresses "IP:port", the best first; empty: this gateway asks the platform itself.
   virtual void setReaders(std::vector<std::string> addresses) = 0;
@@ -124,7 +124,7 @@
                            std::function<void(bool written)> done) = 0;
   virtual void readWeights(const std::string& address,
                            std::function<void(std::optional<WeightsReport>)> done) = 0;
-  virtual void sendOrder(const WeightsOrder& order, std::function<void(OrderAnswer)> done) = 0;
+  virtual void sendOrder(const WeightsOrder& order, std::function<void(OrderResponse)> done) = 0;
   /// Asks for changes after `position`, waiting up to `wait` for the first.
   virtual void readCacheEvents(const std::string& address, std::uint64_t position, Duration wait,
                                std::function<void(CachedPartsPage)> done) = 0;
--- a/src/gateway_control/reader_choice.cc
+++ b/src/gateway_control/reader_selector.cc
@@ -1,4 +1,4 @@
-#include "gateway_control/reader_choice.h"
+#include "gateway_control/reader_selector.h"
 
 #include <algorithm>
 #include <utility>
@@ -16,38 +16,38 @@
 
 }  // namespace
 
-void ReaderChoice::setReaders(std::vector<std::string> readers) {
+void ReaderSelector::setReaders(std::vector<std::string> readers) {
   readers_ = std::move(readers);
   std::erase_if(late_at_, [this](const auto& item) {
     return std::find(readers_.begin(), readers_.end(), item.first) == readers_.end();
   });
 }
 
-ReadFrom ReaderChoice::next(TimePoint now) {
-  if (readers_.empty()) return {ReadFrom::Kind::Platform, ""};
+ReadTarget ReaderSelector::next(TimePoint now) {
+  if (readers_.empty()) return {ReadTarget::Kind::Platform, ""};
   std::erase_if(avoided_until_, [now](const auto& item) { return item.second <= now; });
   for (const std::string& reader : readers_) {
-    if (!avoided_until_.contains(reader)) return {ReadFrom::Kind::Gateway, reader};
+    if (!avoided_until_.contains(reader)) return {ReadTarget::Kind::Gateway, reader};
   }
-  if (platform_answers_) return {ReadFrom::Kind::Platform, ""};
-  if (now < platform_again_at_) return {ReadFrom::Kind::Nobody, ""};
+  if (platform_answers_) return {ReadTarget::Kind::Platform, ""};
+  if (now < platform_again_at_) return {ReadTarget::Kind::None, ""};
   const double share = 0.5 + random_.unit();
   platform_again_at_ =
       now + Duration(static_cast<Duration::rep>(static_cast<double>(kPlatformInterval.count()) * share));
-  return {ReadFrom::Kind::Platform, ""};
+  return {ReadTarget::Kind::Platform, ""};
 }
 
-void ReaderChoice::onFailed(const std::string& address, TimePoint now) {
+void ReaderSelector::onFailed(const std::string& address, TimePoint now) {
   avoided_until_[address] = now + kAvoided;
 }
 
-void ReaderChoice::onLate(const std::string& address, TimePoint now) {
+void ReaderSelector::onLate(const std::string& address, TimePoint now) {
   TimePoint& until = avoided_until_[address];
   until = std::max(until, now + kAvoidedWhenLate);
   late_at_[address] = now;
 }
 
-bool ReaderChoice::wasLateAfter(const std::string& address, TimePoint sent_at) const {
+bool ReaderSelector::wasLateAfter(const std::string& address, TimePoint sent_at) const {
   const auto late = late_at_.find(address);
   return late != late_at_.end() && late->second > sent_at;
 }
--- a/src/gateway_control/reader_choice.h
+++ b/src/gateway_control/reader_selector.h
@@ -11,25 +11,25 @@
 namespace crankspur::gateway {
 
 /// Where a call is to go.
-struct ReadFrom {
+struct ReadTarget {
   enum class Kind {
     Platform,
     Gateway,
-    Nobody,  ///< Not now: everyone failed of late, and the platform is not to be asked by all.
+    None,  ///< Not now: everyone failed of late, and the platform is not to be asked by all.
   };
   Kind kind = Kind::Platform;
   std::string address;  ///< Of the gateway.
 };
 
 /// The choice. Not thread-safe.
-class ReaderChoice {
+class ReaderSelector {
 public:
-  explicit ReaderChoice(std::uint64_t random_seed) : random_(random_seed) {}
+  explicit ReaderSelector(std::uint64_t random_seed) : random_(random_seed) {}
   /// @param readers addresses of gateways that read the platform, the best first; empty: this one reads it.
   void setReaders(std::vector<std::string> readers);
   /// @return whether this gateway reads the platform itself.
   bool readsPlatform() const { return readers_.empty(); }
-  ReadFrom next(TimePoint now);
+  ReadTarget next(TimePoint now);
   /// How a call to the platform itself went. One that answers is asked on while all readers fail: on a day
   /// with a third of the machines cut off from it, gateways whose readers were cut heard it once in 6 s, and
   /// refused callers for outdated keys and by an old configuration.
--- a/src/gateway_control/serving_set.h
+++ b/src/gateway_control/serving_set.h
@@ -43,7 +43,7 @@
   bool refresh(TimePoint now);
 
   /// @return whether the fleet is so small that all gateways serve.
-  bool everyoneServes() const { return everyone_serves_; }
+  bool allServe() const { return everyone_serves_; }
   /// @return names of those that serve, sorted.
   const std::vector<std::string>& serving() const { return serving_; }
   /// @return whether clients are sent to the gateway: in a small fleet to each.
--- a/src/gateway_control/serving_timings.h
+++ b/src/gateway_control/serving_timings.h
@@ -12,6 +12,6 @@
 /// Each so many notices one goes to the whole fleet.
 inline constexpr int kNoticesPerWideNotice = 3;
 /// The set is worked out anew so often.
-inline constexpr Duration kServingLook = std::chrono::milliseconds(200);
+inline constexpr Duration kServingRefreshInterval = std::chrono::milliseconds(200);
 
 }  // namespace crankspur::gateway
--- a/src/gateway_control/shared_caches.cc
+++ b/src/gateway_control/shared_caches.cc
@@ -26,7 +26,7 @@
 }  // namespace
 
 std::vector<std::string> GatewayControl::sharingGateways() const {
-  if (!serving_.everyoneServes()) return serving_.serving();
+  if (!serving_.allServe()) return serving_.serving();
   std::vector<std::string> names;
   for (const MemberRecord& member : gossip_.members()) {
     const bool own = member.name == gossip_.ownName();
@@ -40,9 +40,9 @@
 /// cache: hundreds that all read every cache fill their links and the engines' places for such calls. In a
 /// small fleet each follows caches from the first moment.
 bool GatewayControl::fleetIsKnown() {
-  if (serving_.everyoneServes()) return true;
-  if (!settled_) settled_ = now() - member_added_at_ >= kUntilKnown;
-  return settled_;
+  if (serving_.allServe()) return true;
+  if (!fleet_stable_) fleet_stable_ = now() - member_added_at_ >= kUntilKnown;
+  return fleet_stable_;
 }
 
 void GatewayControl::updateCacheWatch() {
@@ -95,16 +95,16 @@
 }
 
 void GatewayControl::tellCachesSoon() {
-  if (!caches_.hasNotes() || std::exchange(tell_waiting_, true)) return;
+  if (!caches_.hasNotes() || std::exchange(cache_send_scheduled_, true)) return;
   const Duration wanted = kGatherPerGateway * static_cast<Duration::rep>(sharing_.size());
-  tell_timer_.expires_after(std::clamp(wanted, kLeastGather, kLongestGather));
-  tell_timer_.async_wait([this](boost::system::error_code error) {
+  cache_send_timer_.expires_after(std::clamp(wanted, kLeastGather, kLongestGather));
+  cache_send_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) tellCaches();
   });
 }
 
 void GatewayControl::tellCaches() {
-  tell_waiting_ = false;
+  cache_send_scheduled_ = false;
   for (const CacheNotes& notes : caches_.takeNotes()) {
     for (const std::string& member : sharing_) {
       if (member != gossip_.ownName()) gossip_.tell(member, notes);
@@ -123,11 +123,11 @@
     news.incarnation = backend->view.incarnation;
     news.complete = told.complete;
     news.parts = std::move(told.parts);
-    const bool waiting = !told_.empty();
-    told_.push_back(std::move(news));
+    const bool waiting = !received_cache_updates_.empty();
+    received_cache_updates_.push_back(std::move(news));
     if (waiting) continue;
-    told_timer_.expires_after(kPassInterval);
-    told_timer_.async_wait([this](boost::system::error_code error) {
+    received_cache_timer_.expires_after(kPassInterval);
+    received_cache_timer_.async_wait([this](boost::system::error_code error) {
       if (!error) passToldNews();
     });
   }
@@ -135,7 +135,8 @@
 
 /// Together, since each hand-over wakes the traffic thread.
 void GatewayControl::passToldNews() {
-  for (CachedPartsNews& news : std::exchange(told_, {})) outputs_.on_cached_parts(std::move(news));
+  for (CachedPartsNews& news : std::exchange(received_cache_updates_, {}))
+    outputs_.on_cached_parts(std::move(news));
 }
 
 void GatewayControl::onCacheWanted(const std::string& asker, const CacheWanted& wanted) {
--- a/src/gateway_control/shared_crashes.cc
+++ b/src/gateway_control/shared_crashes.cc
@@ -54,7 +54,7 @@
   platform_.readRecord(CrashRecord::kName, [this](const std::optional<StoredRecord>& record) {
     crashes_.onRecordRead(record, now());
     pumpCrashes();
-    publishSoon();  // Nothing was served before the record was known.
+    schedulePublish();  // Nothing was served before the record was known.
   });
 }
 
--- a/src/gateway_control/shared_work.cc
+++ b/src/gateway_control/shared_work.cc
@@ -12,26 +12,26 @@
 
 }  // namespace
 
-void GatewayControl::onOwnWork(const LoadDigest& digest) {
+void GatewayControl::onOwnLoadDigest(const LoadDigest& digest) {
   for (const std::string& peer : peers()) gossip_.tell(peer, digest);
 }
 
 void GatewayControl::onLoadDigest(const std::string& teller, const LoadDigest& digest) {
-  const bool waiting = !peer_work_.empty();
-  LoadDigest& held = peer_work_[teller];
+  const bool waiting = !peer_loads_.empty();
+  LoadDigest& held = peer_loads_[teller];
   held = digest;
   held.sender = teller;
   if (waiting) return;
-  peer_work_timer_.expires_after(kPassInterval);
-  peer_work_timer_.async_wait([this](boost::system::error_code error) {
+  peer_load_timer_.expires_after(kPassInterval);
+  peer_load_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) passPeerWork();
   });
 }
 
 void GatewayControl::passPeerWork() {
   std::vector<LoadDigest> digests;
-  for (auto& [teller, digest] : std::exchange(peer_work_, {})) digests.push_back(std::move(digest));
-  if (outputs_.on_peer_work) outputs_.on_peer_work(std::move(digests));
+  for (auto& [teller, digest] : std::exchange(peer_loads_, {})) digests.push_back(std::move(digest));
+  if (outputs_.on_peer_load) outputs_.on_peer_load(std::move(digests));
 }
 
 }  // namespace crankspur::gateway
--- a/src/gateway_control/table_relay.cc
+++ b/src/gateway_control/table_relay.cc
@@ -58,36 +58,38 @@
 // The side that asks.
 
 void TableRelay::read(const std::string& table, const std::string& from, TableCallback done) {
-  const ReadFrom source = nextSource(table);
-  if (source.kind == ReadFrom::Kind::Platform) return store_.read(table, from, noteOutcome(std::move(done)));
-  if (source.kind == ReadFrom::Kind::Nobody) return done({TableOutcome::NotDone, {}, false, 0, 0, {}});
+  const ReadTarget source = nextSource(table);
+  if (source.kind == ReadTarget::Kind::Platform)
+    return store_.read(table, from, noteOutcome(std::move(done)));
+  if (source.kind == ReadTarget::Kind::None) return done({TableOutcome::Rejected, {}, false, 0, 0, {}});
   askGateway(source.address, std::string(kPath) + "?name=" + table, Duration(0), std::move(done));
 }
 
 void TableRelay::waitForChanges(const std::string& table, std::uint64_t version, Duration wait,
                                 TableCallback done) {
-  const ReadFrom source = nextSource(table);
-  if (source.kind == ReadFrom::Kind::Platform) {
+  const ReadTarget source = nextSource(table);
+  if (source.kind == ReadTarget::Kind::Platform) {
     return store_.waitForChanges(table, version, wait, noteOutcome(std::move(done)));
   }
-  if (source.kind == ReadFrom::Kind::Nobody) return done({TableOutcome::NotDone, {}, false, 0, 0, {}});
+  if (source.kind == ReadTarget::Kind::None) return done({TableOutcome::Rejected, {}, false, 0, 0, {}});
   const std::string target = std::string(kPath) + "?name=" + table + "&after=" + std::to_string(version) +
                              "&wait_ms=" + std::to_string(milliseconds(wait));
   askGateway(source.address, target, wait, std::move(done));
 }
 
-ReadFrom TableRelay::nextSource(const std::string& table) {
-  ReadFrom source = choice_.next(now());
+ReadTarget TableRelay::nextSource(const std::string& table) {
+  ReadTarget source = choice_.next(now());
   asked_[table] = source;
   // All readers fail or are late: connections to the store that are kept for other calls may be silent as
   // well.
-  if (source.kind == ReadFrom::Kind::Platform && !readsPlatform()) store_.onLate(table);
+  if (source.kind == ReadTarget::Kind::Platform && !readsPlatform()) store_.onLate(table);
   return source;
 }
 
 TableCallback TableRelay::noteOutcome(TableCallback done) {
-  return [this, done = std::move(done)](TableAnswer answer) {
-    const bool answered = answer.outcome == TableOutcome::Done || answer.outcome == TableOutcome::HistoryGone;
+  return [this, done = std::move(done)](TableResponse answer) {
+    const bool answered =
+        answer.outcome == TableOutcome::Done || answer.outcome == TableOutcome::HistoryCompacted;
     choice_.onPlatformAnswer(answered);
     done(std::move(answer));
   };
@@ -96,8 +98,8 @@
 void TableRelay::onLate(const std::string& table) {
   const auto asked = asked_.find(table);
   if (asked == asked_.end()) return;
-  if (asked->second.kind == ReadFrom::Kind::Platform) return store_.onLate(table);
-  if (asked->second.kind == ReadFrom::Kind::Nobody) return;
+  if (asked->second.kind == ReadTarget::Kind::Platform) return store_.onLate(table);
+  if (asked->second.kind == ReadTarget::Kind::None) return;
   choice_.onLate(asked->second.address, now());
   // The connection to the next one may be as silent.
   client_.leaveKept("");
@@ -114,9 +116,10 @@
   http::ExchangeCallbacks callbacks;
   callbacks.on_done = [this, address, wait, sent_at, done = std::move(done)](
                           std::error_code error, http::SendState, const http::Response& response) {
-    TableAnswer answer;
+    TableResponse answer;
     if (!error) answer = readAnswer(response, sent_at, wait);
-    const bool usable = answer.outcome == TableOutcome::Done || answer.outcome == TableOutcome::HistoryGone;
+    const bool usable =
+        answer.outcome == TableOutcome::Done || answer.outcome == TableOutcome::HistoryCompacted;
     if (!usable && !choice_.wasLateAfter(address, sent_at)) choice_.onFailed(address, now());
     done(std::move(answer));
   };
@@ -125,10 +128,10 @@
 
 /// The reader held the call for a time that it measured, and its contact was so old when it answered: counted
 /// from the sending, the contact is never taken to be younger than it was.
-TableAnswer TableRelay::readAnswer(const http::Response& response, TimePoint sent_at, Duration wait) const {
-  TableAnswer answer;
-  if (response.status == kHistoryGone) answer.outcome = TableOutcome::HistoryGone;
-  if (response.status == kUnavailable) answer.outcome = TableOutcome::NotDone;
+TableResponse TableRelay::readAnswer(const http::Response& response, TimePoint sent_at, Duration wait) const {
+  TableResponse answer;
+  if (response.status == kHistoryGone) answer.outcome = TableOutcome::HistoryCompacted;
+  if (response.status == kUnavailable) answer.outcome = TableOutcome::Rejected;
   if (response.status != kOk) return answer;
   DecodedFrame frame = decodeFrame(response.body);
   auto* rows = frame.message ? std::get_if<RelayedRows>(&*frame.message) : nullptr;
--- a/src/gateway_control/table_relay.h
+++ b/src/gateway_control/table_relay.h
@@ -14,7 +14,7 @@
 #include <system_error>
 #include <vector>
 
-#include "gateway_control/reader_choice.h"
+#include "gateway_control/reader_selector.h"
 #include "gateway_control/table_mirror.h"
 #include "gateway_control/table_source.h"
 #include "http/client.h"
@@ -67,18 +67,18 @@
   void answer(const Waiting& waiting);
   void answerDue();
   void armTimer();
-  ReadFrom nextSource(const std::string& table);
+  ReadTarget nextSource(const std::string& table);
   TableCallback noteOutcome(TableCallback done);
   void respondTrouble(http::ResponseWriter& writer) const;
   void askGateway(const std::string& address, const std::string& target, Duration wait, TableCallback done);
-  TableAnswer readAnswer(const http::Response& response, TimePoint sent_at, Duration wait) const;
+  TableResponse readAnswer(const http::Response& response, TimePoint sent_at, Duration wait) const;
 
   http::Client& client_;
   TableSource& store_;
   SteadyClock clock_;
-  ReaderChoice choice_;
+  ReaderSelector choice_;
   std::map<std::string, TableMirror> mirrors_;  ///< By table.
-  std::map<std::string, ReadFrom> asked_;       ///< Where the last call for each table went.
+  std::map<std::string, ReadTarget> asked_;     ///< Where the last call for each table went.
   std::set<std::string> in_trouble_;            ///< Tables whose own source was lost since the last contact.
   std::list<std::shared_ptr<Waiting>> waiting_;
   boost::asio::any_io_executor executor_;
--- a/src/gateway_control/table_source.h
+++ b/src/gateway_control/table_source.h
@@ -15,14 +15,14 @@
 /// How a call went.
 enum class TableOutcome {
   Done,
-  Conflict,     ///< A condition of a write does not hold; nothing was done.
-  HistoryGone,  ///< The changes asked for are forgotten: read everything again.
-  NotDone,      ///< Turned away; nothing was done.
-  Unknown,      ///< No answer, or a broken one.
+  Conflict,          ///< A condition of a write does not hold; nothing was done.
+  HistoryCompacted,  ///< The changes asked for are forgotten: read everything again.
+  Rejected,          ///< Turned away; nothing was done.
+  Unknown,           ///< No answer, or a broken one.
 };
 
 /// Answer to a call about rows.
-struct TableAnswer {
+struct TableResponse {
   TableOutcome outcome = TableOutcome::Unknown;
   std::vector<RelayedRow> rows;
   bool more = false;           ///< Further rows follow the last one.
@@ -32,7 +32,7 @@
   std::optional<TimePoint> as_of;
 };
 
-using TableCallback = std::function<void(TableAnswer)>;
+using TableCallback = std::function<void(TableResponse)>;
 
 /// One call is one exchange; nothing is repeated here.
 class TableSource {
--- a/src/gateway_control/weight_rollout.cc
+++ b/src/gateway_control/weight_rollout.cc
@@ -207,7 +207,7 @@
   run.step = Step::ToSend;
 }
 
-void WeightRollout::onAnswer(const std::string& backend, OrderAnswer answer, TimePoint now) {
+void WeightRollout::onAnswer(const std::string& backend, OrderResponse answer, TimePoint now) {
   const auto place = runs_.find(backend);
   if (place == runs_.end()) return;
   Run& run = place->second;
@@ -215,18 +215,18 @@
   run.step = Step::Watching;
   run.next_report_at = now + kReportInterval;
   switch (answer) {
-    case OrderAnswer::Begun:
-    case OrderAnswer::Unknown:
+    case OrderResponse::Begun:
+    case OrderResponse::Unknown:
       return;
-    case OrderAnswer::InEffect:
+    case OrderResponse::InEffect:
       orders_.onFailed(run.order);
       runs_.erase(place);
       return;
-    case OrderAnswer::Conflict:
+    case OrderResponse::Conflict:
       run.step = Step::Asking;
       return;
-    case OrderAnswer::Fenced:
-    case OrderAnswer::Refused:
+    case OrderResponse::Fenced:
+    case OrderResponse::Refused:
       fail(backend, now);
       return;
   }
--- a/src/gateway_control/weight_rollout.h
+++ b/src/gateway_control/weight_rollout.h
@@ -48,7 +48,7 @@
   std::vector<RolloutAction> due(const std::vector<Backend>& backends, TimePoint now);
   /// @param report empty: the back end did not answer.
   void onReport(const std::string& backend, const std::optional<WeightsReport>& report, TimePoint now);
-  void onAnswer(const std::string& backend, OrderAnswer answer, TimePoint now);
+  void onAnswer(const std::string& backend, OrderResponse answer, TimePoint now);
   /// @return whether an order of this roll-out is under way at some back end.
   bool busy() const { return !runs_.empty(); }
   /// @return whether an order of this roll-out was sent to the back end and has not shown its effect.
--- a/tests/unit/gateway_control/cache_watch_test.cc
+++ b/tests/unit/gateway_control/cache_watch_test.cc
@@ -106,7 +106,7 @@
   WatchedCaches caches;
   caches.answerEmpty("a2");
   CachedPartsPage page;
-  page.turned_away = true;
+  page.rejected = true;
   caches.answer("a1", page);
   CHECK(caches.silences.empty());
 }
--- a/tests/unit/gateway_control/fleet_view_test.cc
+++ b/tests/unit/gateway_control/fleet_view_test.cc
@@ -43,7 +43,7 @@
   draining.draining = true;
   fleet.onListed(draining, kStart + 1s);
   CHECK(stateOf(fleet, "a", kStart + 1s) == EngineState::Leaving);
-  fleet.onWholeList({"a"}, kStart + 2s);
+  fleet.onFullList({"a"}, kStart + 2s);
   CHECK(stateOf(fleet, "b", kStart + 2s) == EngineState::Leaving);
 }
 
@@ -52,16 +52,16 @@
   FleetView fleet;
   fleet.onListed(listed("a"), kStart);
   CHECK(only(fleet, "a", kStart).silent_since == TimePoint{});
-  fleet.onSilent("a", kStart + 1s, kStart + 2s);
+  fleet.onUnresponsive("a", kStart + 1s, kStart + 2s);
   CHECK(only(fleet, "a", kStart + 2s).silent_since == kStart + 1s);
   CHECK(only(fleet, "a", kStart + 2s).view.state == EngineState::Live);
   SECTION("heard") {
-    CHECK(fleet.onHeard("a", kStart + 3s));
-    CHECK_FALSE(fleet.onHeard("a", kStart + 3s));
+    CHECK(fleet.onResponsive("a", kStart + 3s));
+    CHECK_FALSE(fleet.onResponsive("a", kStart + 3s));
     CHECK(only(fleet, "a", kStart + 3s).silent_since == TimePoint{});
   }
   SECTION("repeated, with the first moment kept") {
-    fleet.onSilent("a", kStart + 3s, kStart + 3500ms);
+    fleet.onUnresponsive("a", kStart + 3s, kStart + 3500ms);
     CHECK(only(fleet, "a", kStart + 5s).silent_since == kStart + 1s);
   }
   SECTION("not repeated") {
@@ -75,8 +75,8 @@
   FleetView fleet;
   fleet.onListed(listed("a"), kStart);
   fleet.onListed(listed("b", "10.0.0.2:80"), kStart);
-  fleet.onPlatformTrouble(kStart + 5s);
-  fleet.onWholeList({}, kStart + 6s);
+  fleet.onPlatformFailure(kStart + 5s);
+  fleet.onFullList({}, kStart + 6s);
   CHECK(stateOf(fleet, "a", kStart + 6s) == EngineState::Live);
   fleet.onListed(listed("a"), kStart + 7s);
   CHECK(fleet.nextChange(kStart + 7s) < kStart + 9s);
@@ -127,7 +127,7 @@
   FleetView fleet;
   fleet.onListed(listed("a"), kStart);
   const EngineSlot slot = only(fleet, "a", kStart).view.slot;
-  fleet.onGone("a", kStart);
+  fleet.onRemoved("a", kStart);
   CHECK(fleet.backends(kStart + 31s).empty());
   fleet.onListed(listed("b"), kStart + 32s);
   CHECK(only(fleet, "b", kStart + 32s).view.slot != slot);
@@ -142,9 +142,9 @@
   store.is_kv_store = true;
   fleet.onListed(store, kStart);
   fleet.onListed(listed("a"), kStart);
-  fleet.onWholeList({"a"}, kStart + 1s);
+  fleet.onFullList({"a"}, kStart + 1s);
   CHECK(stateOf(fleet, "store", kStart + 2s) == EngineState::Live);
   CHECK(only(fleet, "store", kStart + 2s).is_kv_store);
-  fleet.onGone("store", kStart + 3s);
+  fleet.onRemoved("store", kStart + 3s);
   CHECK(stateOf(fleet, "store", kStart + 3s) == EngineState::Leaving);
 }
--- a/tests/unit/gateway_control/gateway_admin_test.cc
+++ b/tests/unit/gateway_control/gateway_admin_test.cc
@@ -163,7 +163,7 @@
 TEST_CASE("a gateway's status names its members and its part of the fleet", "[gateway][admin]") {
   AdminFixture fixture;
   CHECK(fixture.get("/healthz").status == 503);
-  fixture.platform.news.on_configuration([] {
+  fixture.platform.platform_callbacks.on_configuration([] {
     auto configuration = std::make_shared<Configuration>();
     configuration->version = 12;
     return configuration;
@@ -172,8 +172,8 @@
   listed.id = "b1";
   listed.pool = "lm";
   listed.address = "127.0.0.1:9";
-  fixture.platform.news.on_backend(listed);
-  fixture.platform.news.on_contact(SteadyClock().now());
+  fixture.platform.platform_callbacks.on_backend(listed);
+  fixture.platform.platform_callbacks.on_contact(SteadyClock().now());
   while (!fixture.process.ready() || fixture.control.status().backends.empty()) {
     fixture.context.run_one_for(std::chrono::milliseconds(10));
   }
@@ -195,6 +195,6 @@
 TEST_CASE("traffic hears from the control side that open connections have gone silent",
           "[gateway][silent_connections]") {
   AdminFixture fixture;
-  fixture.platform.news.on_connections_silent();
+  fixture.platform.platform_callbacks.on_connections_silent();
   CHECK(fixture.silences == 1);
 }
--- a/tests/unit/gateway_control/list_pause_test.cc
+++ b/tests/unit/gateway_control/list_batch_delay_test.cc
@@ -1,4 +1,4 @@
-#include "gateway_control/list_pause.h"
+#include "gateway_control/list_batch_delay.h"
 
 #include <catch2/catch.hpp>
 
@@ -8,8 +8,8 @@
 
 TEST_CASE("a larger fleet gathers changes of the list longer, within half of what a departure allows",
           "[list_pause]") {
-  CHECK(listPause(1, 2s) == 25ms);
-  CHECK(listPause(8, 2s) == 200ms);
-  CHECK(listPause(69, 3s) == 1500ms);
-  CHECK(listPause(340, 2s) == 1s);
+  CHECK(listBatchDelay(1, 2s) == 25ms);
+  CHECK(listBatchDelay(8, 2s) == 200ms);
+  CHECK(listBatchDelay(69, 3s) == 1500ms);
+  CHECK(listBatchDelay(340, 2s) == 1s);
 }
--- a/tests/unit/gateway_control/order_giver_test.cc
+++ b/tests/unit/gateway_control/order_giver_test.cc
@@ -30,14 +30,14 @@
   void readWeights(const std::string&, std::function<void(std::optional<WeightsReport>)> done) override {
     reports.push_back(std::move(done));
   }
-  void sendOrder(const WeightsOrder& order, std::function<void(OrderAnswer)> done) override {
+  void sendOrder(const WeightsOrder& order, std::function<void(OrderResponse)> done) override {
     orders.push_back(order);
     order_answers.push_back(std::move(done));
   }
 
   std::vector<std::function<void(std::optional<WeightsReport>)>> reports;
   std::vector<WeightsOrder> orders;
-  std::vector<std::function<void(OrderAnswer)>> order_answers;
+  std::vector<std::function<void(OrderResponse)>> order_answers;
 
 private:
   boost::asio::io_context& context_;
--- a/tests/unit/gateway_control/platform_link_fake.h
+++ b/tests/unit/gateway_control/platform_link_fake.h
@@ -1,5 +1,6 @@
 #pragma once
-/// @file A platform that answers nothing by itself: tests tell its news and answer its calls by hand.
+/// @file A platform that answers nothing by itself: tests tell its platform_callbacks and answer its calls by
+/// hand.
 
 #include <map>
 #include <string>
@@ -11,9 +12,9 @@
 
 class FakePlatformLink : public PlatformLink {
 public:
-  void start(PlatformNews told) override { news = std::move(told); }
+  void start(PlatformCallbacks told) override { platform_callbacks = std::move(told); }
   void onWake() override { ++wakes; }
-  void setListPause(Duration pause) override { list_pause = pause; }
+  void setListBatchDelay(Duration pause) override { list_batch_delay = pause; }
   void setReaders(std::vector<std::string> addresses) override { readers = std::move(addresses); }
   void readLease(const std::string&, std::function<void(std::optional<LeaseRow>)>) override {}
   void writeLease(const std::string&, const LeaseRow&, std::uint64_t,
@@ -34,7 +35,7 @@
     for (auto& done : std::exchange(record_reads, {})) done(answer);
   }
   void readWeights(const std::string&, std::function<void(std::optional<WeightsReport>)>) override {}
-  void sendOrder(const WeightsOrder&, std::function<void(OrderAnswer)>) override {}
+  void sendOrder(const WeightsOrder&, std::function<void(OrderResponse)>) override {}
   void readCacheEvents(const std::string& address, std::uint64_t, Duration wait,
                        std::function<void(CachedPartsPage)> done) override {
     events_calls[address] = std::move(done);
@@ -42,12 +43,12 @@
   }
   void readCacheContent(const std::string&, std::function<void(CachedPartsPage)>) override {}
 
-  PlatformNews news;
+  PlatformCallbacks platform_callbacks;
   int wakes = 0;
   StoredRecord record;
   std::vector<std::function<void(const std::optional<StoredRecord>&)>> record_reads;
   std::vector<std::function<void(bool)>> record_writes;
-  Duration list_pause{0};
+  Duration list_batch_delay{0};
   std::vector<std::string> readers;
   std::map<std::string, std::function<void(CachedPartsPage)>> events_calls;  ///< That wait, by address.
   std::map<std::string, Duration> events_waits;                              ///< As asked for last.
--- a/tests/unit/gateway_control/reader_choice_test.cc
+++ b/tests/unit/gateway_control/reader_selector_test.cc
@@ -1,4 +1,4 @@
-#include "gateway_control/reader_choice.h"
+#include "gateway_control/reader_selector.h"
 
 #include <catch2/catch.hpp>
 #include <set>
@@ -12,13 +12,13 @@
 }
 
 TEST_CASE("without readers a gateway asks the platform", "[reader_choice]") {
-  ReaderChoice choice(1);
+  ReaderSelector choice(1);
   CHECK(choice.readsPlatform());
-  CHECK(choice.next(kNow).kind == ReadFrom::Kind::Platform);
+  CHECK(choice.next(kNow).kind == ReadTarget::Kind::Platform);
 }
 
 TEST_CASE("the first reader that has not failed of late is asked", "[reader_choice]") {
-  ReaderChoice choice(1);
+  ReaderSelector choice(1);
   choice.setReaders({"a", "b"});
   CHECK_FALSE(choice.readsPlatform());
   CHECK(choice.next(kNow).address == "a");
@@ -28,29 +28,29 @@
 }
 
 TEST_CASE("while all readers fail the platform is asked now and then", "[reader_choice]") {
-  ReaderChoice choice(1);
+  ReaderSelector choice(1);
   choice.setReaders({"a", "b"});
   int asked = 0;
   TimePoint now = kNow;
   for (; now < kNow + 30s; now += 100ms) {
     choice.onFailed("a", now);
     choice.onFailed("b", now);
-    if (choice.next(now).kind == ReadFrom::Kind::Platform) ++asked;
+    if (choice.next(now).kind == ReadTarget::Kind::Platform) ++asked;
   }
   CHECK(asked >= 7);
   CHECK(asked <= 20);
-  CHECK(choice.next(now + 2s).kind == ReadFrom::Kind::Gateway);
+  CHECK(choice.next(now + 2s).kind == ReadTarget::Kind::Gateway);
 }
 
 TEST_CASE("gateways whose readers all fail do not ask the platform in step", "[reader_choice]") {
   std::set<Duration> second_asks;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    ReaderChoice choice(seed);
+    ReaderSelector choice(seed);
     choice.setReaders({"a"});
     int asked = 0;
     for (TimePoint now = kNow; asked < 2; now += 50ms) {
       choice.onFailed("a", now);
-      if (choice.next(now).kind != ReadFrom::Kind::Platform) continue;
+      if (choice.next(now).kind != ReadTarget::Kind::Platform) continue;
       if (++asked == 2) second_asks.insert(now - kNow);
     }
   }
@@ -59,7 +59,7 @@
 
 TEST_CASE("a reader whose answer is late is passed over for a moment, not for as long as one that failed",
           "[reader_choice]") {
-  ReaderChoice choice(1);
+  ReaderSelector choice(1);
   choice.setReaders({"a", "b"});
   choice.onLate("a", kNow);
   CHECK(choice.next(kNow).address == "b");
@@ -74,18 +74,18 @@
 }
 
 TEST_CASE("while all readers fail a platform that answers is asked on", "[reader_choice]") {
-  ReaderChoice choice(1);
+  ReaderSelector choice(1);
   choice.setReaders({"a", "b"});
   choice.onFailed("a", kNow);
   choice.onFailed("b", kNow);
-  REQUIRE(choice.next(kNow).kind == ReadFrom::Kind::Platform);
+  REQUIRE(choice.next(kNow).kind == ReadTarget::Kind::Platform);
   // Not known to answer yet: others may be asking it, too.
-  CHECK(choice.next(kNow).kind == ReadFrom::Kind::Nobody);
+  CHECK(choice.next(kNow).kind == ReadTarget::Kind::None);
   choice.onPlatformAnswer(true);
-  CHECK(choice.next(kNow + 10ms).kind == ReadFrom::Kind::Platform);
-  CHECK(choice.next(kNow + 1s).kind == ReadFrom::Kind::Platform);
+  CHECK(choice.next(kNow + 10ms).kind == ReadTarget::Kind::Platform);
+  CHECK(choice.next(kNow + 1s).kind == ReadTarget::Kind::Platform);
   choice.onPlatformAnswer(false);
-  CHECK(choice.next(kNow + 1s).kind == ReadFrom::Kind::Nobody);
+  CHECK(choice.next(kNow + 1s).kind == ReadTarget::Kind::None);
   choice.onPlatformAnswer(true);
-  CHECK(choice.next(kNow + 2100ms).kind == ReadFrom::Kind::Gateway);
+  CHECK(choice.next(kNow + 2100ms).kind == ReadTarget::Kind::Gateway);
 }
--- a/tests/unit/gateway_control/serving_set_test.cc
+++ b/tests/unit/gateway_control/serving_set_test.cc
@@ -44,7 +44,7 @@
 
   /// Lets time pass; those that serve and are not mute tell so.
   void run(Duration time) {
-    for (const TimePoint end = now + time; now < end; now += kServingLook) {
+    for (const TimePoint end = now + time; now < end; now += kServingRefreshInterval) {
       for (const std::string& name : set.serving()) {
         if (!mute.contains(name)) set.onNotice(name, notices[name], now);
       }
@@ -66,10 +66,10 @@
 
 TEST_CASE("in a small fleet all gateways serve", "[serving_set]") {
   Fleet fleet(2, 2);
-  CHECK(fleet.set.everyoneServes());
+  CHECK(fleet.set.allServe());
   for (const auto& [name, record] : fleet.members) CHECK(fleet.serves(name));
   Fleet larger(2, 3);
-  CHECK_FALSE(larger.set.everyoneServes());
+  CHECK_FALSE(larger.set.allServe());
 }
 
 TEST_CASE("the strongest gateways of each zone serve", "[serving_set]") {
@@ -142,7 +142,7 @@
   }
   fleet.run(1'200ms);  // No longer heard by now, and silence is not concluded.
   for (int step = 0; step < 30; ++step) {
-    fleet.now += kServingLook;
+    fleet.now += kServingRefreshInterval;
     fleet.set.onNotice(kOwn, {}, fleet.now);
     fleet.set.refresh(fleet.now);
   }
--- a/tests/unit/gateway_control/table_relay_test.cc
+++ b/tests/unit/gateway_control/table_relay_test.cc
@@ -36,7 +36,7 @@
 
   void wait(std::uint64_t after, Duration time) {
     answer.reset();
-    asking.waitForChanges("op", after, time, [this](TableAnswer given) { answer = std::move(given); });
+    asking.waitForChanges("op", after, time, [this](TableResponse given) { answer = std::move(given); });
   }
 
   template <typename Condition>
@@ -54,14 +54,14 @@
   TableRelay reader{context.get_executor(), *client, store, 1};
   TableRelay asking{context.get_executor(), *client, store, 2};
   std::string reader_address;
-  std::optional<TableAnswer> answer;
+  std::optional<TableResponse> answer;
 };
 
 }  // namespace
 
 TEST_CASE("a gateway that stands by reads the table from one that serves", "[table_relay]") {
   TwoGateways pair;
-  pair.asking.read("op", "", [&pair](TableAnswer given) { pair.answer = std::move(given); });
+  pair.asking.read("op", "", [&pair](TableResponse given) { pair.answer = std::move(given); });
   pair.runUntil([&] { return pair.answer.has_value(); });
   CHECK(pair.answer->outcome == TableOutcome::Done);
   CHECK(pair.answer->version == 7);
@@ -118,7 +118,7 @@
   CHECK(pair.answer->outcome != TableOutcome::Done);
   pair.wait(6, 0s);
   pair.runUntil([&] { return pair.answer.has_value(); });
-  CHECK(pair.answer->outcome == TableOutcome::HistoryGone);
+  CHECK(pair.answer->outcome == TableOutcome::HistoryCompacted);
   CHECK(pair.store.calls == 0);
 }
 
@@ -133,7 +133,7 @@
   CHECK(pair.store.calls == 1);
   pair.wait(7, 5s);
   REQUIRE(pair.answer);
-  CHECK(pair.answer->outcome == TableOutcome::NotDone);
+  CHECK(pair.answer->outcome == TableOutcome::Rejected);
   CHECK(pair.store.calls == 1);
 }
 
@@ -174,7 +174,7 @@
   pair.reader.setReaders({"127.0.0.1:9"});
   pair.wait(7, 0s);
   pair.runUntil([&] { return pair.answer.has_value(); });
-  CHECK(pair.answer->outcome == TableOutcome::NotDone);
+  CHECK(pair.answer->outcome == TableOutcome::Rejected);
 }
 
 TEST_CASE("a question whose asker is gone is dropped", "[table_relay]") {
@@ -214,7 +214,7 @@
 
 TEST_CASE("the store itself is asked on a new connection after a late answer", "[table_relay]") {
   TwoGateways pair;
-  pair.reader.waitForChanges("op", 7, 5s, [](const TableAnswer&) {});
+  pair.reader.waitForChanges("op", 7, 5s, [](const TableResponse&) {});
   CHECK(pair.store.late == 0);
   pair.reader.onLate("op");
   CHECK(pair.store.late == 1);
--- a/tests/unit/gateway_control/weight_rollout_test.cc
+++ b/tests/unit/gateway_control/weight_rollout_test.cc
@@ -93,8 +93,8 @@
       runner.loading = action.version;
       runner.loaded_at = now + 600ms;
     }
-    const OrderAnswer answer = taken ? OrderAnswer::Begun : OrderAnswer::Conflict;
-    rollout.onAnswer(runner.id, lost ? OrderAnswer::Unknown : answer, now);
+    const OrderResponse answer = taken ? OrderResponse::Begun : OrderResponse::Conflict;
+    rollout.onAnswer(runner.id, lost ? OrderResponse::Unknown : answer, now);
   }
 
   double lost_;
--- a/tests/unit/platform/runner_entries_test.cc
+++ b/tests/unit/platform/runner_entries_test.cc
@@ -48,12 +48,12 @@
   }
 
   void start() {
-    gateway::PlatformNews news;
+    gateway::PlatformCallbacks news;
     news.on_configuration = [this](const auto& configuration) { version = configuration->version; };
     news.on_weights = [](const auto&) {};
     news.on_backend = [this](const gateway::ListedBackend& listed) { listed_at[listed.address] = listed.id; };
-    news.on_backend_gone = [this](const std::string& id) { forget(id); };
-    news.on_whole_list = [this](const std::vector<std::string>& ids) { ++whole_lists, whole_list = ids; };
+    news.on_backend_removed = [this](const std::string& id) { forget(id); };
+    news.on_full_list = [this](const std::vector<std::string>& ids) { ++whole_lists, whole_list = ids; };
     news.on_contact = [](TimePoint) {};
     news.on_trouble = [this] { ++troubles; };
     news.on_connections_silent = [] {};
--- a/tests/unit/platform/silent_connections_test.cc
+++ b/tests/unit/platform/silent_connections_test.cc
@@ -36,12 +36,12 @@
       : translator_(context.get_executor(), options(store, seed), log_) {}
 
   void start() {
-    gateway::PlatformNews news;
+    gateway::PlatformCallbacks news;
     news.on_configuration = [](const auto&) {};
     news.on_weights = [](const auto&) {};
     news.on_backend = [](const auto&) {};
-    news.on_backend_gone = [](const auto&) {};
-    news.on_whole_list = [](const auto&) {};
+    news.on_backend_removed = [](const auto&) {};
+    news.on_full_list = [](const auto&) {};
     news.on_trouble = [] {};
     news.on_connections_silent = [] {};
     news.on_contact = [this](TimePoint as_of) {
--- a/tests/unit/platform/table_feed_test.cc
+++ b/tests/unit/platform/table_feed_test.cc
@@ -19,7 +19,7 @@
 
 /// A store of one table that answers as a script says.
 struct Store {
-  enum class Mode { Sound, Silent, Refusing, HistoryGone };
+  enum class Mode { Sound, Silent, Refusing, HistoryCompacted };
 
   explicit Store(boost::asio::io_context& context) {
     std::error_code error;
@@ -50,7 +50,8 @@
     if (mode == Mode::Silent) return;
     if (mode == Mode::Refusing) return writer.respond({503, {}, ""});
     const bool feed = request.path() == "/rows-feed";
-    if (feed && std::exchange(mode, Mode::Sound) == Mode::HistoryGone) return writer.respond({410, {}, ""});
+    if (feed && std::exchange(mode, Mode::Sound) == Mode::HistoryCompacted)
+      return writer.respond({410, {}, ""});
     const std::uint64_t after = feed ? std::stoull(request.query("after")) : 0;
     std::string list;
     for (const auto& [key, text] : rows) {
@@ -141,7 +142,7 @@
   // What happened in the gap is not in the feed any more.
   fixture.store.put("b", "2");
   fixture.store.rows.erase("a");
-  fixture.store.mode = Store::Mode::HistoryGone;
+  fixture.store.mode = Store::Mode::HistoryCompacted;
   fixture.runUntil([&] { return fixture.wholes == 2; });
   CHECK(fixture.told == std::map<std::string, std::string>{{"b", "2"}});
 }
@@ -181,8 +182,8 @@
   const auto client = http::makeClient(context.get_executor());
   StoreClient store(*client, "127.0.0.1:" + std::to_string(server->port()));
   const auto write = [&] {
-    std::optional<gateway::TableAnswer> answer;
-    store.write("t", "k", "value", 3, [&answer](gateway::TableAnswer given) { answer = std::move(given); });
+    std::optional<gateway::TableResponse> answer;
+    store.write("t", "k", "value", 3, [&answer](gateway::TableResponse given) { answer = std::move(given); });
     while (!answer) context.run_one_for(100ms);
     return *answer;
   };
@@ -190,11 +191,11 @@
   CHECK(seen.body.find(R"("ver":3)") != std::string::npos);
   status = 412;
   body = R"({"ver":8,"rows":[{"key":"k","value":"","ver":5}]})";
-  const gateway::TableAnswer conflict = write();
+  const gateway::TableResponse conflict = write();
   CHECK(conflict.outcome == gateway::TableOutcome::Conflict);
   CHECK(conflict.rows.at(0).version == 5);
   status = 503;
-  CHECK(write().outcome == gateway::TableOutcome::NotDone);
+  CHECK(write().outcome == gateway::TableOutcome::Rejected);
   status = 200;
   body = "broken";
   CHECK(write().outcome == gateway::TableOutcome::Unknown);
@@ -274,7 +275,7 @@
   explicit Calls(boost::asio::io_context& context)
       : feed(context.get_executor(), *this, "t", 100ms, news(), 1) {
     feed.start();
-    gateway::TableAnswer whole = answerAt(10);
+    gateway::TableResponse whole = answerAt(10);
     std::exchange(read_done, nullptr)(whole);
   }
 
@@ -288,8 +289,8 @@
   }
   void onLate(const std::string&) override { ++late; }
 
-  static gateway::TableAnswer answerAt(std::uint64_t version) {
-    gateway::TableAnswer answer;
+  static gateway::TableResponse answerAt(std::uint64_t version) {
+    gateway::TableResponse answer;
     answer.outcome = gateway::TableOutcome::Done;
     answer.version = version;
     return answer;
