--- a/src/gateway_control/fleet_view.cc
+++ b/src/gateway_control/fleet_view.cc
@@ -12,20 +12,20 @@
 
 /// After trouble of the platform an entry that vanished is believed to be gone only this much later, so that
 /// a sound back end has written it again.
-constexpr Duration kTroubleRest = std::chrono::milliseconds(2'800);
-/// A back end that is gone is forgotten this much later; its runs may still go on.
-constexpr Duration kForgetAfter = std::chrono::seconds(30);
-constexpr Duration kFirstAvoidance = std::chrono::milliseconds(500);
-constexpr Duration kLongestAvoidance = std::chrono::seconds(4);
+constexpr Duration kPlatformFailureGrace = std::chrono::milliseconds(2'800);
+/// A back end that is gone is expired this much later; its runs may still go on.
+constexpr Duration kRetention = std::chrono::seconds(30);
+constexpr Duration kInitialAvoidance = std::chrono::milliseconds(500);
+constexpr Duration kMaxAvoidance = std::chrono::seconds(4);
 /// A failure this long after the one before starts the count anew.
-constexpr Duration kFailuresInARow = std::chrono::seconds(10);
+constexpr Duration kFailureStreakTimeout = std::chrono::seconds(10);
 /// Silence counts for so long after it was last told: the follower of the cache asks about every 0.9 s.
-constexpr Duration kSilenceLifetime = std::chrono::milliseconds(2'000);
+constexpr Duration kUnresponsiveLifetime = std::chrono::milliseconds(2'000);
 /// Lists lag: an older version in one within this time of a learned version is not believed.
 constexpr Duration kListLag = std::chrono::seconds(3);
 
 /// Raises a listed version to the one that was learned before the list.
-void keepNewer(LoadedModel& loaded, const std::vector<LoadedModel>& held) {
+void keepNewerVersion(LoadedModel& loaded, const std::vector<LoadedModel>& held) {
   for (const LoadedModel& before : held) {
     const bool newer = weightsNumber(before.weights_version) > weightsNumber(loaded.weights_version);
     if (before.model == loaded.model && newer) loaded.weights_version = before.weights_version;
@@ -79,9 +79,9 @@
   const std::vector<LoadedModel> held = std::exchange(view.models, listed.models);
   const bool list_lags = now - entry.weights_learned_at < kListLag && !added;
   if (list_lags) {
-    for (LoadedModel& loaded : view.models) keepNewer(loaded, held);
+    for (LoadedModel& loaded : view.models) keepNewerVersion(loaded, held);
   }
-  noteListedWeights(entry, held);
+  recordListedWeights(entry, held);
 }
 
 void FleetView::raiseWeights(Entry& entry, const std::string& model, const std::string& version,
@@ -94,7 +94,7 @@
   }
 }
 
-void FleetView::noteListedWeights(const Entry& entry, const std::vector<LoadedModel>& held) {
+void FleetView::recordListedWeights(const Entry& entry, const std::vector<LoadedModel>& held) {
   const EngineView& view = entry.backend.view;
   for (const LoadedModel& before : held) {
     const std::string version = view.weightsOf(before.model);
@@ -113,8 +113,9 @@
   Entry& entry = place->second;
   entry.listed = false;
   entry.unlisted_at = now;
-  const bool doubtful = had_trouble_ && now - trouble_at_ < kTroubleRest && !entry.draining;
-  entry.gone_from = doubtful ? trouble_at_ + kTroubleRest : now;
+  const bool doubtful =
+      platform_has_failed_ && now - platform_failed_at_ < kPlatformFailureGrace && !entry.draining;
+  entry.leaving_from = doubtful ? platform_failed_at_ + kPlatformFailureGrace : now;
 }
 
 void FleetView::onFullList(const std::vector<std::string>& ids, TimePoint now) {
@@ -127,34 +128,34 @@
 }
 
 void FleetView::onPlatformFailure(TimePoint now) {
-  had_trouble_ = true;
-  trouble_at_ = now;
+  platform_has_failed_ = true;
+  platform_failed_at_ = now;
   for (auto& [id, entry] : entries_) {
-    if (!entry.listed && now < entry.gone_from) entry.gone_from = now + kTroubleRest;
+    if (!entry.listed && now < entry.leaving_from) entry.leaving_from = now + kPlatformFailureGrace;
   }
 }
 
 void FleetView::onUnreachable(EngineSlot slot, std::uint64_t incarnation, TimePoint now) {
   Entry* entry = findSlot(slot, incarnation);
   if (entry == nullptr || now < entry->avoided_until) return;
-  entry->failures = now - entry->last_failure < kFailuresInARow ? entry->failures + 1 : 1;
+  entry->failures = now - entry->last_failure < kFailureStreakTimeout ? entry->failures + 1 : 1;
   entry->last_failure = now;
   const std::uint32_t doublings = std::min<std::uint32_t>(entry->failures - 1, 8);
-  entry->avoided_until = now + std::min(kLongestAvoidance, kFirstAvoidance * (1U << doublings));
+  entry->avoided_until = now + std::min(kMaxAvoidance, kInitialAvoidance * (1U << doublings));
 }
 
 void FleetView::onUnresponsive(const std::string& id, TimePoint since, TimePoint now) {
   const auto place = entries_.find(id);
   if (place == entries_.end()) return;
   Entry& entry = place->second;
-  if (now >= entry.silent_until) entry.silent_since = since;
-  entry.silent_until = now + kSilenceLifetime;
+  if (now >= entry.unresponsive_until) entry.silent_since = since;
+  entry.unresponsive_until = now + kUnresponsiveLifetime;
 }
 
 bool FleetView::onResponsive(const std::string& id, TimePoint now) {
   const auto place = entries_.find(id);
-  if (place == entries_.end() || now >= place->second.silent_until) return false;
-  place->second.silent_until = now;
+  if (place == entries_.end() || now >= place->second.unresponsive_until) return false;
+  place->second.unresponsive_until = now;
   return true;
 }
 
@@ -202,10 +203,11 @@
   return place != newest_at_address_.end() && place->second != entry.backend.view.name;
 }
 
-FleetView::JudgedState FleetView::judge(const Entry& entry, TimePoint now) const {
+FleetView::EvaluatedState FleetView::evaluate(const Entry& entry, TimePoint now) const {
   if (superseded(entry)) return {EngineState::Dead, "address_taken_over", StateSource::list};
   if (entry.draining) return {EngineState::Leaving, "draining", StateSource::list};
-  if (!entry.listed && now >= entry.gone_from) return {EngineState::Leaving, "unlisted", StateSource::list};
+  if (!entry.listed && now >= entry.leaving_from)
+    return {EngineState::Leaving, "unlisted", StateSource::list};
   if (now < entry.loading_until && entry.backend.is_kv_store) {
     return {EngineState::Ejected, "silent", StateSource::report};
   }
@@ -220,21 +222,20 @@
 std::vector<Backend> FleetView::backends(TimePoint now) {
   std::erase_if(entries_, [this, now](const auto& item) {
     const Entry& entry = item.second;
-    const bool forgotten =
-        !entry.listed && now - std::max(entry.gone_from, entry.unlisted_at) >= kForgetAfter;
-    if (forgotten) slots_.free(entry.backend.view.slot, now);
-    return forgotten;
+    const bool expired = !entry.listed && now - std::max(entry.leaving_from, entry.unlisted_at) >= kRetention;
+    if (expired) slots_.free(entry.backend.view.slot, now);
+    return expired;
   });
   std::vector<Backend> backends;
   backends.reserve(entries_.size());
   for (auto& [id, entry] : entries_) {
-    const auto [state, cause, source] = judge(entry, now);
+    const auto [state, cause, source] = evaluate(entry, now);
     if (state != entry.last_state) {
       changes_.push_back({id, entry.backend.view.pool, entry.last_state, state, cause, source});
       entry.last_state = state;
     }
     entry.backend.view.state = state;
-    entry.backend.silent_since = now < entry.silent_until ? entry.silent_since : TimePoint{};
+    entry.backend.silent_since = now < entry.unresponsive_until ? entry.silent_since : TimePoint{};
     backends.push_back(entry.backend);
   }
   std::sort(backends.begin(), backends.end(),
@@ -245,10 +246,10 @@
 TimePoint FleetView::nextChange(TimePoint now) const {
   TimePoint next = TimePoint::max();
   for (const auto& [id, entry] : entries_) {
-    for (const TimePoint at : {entry.avoided_until, entry.loading_until, entry.silent_until}) {
+    for (const TimePoint at : {entry.avoided_until, entry.loading_until, entry.unresponsive_until}) {
       if (at > now) next = std::min(next, at);
     }
-    if (!entry.listed && entry.gone_from > now) next = std::min(next, entry.gone_from);
+    if (!entry.listed && entry.leaving_from > now) next = std::min(next, entry.leaving_from);
   }
   return next;
 }
--- a/src/gateway_control/fleet_view.h
+++ b/src/gateway_control/fleet_view.h
@@ -21,7 +21,7 @@
   own_traffic,   ///< Requests that this gateway sent.
   report,        ///< The back end's report, to this gateway or to another one that told it on.
   order,         ///< An order to load weights, by this gateway or another one.
-  elapsed_time,  ///< What held before has run out.
+  elapsed_time,  ///< What previous_models before has run out.
 };
 
 /// @return the source as it stands in logs.
@@ -86,33 +86,33 @@
     bool listed = true;
     bool draining = false;
     TimePoint unlisted_at{};
-    TimePoint gone_from{};       ///< When an unlisted back end counts as leaving.
+    TimePoint leaving_from{};    ///< When an unlisted back end counts as leaving.
     TimePoint avoided_until{};   ///< Traffic failed to reach it.
     std::uint32_t failures = 0;  ///< In a row.
     TimePoint last_failure{};
     TimePoint loading_until{};
     TimePoint silent_since{};
-    TimePoint silent_until{};  ///< When the last word of its silence is too old to count.
+    TimePoint unresponsive_until{};  ///< When the last word of its silence is too old to count.
     TimePoint weights_learned_at{};
     EngineState last_state = EngineState::Dead;
   };
 
   Entry* findSlot(EngineSlot slot, std::uint64_t incarnation);
   /// A state with what it rests on.
-  struct JudgedState {
+  struct EvaluatedState {
     EngineState state = EngineState::Live;
     std::string_view cause;
     StateSource source = StateSource::list;
   };
-  JudgedState judge(const Entry& entry, TimePoint now) const;
+  EvaluatedState evaluate(const Entry& entry, TimePoint now) const;
   bool superseded(const Entry& entry) const;
   void raiseWeights(Entry& entry, const std::string& model, const std::string& version, StateSource source);
-  void noteListedWeights(const Entry& entry, const std::vector<LoadedModel>& held);
+  void recordListedWeights(const Entry& entry, const std::vector<LoadedModel>& previous_models);
 
   std::map<std::string, Entry> entries_;
   std::map<std::string, std::string> newest_at_address_;  ///< Address to the id listed there last.
-  TimePoint trouble_at_{};
-  bool had_trouble_ = false;
+  TimePoint platform_failed_at_{};
+  bool platform_has_failed_ = false;
   SlotPool slots_;
   std::vector<FleetChange> changes_;
   std::vector<WeightsChange> weights_changes_;
--- a/src/gateway_control/gateway_control.cc
+++ b/src/gateway_control/gateway_control.cc
@@ -17,15 +17,15 @@
 
 /// Changes within this time are published together: a publication copies the list of back ends, so that the
 /// time grows with the list.
-constexpr Duration kLeastPublishDelay = std::chrono::milliseconds(5);
+constexpr Duration kMinPublishDelay = std::chrono::milliseconds(5);
 constexpr Duration kPublishDelayPerBackend = std::chrono::microseconds(300);
 /// A back end that got an order takes no new request for about as long as a load lasts.
 constexpr Duration kLoadingTime = std::chrono::milliseconds(1'500);
 /// Weights found at the start have to be in use this much later at the latest.
 constexpr Duration kWeightsFoundMargin = std::chrono::milliseconds(4'500);
 /// Longest time between two publications that check what time alone changes.
-constexpr Duration kLongestPause = std::chrono::seconds(5);
-constexpr Duration kPauseUntilKnown = std::chrono::milliseconds(100);
+constexpr Duration kMaxPublishInterval = std::chrono::seconds(5);
+constexpr Duration kPublishIntervalAtStart = std::chrono::milliseconds(100);
 
 std::uint32_t milliseconds(Duration duration) {
   return static_cast<std::uint32_t>(std::chrono::duration_cast<std::chrono::milliseconds>(duration).count());
@@ -41,22 +41,23 @@
 
 /// Processor time that a request takes, seconds: half of what 69 gateways spent a request on a standard day
 /// of voltpath-bc-grown when each of them followed caches and told its work (162 s for 40,166 requests).
-constexpr double kProcessorPerRequest = 0.002;
+constexpr double kProcessorSecondsPerRequest = 0.002;
 /// Bits that a request moves over a machine's link in the heavier direction: its body of 10 KB goes in and
 /// out, its answer of some KB too.
 constexpr double kLinkBitsPerRequest = 200'000;
 
 /// @return requests a second that the machine can carry by its processor and its link.
 std::uint32_t capacityOf(const NodeSettings& settings) {
-  const double by_processor = settings.processor_share * settings.processor_speed / kProcessorPerRequest;
+  const double by_processor =
+      settings.processor_share * settings.processor_speed / kProcessorSecondsPerRequest;
   const double by_link = settings.link_megabits_per_second * 1e6 / kLinkBitsPerRequest;
   return static_cast<std::uint32_t>(std::max(1.0, std::min(by_processor, by_link)));
 }
 
 ServingOptions servingOptions(const NodeSettings& settings) {
   ServingOptions options;
-  options.least_in_zone = settings.serving_least_in_zone;
-  options.everyone_up_to = settings.serving_all_up_to;
+  options.min_per_zone = settings.serving_least_in_zone;
+  options.all_serve_up_to = settings.serving_all_up_to;
   return options;
 }
 
@@ -109,15 +110,15 @@
   contact_->vouch(now());
   member_added_at_ = now();
   if (const std::error_code error = gossip_.start()) return error;
-  platform_.start(platformNews());
-  lookAtServing();
+  platform_.start(platformCallbacks());
+  refreshServing();
   crashes_.onTimer({}, now());
   pumpCrashes();
   watchForSuspension();
   return {};
 }
 
-PlatformCallbacks GatewayControl::platformNews() {
+PlatformCallbacks GatewayControl::platformCallbacks() {
   PlatformCallbacks news;
   news.on_configuration = [this](std::shared_ptr<const Configuration> configuration) {
     onConfiguration(std::move(configuration));
@@ -125,7 +126,7 @@
   news.on_weights = [this](NamedWeights named) {
     named.named_at = now();
     // What was found at the start was named an unknown time before.
-    if (!told_once_) named.named_at -= settings_.weights_limit - kWeightsFoundMargin;
+    if (!initial_state_received_) named.named_at -= settings_.weights_limit - kWeightsFoundMargin;
     if (!orders_.onNamed(named)) return;
     log_.write(EventId::WeightsNamed, {{"model", named.model},
                                        {"version", named.version},
@@ -145,7 +146,7 @@
     schedulePublish();
   };
   news.on_contact = [this](TimePoint as_of) { onContact(as_of); };
-  news.on_trouble = [this] { onTrouble(); };
+  news.on_trouble = [this] { onPlatformFailure(); };
   news.on_connections_silent = [this] { onConnectionsSilent(); };
   return news;
 }
@@ -154,9 +155,9 @@
   OrderGiverCallbacks callbacks;
   callbacks.backends = [this] { return backends_; };
   callbacks.rank = [this] { return rank(); };
-  callbacks.holder_alive = [this](const std::string& holder) { return memberLives(holder); };
+  callbacks.holder_alive = [this](const std::string& holder) { return isMemberLive(holder); };
   callbacks.on_report = [this](const std::string& backend, const WeightsReport& report, bool loading) {
-    onReport(backend, report, loading);
+    onWeightsReport(backend, report, loading);
   };
   callbacks.on_loading = [this](const std::string& backend) { onLoading(backend); };
   return callbacks;
@@ -173,7 +174,7 @@
 void GatewayControl::onBackendNote(const BackendNote& note) {
   if (note.silent_milliseconds > 0 || note.heard) return onSilenceNote(note);
   orders_.onOthersActive();
-  onNote(note);
+  applyBackendNote(note);
 }
 
 void GatewayControl::onMembersChanged() {
@@ -196,8 +197,8 @@
     if (!present.contains(name)) logMember(member, memberStateName(member.state), "dead");
   }
   members_ = std::move(present);
-  noteServing(serving_.onMembers(gossip_.members(), now()));
-  nameReaders();
+  onServingRefreshed(serving_.onMembers(gossip_.members(), now()));
+  updateReaders();
   schedulePublish();
 }
 
@@ -224,18 +225,18 @@
 
 void GatewayControl::onContact(TimePoint as_of) {
   contact_->vouch(as_of);
-  told_once_ = true;
-  if (!std::exchange(reachable_, true)) {
+  initial_state_received_ = true;
+  if (!std::exchange(platform_reachable_, true)) {
     log_.write(EventId::PlatformReachable,
-               {{"service", "store"}, {"unreachable_ms", milliseconds(now() - lost_at_)}});
+               {{"service", "store"}, {"unreachable_ms", milliseconds(now() - unreachable_since_)}});
   }
   if (keysCurrent() != keys_current_) publish();
 }
 
-void GatewayControl::onTrouble() {
+void GatewayControl::onPlatformFailure() {
   fleet_.onPlatformFailure(now());
-  if (std::exchange(reachable_, false)) {
-    lost_at_ = now();
+  if (std::exchange(platform_reachable_, false)) {
+    unreachable_since_ = now();
     log_.write(EventId::PlatformUnreachable,
                {{"service", "store"},
                 {"reason", "no answer"},
@@ -254,18 +255,19 @@
   gossip_.tellAll({{BackendNote{backend, milliseconds(kLoadingTime), "", "", 0, false}}});
 }
 
-void GatewayControl::onReport(const std::string& backend, const WeightsReport& report, bool is_loading) {
+void GatewayControl::onWeightsReport(const std::string& backend, const WeightsReport& report,
+                                     bool is_loading) {
   const Duration loading = is_loading ? kLoadingTime : Duration(0);
   BackendNotes notes;
   for (const LoadedModel& loaded : report.models) {
     const BackendNote note{backend, milliseconds(loading), loaded.model, loaded.weights_version, 0, false};
-    onNote(note);
+    applyBackendNote(note);
     notes.notes.push_back(note);
   }
-  tellPeers(notes);
+  sendToPeers(notes);
 }
 
-void GatewayControl::onNote(const BackendNote& note) {
+void GatewayControl::applyBackendNote(const BackendNote& note) {
   const Duration loading = std::chrono::milliseconds(note.loading_milliseconds);
   fleet_.onLoading(note.name, now() + std::min(loading, kLoadingTime));
   if (!note.model.empty()) fleet_.onWeights(note.name, note.model, note.weights_version, now());
@@ -302,7 +304,7 @@
       }));
 }
 
-bool GatewayControl::memberLives(const std::string& name) const {
+bool GatewayControl::isMemberLive(const std::string& name) const {
   const std::vector<MemberRecord> members = gossip_.members();
   return std::any_of(members.begin(), members.end(), [&name](const MemberRecord& member) {
     return member.name == name && member.state == MemberState::Alive;
@@ -313,7 +315,7 @@
   ControlStatus status;
   status.configuration_version = configuration_ == nullptr ? 0 : configuration_->version;
   status.knowledge_age = now() - contact_->vouchedAt();
-  status.platform_reachable = reachable_;
+  status.platform_reachable = platform_reachable_;
   status.leaving = leaving_;
   status.holds_order_lease = orders_.holding();
   status.orders_sent = orders_.ordersSent();
@@ -346,22 +348,22 @@
   serving_.leave();
   ServingNotice notice;
   notice.leaving = true;
-  if (!serving_.allServe()) tellNotice(notice, true);
+  if (!serving_.allServe()) broadcastNotice(notice, true);
 }
 
 void GatewayControl::schedulePublish() {
-  if (std::exchange(publish_waiting_, true)) return;
+  if (std::exchange(publish_scheduled_, true)) return;
   const Duration wanted = kPublishDelayPerBackend * static_cast<Duration::rep>(backends_.size());
-  publish_timer_.expires_after(std::max(kLeastPublishDelay, wanted));
+  publish_timer_.expires_after(std::max(kMinPublishDelay, wanted));
   publish_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) publish();
   });
 }
 
 void GatewayControl::publish() {
-  publish_waiting_ = false;
+  publish_scheduled_ = false;
   backends_ = fleet_.backends(now());
-  logFleet();
+  logFleetChanges();
   if (std::exchange(keys_current_, keysCurrent()) != keysCurrent()) {
     log_.write(EventId::GatewayKeysOutdated,
                {{"current", keys_current_}, {"age_ms", milliseconds(now() - contact_->vouchedAt())}});
@@ -374,7 +376,7 @@
   snapshot->weights = orders_.named();
   snapshot->own_zone = settings_.zone;
   snapshot->own_region = settings_.region;
-  shareOut(*snapshot);
+  assignShares(*snapshot);
   snapshot->contact = contact_;
   snapshot->key_validity = settings_.key_validity;
   outputs_.publish(std::move(snapshot));
@@ -384,9 +386,9 @@
 }
 
 void GatewayControl::armPublishTimer() {
-  TimePoint next =
-      std::min(now() + (fleet_stable_ ? kLongestPause : kPauseUntilKnown), fleet_.nextChange(now()));
-  if (!crashes_.isSettled(now())) next = std::min(next, now() + kPauseUntilKnown);
+  TimePoint next = std::min(now() + (fleet_stable_ ? kMaxPublishInterval : kPublishIntervalAtStart),
+                            fleet_.nextChange(now()));
+  if (!crashes_.isSettled(now())) next = std::min(next, now() + kPublishIntervalAtStart);
   if (settings_.key_validity && keys_current_) {
     next = std::min(next, contact_->vouchedAt() + *settings_.key_validity);
   }
@@ -396,7 +398,7 @@
   });
 }
 
-void GatewayControl::logFleet() {
+void GatewayControl::logFleetChanges() {
   for (const FleetChange& change : fleet_.takeChanges()) {
     log_.write(EventId::BackendStateChanged, {{"backend", change.id},
                                               {"pool", change.pool},
--- a/src/gateway_control/gateway_control.h
+++ b/src/gateway_control/gateway_control.h
@@ -79,16 +79,16 @@
 
 private:
   TimePoint now() const { return clock_.now(); }
-  PlatformCallbacks platformNews();
+  PlatformCallbacks platformCallbacks();
   OrderGiverCallbacks orderCallbacks();
   void onMembersChanged() override;
   void onBackendNote(const BackendNote& note) override;
-  void onCacheNotes(const std::string& teller, const CacheNotes& notes) override;
-  void onCacheWanted(const std::string& asker, const CacheWanted& wanted) override;
-  void onLoadDigest(const std::string& teller, const LoadDigest& digest) override;
-  void onServingNotice(const std::string& teller, const ServingNotice& notice) override;
+  void onCacheNotes(const std::string& sender, const CacheNotes& notes) override;
+  void onCacheWanted(const std::string& requester, const CacheWanted& wanted) override;
+  void onLoadDigest(const std::string& sender, const LoadDigest& digest) override;
+  void onServingNotice(const std::string& sender, const ServingNotice& notice) override;
   void onCrashNotes(const CrashNotes& notes) override;
-  void onCrashDigest(const std::string& teller, const CrashDigest& digest) override;
+  void onCrashDigest(const std::string& sender, const CrashDigest& digest) override;
   void onCrashRecord(const CrashUpdate& news);
   void pumpCrashes();
   void carryOut(const SendCrashMessage& action);
@@ -106,13 +106,13 @@
   std::vector<std::string> allClientAddresses() const;
   std::vector<std::string> peers() const;
   std::vector<std::string> sharingGateways() const;
-  void tellPeers(const BackendNotes& notes);
-  void lookAtServing();
-  void noteServing(bool changed);
-  void nameReaders();
-  void tellServing();
-  void tellNotice(const ServingNotice& notice, bool whole_fleet);
-  void shareOut(GatewaySnapshot& snapshot) const;
+  void sendToPeers(const BackendNotes& notes);
+  void refreshServing();
+  void onServingRefreshed(bool changed);
+  void updateReaders();
+  void sendServingNotice();
+  void broadcastNotice(const ServingNotice& notice, bool whole_fleet);
+  void assignShares(GatewaySnapshot& snapshot) const;
   void logSilence(const std::string& backend, bool silent, Duration time);
   void listKvStores();
   void tellCachesSoon();
@@ -127,19 +127,19 @@
   void logMember(const MemberRecord& member, std::string_view from, std::string_view to);
   void onConfiguration(std::shared_ptr<const Configuration> configuration);
   void onContact(TimePoint as_of);
-  void onTrouble();
+  void onPlatformFailure();
   void onConnectionsSilent();
   void watchForSuspension();
   void onLoading(const std::string& backend);
-  void onReport(const std::string& backend, const WeightsReport& report, bool is_loading);
-  void onNote(const BackendNote& note);
+  void onWeightsReport(const std::string& backend, const WeightsReport& report, bool is_loading);
+  void applyBackendNote(const BackendNote& note);
   std::size_t rank() const;
-  bool memberLives(const std::string& name) const;
+  bool isMemberLive(const std::string& name) const;
   bool keysCurrent() const;
   void schedulePublish();
   void publish();
   void armPublishTimer();
-  void logFleet();
+  void logFleetChanges();
 
   NodeSettings settings_;
   PlatformLink& platform_;
@@ -159,20 +159,20 @@
   bool fleet_stable_ = false;    ///< A large fleet is known: see fleetIsKnown().
   std::vector<CachedPartsNews> received_cache_updates_;  ///< By other gateways, not yet passed on to traffic.
   std::set<std::string> kv_stores_;                      ///< Ids of those that the configuration names.
-  std::map<std::string, LoadDigest> peer_loads_;  ///< By teller and zone, not yet passed on to traffic.
+  std::map<std::string, LoadDigest> peer_loads_;  ///< By sender and zone, not yet passed on to traffic.
   OwnLoad own_load_;
-  int looks_at_serving_ = 0;             ///< Since the start.
+  int serving_refreshes_ = 0;            ///< Since the start.
   std::map<std::string, bool> follows_;  ///< Whether this gateway follows a back end's cache, among sharing_.
   /// Gateways that share the following of caches; empty: each follows all.
   std::vector<std::string> sharing_;
   std::shared_ptr<const Configuration> configuration_;
   std::shared_ptr<PlatformContact> contact_ = std::make_shared<PlatformContact>();
-  bool told_once_ = false;  ///< The platform has told everything once.
-  bool reachable_ = true;
-  TimePoint lost_at_{};                          ///< When the platform was last lost.
+  bool initial_state_received_ = false;  ///< The platform has told everything once.
+  bool platform_reachable_ = true;
+  TimePoint unreachable_since_{};                ///< When the platform was last lost.
   std::map<std::string, MemberRecord> members_;  ///< As logged last, by name.
   bool leaving_ = false;
-  bool publish_waiting_ = false;
+  bool publish_scheduled_ = false;
   bool keys_current_ = true;
   boost::asio::steady_timer publish_timer_;
   boost::asio::steady_timer change_timer_;
--- a/src/gateway_control/gateway_control_serving.cc
+++ b/src/gateway_control/gateway_control_serving.cc
@@ -19,9 +19,9 @@
 
 /// Of what all gateways may use together, connections to back ends and repeats, the part of those that serve;
 /// the rest is for the others, whom some clients still come to.
-constexpr double kServingPart = 0.7;
+constexpr double kServingShare = 0.7;
 /// Gateways of other zones that one that stands by asks when those of its own fail.
-constexpr std::size_t kReadersElsewhere = 2;
+constexpr std::size_t kReadersInOtherZones = 2;
 
 /// @return by how much what all may use is divided for one of `gateways` that together may use `part` of it.
 std::uint32_t divisor(std::size_t gateways, double part) {
@@ -31,51 +31,51 @@
 
 }  // namespace
 
-void GatewayControl::lookAtServing() {
-  ++looks_at_serving_;
-  noteServing(serving_.refresh(now()));
-  if (looks_at_serving_ % (kNoticeInterval / kServingRefreshInterval) == 0) tellServing();
+void GatewayControl::refreshServing() {
+  ++serving_refreshes_;
+  onServingRefreshed(serving_.refresh(now()));
+  if (serving_refreshes_ % (kNoticeInterval / kServingRefreshInterval) == 0) sendServingNotice();
   serving_timer_.expires_after(kServingRefreshInterval);
   serving_timer_.async_wait([this](boost::system::error_code error) {
-    if (!error) lookAtServing();
+    if (!error) refreshServing();
   });
 }
 
-void GatewayControl::noteServing(bool changed) {
+void GatewayControl::onServingRefreshed(bool changed) {
   if (!changed) return;
-  nameReaders();
+  updateReaders();
   if (serving_.allServe()) return;
   log_.write(EventId::ServingSetChanged,
              {{"serves", serving_.serves(gossip_.ownName())},
               {"gateways", serving_.serving().size()},
               {"zone_requests_per_second", std::lround(serving_.demandOf(settings_.zone))},
-              {"own_zone", fmt::format("{}", fmt::join(serving_.servingIn(settings_.zone), ","))}});
+              {"own_zone", fmt::format("{}", fmt::join(serving_.servingInZone(settings_.zone), ","))}});
   schedulePublish();
 }
 
 /// Those that serve read the platform; one that stands by asks those of its zone, each a different one first,
 /// and then two of other zones.
-void GatewayControl::nameReaders() {
+void GatewayControl::updateReaders() {
   const bool reads = serving_.serves(gossip_.ownName());
   const std::size_t readers = serving_.allServe() ? members_.size() : serving_.serving().size();
   platform_.setListBatchDelay(listBatchDelay(readers, settings_.departure_limit));
   if (reads) return platform_.setReaders({});
   const std::uint64_t own = hashBytes(gossip_.ownName());
-  std::vector<std::string> named = serving_.servingIn(settings_.zone);
+  std::vector<std::string> named = serving_.servingInZone(settings_.zone);
   if (named.empty()) return platform_.setReaders({});
   std::rotate(named.begin(), named.begin() + static_cast<std::ptrdiff_t>(own % named.size()), named.end());
   std::vector<std::string> others;
   for (const std::string& name : serving_.serving()) {
     if (std::find(named.begin(), named.end(), name) == named.end()) others.push_back(name);
   }
-  for (std::size_t index = 0; index < std::min(others.size(), kReadersElsewhere); ++index) {
+  for (std::size_t index = 0; index < std::min(others.size(), kReadersInOtherZones); ++index) {
     named.push_back(others[(own + index) % others.size()]);
   }
   platform_.setReaders(std::move(named));
 }
 
 /// One that serves tells so, and one that stands by and yet has clients.
-void GatewayControl::tellServing() {
+void GatewayControl::sendServingNotice() {
   if (serving_.allServe() || leaving_) return;
   const bool serves = serving_.serves(gossip_.ownName());
   if (!serves && own_load_.requests_per_second < 1) return;
@@ -83,11 +83,11 @@
   notice.requests_per_second = static_cast<std::uint32_t>(std::lround(own_load_.requests_per_second));
   notice.pressed = own_load_.pressed;
   serving_.onNotice(gossip_.ownName(), notice, now());
-  const int notices = looks_at_serving_ / static_cast<int>(kNoticeInterval / kServingRefreshInterval);
-  tellNotice(notice, notices % kNoticesPerWideNotice == 0);
+  const int notices = serving_refreshes_ / static_cast<int>(kNoticeInterval / kServingRefreshInterval);
+  broadcastNotice(notice, notices % kNoticesPerFleetNotice == 0);
 }
 
-void GatewayControl::tellNotice(const ServingNotice& notice, bool whole_fleet) {
+void GatewayControl::broadcastNotice(const ServingNotice& notice, bool whole_fleet) {
   for (const MemberRecord& member : gossip_.members()) {
     const bool lives = member.state != MemberState::Leaving && member.incarnation != 0;
     const bool told = whole_fleet || member.zone == settings_.zone || serving_.serves(member.name);
@@ -95,16 +95,16 @@
   }
 }
 
-void GatewayControl::onServingNotice(const std::string& teller, const ServingNotice& notice) {
-  serving_.onNotice(teller, notice, now());
-  if (notice.leaving) noteServing(serving_.refresh(now()));
+void GatewayControl::onServingNotice(const std::string& sender, const ServingNotice& notice) {
+  serving_.onNotice(sender, notice, now());
+  if (notice.leaving) onServingRefreshed(serving_.refresh(now()));
 }
 
 std::vector<std::string> GatewayControl::clientAddresses(const std::string& zone) const {
   if (serving_.allServe()) return allClientAddresses();
   const std::string port = portOf(settings_.front);
   std::vector<std::string> addresses;
-  for (const std::string& name : serving_.servingIn(zone)) addresses.push_back(hostOf(name) + ":" + port);
+  for (const std::string& name : serving_.servingInZone(zone)) addresses.push_back(hostOf(name) + ":" + port);
   return addresses;
 }
 
@@ -137,11 +137,11 @@
   return names;
 }
 
-void GatewayControl::tellPeers(const BackendNotes& notes) {
+void GatewayControl::sendToPeers(const BackendNotes& notes) {
   for (const std::string& peer : peers()) gossip_.tell(peer, notes);
 }
 
-void GatewayControl::shareOut(GatewaySnapshot& snapshot) const {
+void GatewayControl::assignShares(GatewaySnapshot& snapshot) const {
   if (serving_.allServe()) {
     snapshot.share_divisor =
         static_cast<std::uint32_t>(std::max<std::size_t>(1, allClientAddresses().size()));
@@ -153,7 +153,7 @@
   const bool serves = serving_.serves(gossip_.ownName());
   snapshot.peer_count = static_cast<std::uint32_t>(serves ? serving - 1 : serving);
   snapshot.share_divisor =
-      serves ? divisor(serving, kServingPart) : divisor(live - serving, 1 - kServingPart);
+      serves ? divisor(serving, kServingShare) : divisor(live - serving, 1 - kServingShare);
 }
 
 }  // namespace crankspur::gateway
--- a/src/gateway_control/gateway_control_suspension.cc
+++ b/src/gateway_control/gateway_control_suspension.cc
@@ -8,7 +8,7 @@
 namespace {
 
 /// A wake is noticed within this time; until then only what the clock itself tells is known of it.
-constexpr Duration kSuspensionLook = std::chrono::milliseconds(250);
+constexpr Duration kSuspensionCheckInterval = std::chrono::milliseconds(250);
 
 }  // namespace
 
@@ -23,7 +23,7 @@
     platform_.onWake();
   }
   crashes_.onRunning(now());
-  suspension_timer_.expires_after(kSuspensionLook);
+  suspension_timer_.expires_after(kSuspensionCheckInterval);
   suspension_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) watchForSuspension();
   });
--- a/src/gateway_control/list_batch_delay.cc
+++ b/src/gateway_control/list_batch_delay.cc
@@ -5,16 +5,16 @@
 namespace crankspur::gateway {
 namespace {
 
-constexpr Duration kPausePerGateway = std::chrono::milliseconds(25);
+constexpr Duration kDelayPerGateway = std::chrono::milliseconds(25);
 /// The rest of the limit is for the call, its repetition after a failure, and the publication.
-constexpr double kShareOfLimit = 0.5;
+constexpr double kMaxShareOfLimit = 0.5;
 
 }  // namespace
 
 Duration listBatchDelay(std::size_t gateways, Duration departure_limit) {
   const Duration longest(
-      static_cast<Duration::rep>(static_cast<double>(departure_limit.count()) * kShareOfLimit));
-  return std::min(longest, kPausePerGateway * static_cast<Duration::rep>(gateways));
+      static_cast<Duration::rep>(static_cast<double>(departure_limit.count()) * kMaxShareOfLimit));
+  return std::min(longest, kDelayPerGateway * static_cast<Duration::rep>(gateways));
 }
 
 }  // namespace crankspur::gateway
--- a/src/gateway_control/reader_selector.cc
+++ b/src/gateway_control/reader_selector.cc
@@ -7,9 +7,9 @@
 namespace {
 
 /// A gateway that failed is not asked again for so long: as long as a restart takes.
-constexpr Duration kAvoided = std::chrono::seconds(2);
+constexpr Duration kFailureBackoff = std::chrono::seconds(2);
 /// One whose answer is late: until another one has had time to answer on a new connection.
-constexpr Duration kAvoidedWhenLate = std::chrono::milliseconds(400);
+constexpr Duration kLateBackoff = std::chrono::milliseconds(400);
 /// While all readers fail, and the platform too, a gateway asks the platform itself about this often. Readers
 /// fail together when the platform is down, and then hundreds of gateways would ask it at once.
 constexpr Duration kPlatformInterval = std::chrono::seconds(3);
@@ -29,21 +29,21 @@
   for (const std::string& reader : readers_) {
     if (!avoided_until_.contains(reader)) return {ReadTarget::Kind::Gateway, reader};
   }
-  if (platform_answers_) return {ReadTarget::Kind::Platform, ""};
-  if (now < platform_again_at_) return {ReadTarget::Kind::None, ""};
+  if (platform_responds_) return {ReadTarget::Kind::Platform, ""};
+  if (now < next_platform_read_at_) return {ReadTarget::Kind::None, ""};
   const double share = 0.5 + random_.unit();
-  platform_again_at_ =
+  next_platform_read_at_ =
       now + Duration(static_cast<Duration::rep>(static_cast<double>(kPlatformInterval.count()) * share));
   return {ReadTarget::Kind::Platform, ""};
 }
 
 void ReaderSelector::onFailed(const std::string& address, TimePoint now) {
-  avoided_until_[address] = now + kAvoided;
+  avoided_until_[address] = now + kFailureBackoff;
 }
 
 void ReaderSelector::onLate(const std::string& address, TimePoint now) {
   TimePoint& until = avoided_until_[address];
-  until = std::max(until, now + kAvoidedWhenLate);
+  until = std::max(until, now + kLateBackoff);
   late_at_[address] = now;
 }
 
--- a/src/gateway_control/reader_selector.h
+++ b/src/gateway_control/reader_selector.h
@@ -33,7 +33,7 @@
   /// How a call to the platform itself went. One that answers is asked on while all readers fail: on a day
   /// with a third of the machines cut off from it, gateways whose readers were cut heard it once in 6 s, and
   /// refused callers for outdated keys and by an old configuration.
-  void onPlatformAnswer(bool answered) { platform_answers_ = answered; }
+  void onPlatformResponse(bool answered) { platform_responds_ = answered; }
   /// A gateway did not answer, or with nothing of use.
   void onFailed(const std::string& address, TimePoint now);
   /// The answer of a gateway is late: the connection to it may have gone silent while it is well.
@@ -46,8 +46,8 @@
   std::vector<std::string> readers_;
   std::map<std::string, TimePoint> avoided_until_;
   std::map<std::string, TimePoint> late_at_;  ///< The last time, by address.
-  TimePoint platform_again_at_{};
-  bool platform_answers_ = false;  ///< The last call to it was answered.
+  TimePoint next_platform_read_at_{};
+  bool platform_responds_ = false;  ///< The last call to it was answered.
 };
 
 }  // namespace crankspur::gateway
--- a/src/gateway_control/serving_set.cc
+++ b/src/gateway_control/serving_set.cc
@@ -9,30 +9,30 @@
 namespace crankspur::gateway {
 namespace {
 
-/// A gateway of the own zone that serves and has told nothing for so long is passed over: three notices and
-/// the wait for the next look. Those of other zones are told less often.
-constexpr Duration kOwnZoneSilence = kNoticeInterval * 3 + std::chrono::milliseconds(150);
-constexpr Duration kOtherZoneSilence = kNoticeInterval * kNoticesPerWideNotice * 3;
+/// A gateway of the own zone that serves and has reported nothing for so long is passed over: three notices
+/// and the wait for the next look. Those of other zones are reported less often.
+constexpr Duration kOwnZoneNoticeTimeout = kNoticeInterval * 3 + std::chrono::milliseconds(150);
+constexpr Duration kOtherZoneNoticeTimeout = kNoticeInterval * kNoticesPerFleetNotice * 3;
 /// A gateway that has just come into the set may not know it yet.
-constexpr Duration kFirstNotice = std::chrono::seconds(2);
+constexpr Duration kFirstNoticeTimeout = std::chrono::seconds(2);
 /// What a machine that falls behind alone is taken to carry, and for how long: machines turn slow by five
 /// times and more, for seconds.
-constexpr double kWeakShare = 1.0 / 8;
-constexpr Duration kWeakTime = std::chrono::seconds(5);
+constexpr double kSlowCapacityFactor = 1.0 / 8;
+constexpr Duration kSlowDuration = std::chrono::seconds(5);
 /// The estimate of a zone's traffic rises within seconds and falls in such steps, so that a set that a burst
 /// has widened is still there for the next one.
-constexpr Duration kDemandStep = std::chrono::seconds(5);
-constexpr double kDemandFall = 0.8;
-/// Weight of one look at the traffic told, five a second: a moment's stampede does not widen the set.
+constexpr Duration kDemandDecayInterval = std::chrono::seconds(5);
+constexpr double kDemandDecayFactor = 0.8;
+/// Weight of one look at the traffic reported, five a second: a moment's stampede does not widen the set.
 constexpr double kDemandSmoothing = 0.2;
 /// One that was taken out as unfit comes back no sooner, so that doubt about it does not make it come and go:
 /// each change moves the following of caches.
-constexpr Duration kAbsence = std::chrono::seconds(3);
+constexpr Duration kExclusionTime = std::chrono::seconds(3);
 /// While all serving gateways of a zone are in trouble, its traffic is taken to be so much heavier each
 /// second; the factor falls as slowly as the estimate.
-constexpr Duration kPressureStep = std::chrono::seconds(1);
-constexpr double kPressureRise = 1.4;
-constexpr double kMostPressure = 8;
+constexpr Duration kOverloadStep = std::chrono::seconds(1);
+constexpr double kOverloadGrowth = 1.4;
+constexpr double kMaxOverloadFactor = 8;
 
 }  // namespace
 
@@ -49,23 +49,23 @@
     const bool restarted = gateway.record.incarnation != member.incarnation;
     if (restarted && gateway.notice && gateway.notice->leaving) gateway.notice.reset();
     gateway.record = member;
-    gateway.tie = hashBytes(member.name, hashBytes(member.zone));
+    gateway.tiebreaker = hashBytes(member.name, hashBytes(member.zone));
     if (member.name == own_) own_zone_ = member.zone;
     present.emplace(member.name, std::move(gateway));
   }
   for (auto& [name, gateway] : gateways_) {
-    if (!present.contains(name) && isFresh(gateway, now)) present.emplace(name, std::move(gateway));
+    if (!present.contains(name) && hasCurrentNotice(gateway, now)) present.emplace(name, std::move(gateway));
   }
   gateways_ = std::move(present);
   return refresh(now);
 }
 
-void ServingSet::onNotice(const std::string& teller, const ServingNotice& notice, TimePoint now) {
-  if (teller != own_) heard_at_ = now;
-  const auto known = gateways_.find(teller);
+void ServingSet::onNotice(const std::string& sender, const ServingNotice& notice, TimePoint now) {
+  if (sender != own_) last_received_at_ = now;
+  const auto known = gateways_.find(sender);
   if (known == gateways_.end()) return;
   known->second.notice = notice;
-  known->second.noticed_at = now;
+  known->second.notice_received_at = now;
   known->second.silent = false;
 }
 
@@ -73,115 +73,120 @@
   leaving_ = true;
 }
 
-bool ServingSet::isFresh(const Gateway& gateway, TimePoint now) const {
+bool ServingSet::hasCurrentNotice(const Gateway& gateway, TimePoint now) const {
   const bool own_zone = gateway.record.zone == own_zone_;
-  return gateway.notice && now - gateway.noticed_at <= (own_zone ? kOwnZoneSilence : kOtherZoneSilence);
+  return gateway.notice &&
+         now - gateway.notice_received_at <= (own_zone ? kOwnZoneNoticeTimeout : kOtherZoneNoticeTimeout);
 }
 
-bool ServingSet::isFit(const Gateway& gateway, TimePoint now) const {
+bool ServingSet::isEligible(const Gateway& gateway, TimePoint now) const {
   if (gateway.record.name == own_) return !leaving_;
-  if (now < gateway.absent_until) return false;
-  const bool told_leaving = gateway.notice && gateway.notice->leaving;
-  if (told_leaving || gateway.record.state == MemberState::Leaving) return false;
+  if (now < gateway.excluded_until) return false;
+  const bool announced_leaving = gateway.notice && gateway.notice->leaving;
+  if (announced_leaving || gateway.record.state == MemberState::Leaving) return false;
   // What it tells itself goes before what others suspect.
-  if (isFresh(gateway, now)) return true;
+  if (hasCurrentNotice(gateway, now)) return true;
   return gateway.record.state == MemberState::Alive && gateway.record.incarnation != 0 && !gateway.silent;
 }
 
 /// A gateway that hears nobody is itself cut off and concludes nothing.
-void ServingSet::noteSilence(TimePoint now) {
-  if (now - heard_at_ > kOwnZoneSilence) return;
+void ServingSet::detectTimeouts(TimePoint now) {
+  if (now - last_received_at_ > kOwnZoneNoticeTimeout) return;
   for (auto& [name, gateway] : gateways_) {
-    if (name == own_ || gateway.serving_since == TimePoint{} || isFresh(gateway, now)) continue;
-    const bool told_before = gateway.notice && gateway.noticed_at >= gateway.serving_since;
-    if (told_before || now - gateway.serving_since > kFirstNotice) gateway.silent = true;
+    if (name == own_ || gateway.serving_since == TimePoint{} || hasCurrentNotice(gateway, now)) continue;
+    const bool notice_since_selected = gateway.notice && gateway.notice_received_at >= gateway.serving_since;
+    if (notice_since_selected || now - gateway.serving_since > kFirstNoticeTimeout) gateway.silent = true;
   }
 }
 
 void ServingSet::updateDemand(Demand& demand, const Candidates& zone, TimePoint now) const {
-  double told = 0;
+  double reported = 0;
   std::size_t serving = 0;
   std::size_t pressed = 0;
   for (const Gateway* gateway : zone) {
-    if (!isFresh(*gateway, now)) continue;
-    told += gateway->notice->requests_per_second;
+    if (!hasCurrentNotice(*gateway, now)) continue;
+    reported += gateway->notice->requests_per_second;
     if (gateway->serving_since == TimePoint{}) continue;
     ++serving;
     if (gateway->notice->pressed) ++pressed;
   }
-  if (told >= demand.requests_per_second) {
-    demand.requests_per_second += kDemandSmoothing * (told - demand.requests_per_second);
-    demand.lowered_at = now;
-  } else if (now - demand.lowered_at >= kDemandStep) {
-    demand.requests_per_second = std::max(told, demand.requests_per_second * kDemandFall);
-    demand.lowered_at = now;
+  if (reported >= demand.requests_per_second) {
+    demand.requests_per_second += kDemandSmoothing * (reported - demand.requests_per_second);
+    demand.decayed_at = now;
+  } else if (now - demand.decayed_at >= kDemandDecayInterval) {
+    demand.requests_per_second = std::max(reported, demand.requests_per_second * kDemandDecayFactor);
+    demand.decayed_at = now;
   }
   if (serving > 0 && pressed == serving) {
-    demand.pressed_at = now;
-    if (now - demand.changed_at < kPressureStep) return;
-    demand.pressure = std::min(demand.pressure * kPressureRise, kMostPressure);
-    demand.changed_at = now;
-  } else if (now - std::max(demand.pressed_at, demand.changed_at) >= kDemandStep) {
-    demand.pressure = std::max(demand.pressure * kDemandFall, 1.0);
-    demand.changed_at = now;
+    demand.overloaded_at = now;
+    if (now - demand.overload_factor_changed_at < kOverloadStep) return;
+    demand.overload_factor = std::min(demand.overload_factor * kOverloadGrowth, kMaxOverloadFactor);
+    demand.overload_factor_changed_at = now;
+  } else if (now - std::max(demand.overloaded_at, demand.overload_factor_changed_at) >=
+             kDemandDecayInterval) {
+    demand.overload_factor = std::max(demand.overload_factor * kDemandDecayFactor, 1.0);
+    demand.overload_factor_changed_at = now;
   }
 }
 
 /// One that falls behind while others of its zone do not is itself slow. It is remembered for a while, since
 /// it no longer falls behind once its clients have gone.
-void ServingSet::noteWeak(const Candidates& zone, TimePoint now) const {
+void ServingSet::detectSlowGateways(const Candidates& zone, TimePoint now) const {
   const bool any_keeps_up = std::any_of(zone.begin(), zone.end(), [&](const Gateway* gateway) {
-    return isFresh(*gateway, now) && gateway->serving_since != TimePoint{} && !gateway->notice->pressed;
+    return hasCurrentNotice(*gateway, now) && gateway->serving_since != TimePoint{} &&
+           !gateway->notice->pressed;
   });
   if (!any_keeps_up) return;
   for (Gateway* gateway : zone) {
-    if (isFresh(*gateway, now) && gateway->notice->pressed) gateway->weak_until = now + kWeakTime;
+    if (hasCurrentNotice(*gateway, now) && gateway->notice->pressed)
+      gateway->slow_until = now + kSlowDuration;
   }
 }
 
-double ServingSet::strength(const Gateway& gateway, TimePoint now) {
+double ServingSet::effectiveCapacity(const Gateway& gateway, TimePoint now) {
   const double capacity = std::max(gateway.record.capacity, 1U);
-  return now < gateway.weak_until ? capacity * kWeakShare : capacity;
+  return now < gateway.slow_until ? capacity * kSlowCapacityFactor : capacity;
 }
 
 /// Clients spread evenly over those that serve, so that the weakest of them bounds what all can carry. The
 /// fewest that carry the traffic serve; if no number does, the one that comes nearest.
-std::vector<std::string> ServingSet::chooseIn(const Candidates& zone, const Demand& demand,
-                                              TimePoint now) const {
+std::vector<std::string> ServingSet::selectInZone(const Candidates& zone, const Demand& demand,
+                                                  TimePoint now) const {
   struct Ranked {
     const Gateway* gateway;
-    double strength;
+    double effectiveCapacity;
   };
   std::vector<Ranked> ranked;
   for (const Gateway* gateway : zone) {
-    if (isFit(*gateway, now)) ranked.push_back({gateway, strength(*gateway, now)});
+    if (isEligible(*gateway, now)) ranked.push_back({gateway, effectiveCapacity(*gateway, now)});
   }
   std::sort(ranked.begin(), ranked.end(), [](const Ranked& left, const Ranked& right) {
-    if (left.strength != right.strength) return left.strength > right.strength;
-    return left.gateway->tie < right.gateway->tie;
+    if (left.effectiveCapacity != right.effectiveCapacity)
+      return left.effectiveCapacity > right.effectiveCapacity;
+    return left.gateway->tiebreaker < right.gateway->tiebreaker;
   });
-  const double traffic = demand.requests_per_second * demand.pressure;
+  const double traffic = demand.requests_per_second * demand.overload_factor;
   std::size_t width = 0;
-  double least_use = 0;
+  double min_utilization = 0;
   for (std::size_t count = 1; count <= ranked.size(); ++count) {
-    const double use = traffic / (static_cast<double>(count) * ranked[count - 1].strength);
-    const bool too_few = count < std::min(options_.least_in_zone, ranked.size());
+    const double use = traffic / (static_cast<double>(count) * ranked[count - 1].effectiveCapacity);
+    const bool too_few = count < std::min(options_.min_per_zone, ranked.size());
     if (too_few) continue;
-    if (width == 0 || use < least_use) {
+    if (width == 0 || use < min_utilization) {
       width = count;
-      least_use = use;
+      min_utilization = use;
     }
-    if (use <= options_.most_use) break;
+    if (use <= options_.max_utilization) break;
   }
-  std::vector<std::string> chosen;
-  for (std::size_t index = 0; index < width; ++index) chosen.push_back(ranked[index].gateway->record.name);
-  return chosen;
+  std::vector<std::string> selected;
+  for (std::size_t index = 0; index < width; ++index) selected.push_back(ranked[index].gateway->record.name);
+  return selected;
 }
 
 bool ServingSet::refresh(TimePoint now) {
-  noteSilence(now);
+  detectTimeouts(now);
   const std::vector<std::string> before = serving_;
-  everyone_serves_ = gateways_.size() <= options_.everyone_up_to;
+  all_serve_ = gateways_.size() <= options_.all_serve_up_to;
   std::map<std::string, Candidates> zones;
   for (auto& [name, gateway] : gateways_) zones[gateway.record.zone].push_back(&gateway);
   by_zone_.clear();
@@ -189,16 +194,16 @@
   for (const auto& [zone, candidates] : zones) {
     Demand& demand = demands_[zone];
     updateDemand(demand, candidates, now);
-    noteWeak(candidates, now);
-    std::vector<std::string> chosen = chooseIn(candidates, demand, now);
-    serving_.insert(serving_.end(), chosen.begin(), chosen.end());
-    if (!chosen.empty()) by_zone_[zone] = std::move(chosen);
+    detectSlowGateways(candidates, now);
+    std::vector<std::string> selected = selectInZone(candidates, demand, now);
+    serving_.insert(serving_.end(), selected.begin(), selected.end());
+    if (!selected.empty()) by_zone_[zone] = std::move(selected);
   }
   std::sort(serving_.begin(), serving_.end());
   for (auto& [name, gateway] : gateways_) {
-    if (!isChosen(name)) {
-      const bool unfit = gateway.serving_since != TimePoint{} && !isFit(gateway, now);
-      if (unfit) gateway.absent_until = now + kAbsence;
+    if (!isSelected(name)) {
+      const bool unfit = gateway.serving_since != TimePoint{} && !isEligible(gateway, now);
+      if (unfit) gateway.excluded_until = now + kExclusionTime;
       gateway.serving_since = TimePoint{};
     } else if (gateway.serving_since == TimePoint{}) {
       gateway.serving_since = now;
@@ -208,19 +213,19 @@
 }
 
 bool ServingSet::serves(const std::string& name) const {
-  return everyone_serves_ || isChosen(name);
+  return all_serve_ || isSelected(name);
 }
 
-bool ServingSet::isChosen(const std::string& name) const {
+bool ServingSet::isSelected(const std::string& name) const {
   return std::binary_search(serving_.begin(), serving_.end(), name);
 }
 
 double ServingSet::demandOf(const std::string& zone) const {
   const auto found = demands_.find(zone);
-  return found == demands_.end() ? 0 : found->second.requests_per_second * found->second.pressure;
+  return found == demands_.end() ? 0 : found->second.requests_per_second * found->second.overload_factor;
 }
 
-std::vector<std::string> ServingSet::servingIn(const std::string& zone) const {
+std::vector<std::string> ServingSet::servingInZone(const std::string& zone) const {
   const auto found = by_zone_.find(zone);
   return found == by_zone_.end() ? serving_ : found->second;
 }
--- a/src/gateway_control/serving_set.h
+++ b/src/gateway_control/serving_set.h
@@ -19,9 +19,9 @@
 
 /// How many gateways serve.
 struct ServingOptions {
-  std::size_t least_in_zone = 2;    ///< One may fail without the zone's clients going elsewhere.
-  std::size_t everyone_up_to = 12;  ///< In a fleet of at most so many gateways all serve.
-  double most_use = 1.0;            ///< Share of its stated capacity that a serving gateway uses at most.
+  std::size_t min_per_zone = 2;      ///< One may fail without the zone's clients going elsewhere.
+  std::size_t all_serve_up_to = 12;  ///< In a fleet of at most so many gateways all serve.
+  double max_utilization = 1.0;      ///< Share of its stated capacity that a serving gateway uses at most.
 };
 
 /// The set as one gateway sees it. Not thread-safe.
@@ -34,7 +34,7 @@
   /// @return whether it differs from the one before.
   bool onMembers(const std::vector<MemberRecord>& members, TimePoint now);
   /// Takes the notice of a gateway, this one included.
-  void onNotice(const std::string& teller, const ServingNotice& notice, TimePoint now);
+  void onNotice(const std::string& sender, const ServingNotice& notice, TimePoint now);
   /// This gateway stops as planned.
   void leave();
 
@@ -43,46 +43,46 @@
   bool refresh(TimePoint now);
 
   /// @return whether the fleet is so small that all gateways serve.
-  bool allServe() const { return everyone_serves_; }
+  bool allServe() const { return all_serve_; }
   /// @return names of those that serve, sorted.
   const std::vector<std::string>& serving() const { return serving_; }
   /// @return whether clients are sent to the gateway: in a small fleet to each.
   bool serves(const std::string& name) const;
   /// @return those of the zone, the strongest first; of all zones if the zone has none.
-  std::vector<std::string> servingIn(const std::string& zone) const;
-  /// @return the zone's traffic that the set was made for, requests a second, pressure included.
+  std::vector<std::string> servingInZone(const std::string& zone) const;
+  /// @return the zone's traffic that the set was made for, requests a second, overload_factor included.
   double demandOf(const std::string& zone) const;
 
 private:
   /// One gateway.
   struct Gateway {
     MemberRecord record;
-    std::uint64_t tie = 0;  ///< Orders gateways of equal strength.
+    std::uint64_t tiebreaker = 0;  ///< Orders gateways of equal effectiveCapacity.
     std::optional<ServingNotice> notice;
-    TimePoint noticed_at{};
-    TimePoint serving_since{};  ///< TimePoint{}: it is not in the set.
-    bool silent = false;        ///< Was in the set and told nothing for too long.
-    TimePoint weak_until{};     ///< Fell behind while others of its zone did not.
-    TimePoint absent_until{};   ///< Was taken out as unfit, and comes back no sooner.
+    TimePoint notice_received_at{};
+    TimePoint serving_since{};   ///< TimePoint{}: it is not in the set.
+    bool silent = false;         ///< Was in the set and told nothing for too long.
+    TimePoint slow_until{};      ///< Fell behind while others of its zone did not.
+    TimePoint excluded_until{};  ///< Was taken out as unfit, and comes back no sooner.
   };
   /// What is remembered of a zone's traffic.
   struct Demand {
     double requests_per_second = 0;  ///< Smoothed, and falling slowly.
-    TimePoint lowered_at{};
-    double pressure = 1;  ///< Factor by which gateways in trouble say that the figures are too low.
-    TimePoint pressed_at{};
-    TimePoint changed_at{};  ///< When `pressure` changed last.
+    TimePoint decayed_at{};
+    double overload_factor = 1;  ///< Factor by which gateways in trouble say that the figures are too low.
+    TimePoint overloaded_at{};
+    TimePoint overload_factor_changed_at{};  ///< When `overload_factor` changed last.
   };
   using Candidates = std::vector<Gateway*>;
-  bool isChosen(const std::string& name) const;
+  bool isSelected(const std::string& name) const;
 
-  bool isFresh(const Gateway& gateway, TimePoint now) const;
-  bool isFit(const Gateway& gateway, TimePoint now) const;
-  void noteSilence(TimePoint now);
+  bool hasCurrentNotice(const Gateway& gateway, TimePoint now) const;
+  bool isEligible(const Gateway& gateway, TimePoint now) const;
+  void detectTimeouts(TimePoint now);
   void updateDemand(Demand& demand, const Candidates& zone, TimePoint now) const;
-  void noteWeak(const Candidates& zone, TimePoint now) const;
-  static double strength(const Gateway& gateway, TimePoint now);
-  std::vector<std::string> chooseIn(const Candidates& zone, const Demand& demand, TimePoint now) const;
+  void detectSlowGateways(const Candidates& zone, TimePoint now) const;
+  static double effectiveCapacity(const Gateway& gateway, TimePoint now);
+  std::vector<std::string> selectInZone(const Candidates& zone, const Demand& demand, TimePoint now) const;
 
   std::string own_;
   std::string own_zone_;
@@ -91,9 +91,9 @@
   std::map<std::string, Demand> demands_;                    ///< By zone.
   std::map<std::string, std::vector<std::string>> by_zone_;  ///< Those that serve, the strongest first.
   std::vector<std::string> serving_;
-  bool everyone_serves_ = true;
+  bool all_serve_ = true;
   bool leaving_ = false;
-  TimePoint heard_at_{};  ///< When any other gateway told something.
+  TimePoint last_received_at_{};  ///< When any other gateway told something.
 };
 
 }  // namespace crankspur::gateway
--- a/src/gateway_control/serving_timings.h
+++ b/src/gateway_control/serving_timings.h
@@ -10,7 +10,7 @@
 /// the answers to clients some 1.3 s later, sooner than gossip finds it.
 inline constexpr Duration kNoticeInterval = std::chrono::milliseconds(400);
 /// Each so many notices one goes to the whole fleet.
-inline constexpr int kNoticesPerWideNotice = 3;
+inline constexpr int kNoticesPerFleetNotice = 3;
 /// The set is worked out anew so often.
 inline constexpr Duration kServingRefreshInterval = std::chrono::milliseconds(200);
 
--- a/src/gateway_control/table_mirror.cc
+++ b/src/gateway_control/table_mirror.cc
@@ -8,48 +8,48 @@
 
 /// Removed rows are remembered up to this many: some minutes of a fleet whose back ends come and go. Whoever
 /// asks for older changes reads the table whole.
-constexpr std::size_t kMostRemovals = 500;
+constexpr std::size_t kMaxRemovals = 500;
 
 }  // namespace
 
 void TableMirror::onRow(const RelayedRow& row) {
-  if (row.gone && row.version == 0) undated_.push_back(row.key);
+  if (row.gone && row.version == 0) unversioned_removals_.push_back(row.key);
   rows_[row.key] = row;
 }
 
 void TableMirror::onWhole(const std::vector<std::string>& keys) {
   const std::set<std::string> present(keys.begin(), keys.end());
   std::erase_if(rows_, [&present](const auto& item) { return !present.contains(item.first); });
-  whole_ = true;
+  fully_read_ = true;
 }
 
 void TableMirror::onContact(std::uint64_t version, TimePoint as_of) {
-  for (const std::string& key : undated_) {
+  for (const std::string& key : unversioned_removals_) {
     const auto row = rows_.find(key);
     if (row != rows_.end() && row->second.gone) row->second.version = version;
   }
-  undated_.clear();
+  unversioned_removals_.clear();
   version_ = std::max(version_, version);
-  if (whole_) oldest_ = version_;
-  whole_ = false;
+  if (fully_read_) compacted_version_ = version_;
+  fully_read_ = false;
   as_of_ = std::max(as_of_, as_of);
-  forgetRemovals();
+  compactRemovals();
 }
 
-void TableMirror::forgetRemovals() {
+void TableMirror::compactRemovals() {
   std::vector<std::pair<std::uint64_t, std::string>> removals;
   for (const auto& [key, row] : rows_) {
     if (row.gone) removals.emplace_back(row.version, key);
   }
-  if (removals.size() <= kMostRemovals) return;
+  if (removals.size() <= kMaxRemovals) return;
   std::sort(removals.begin(), removals.end());
-  removals.resize(removals.size() - kMostRemovals / 2);
+  removals.resize(removals.size() - kMaxRemovals / 2);
   for (const auto& [version, key] : removals) rows_.erase(key);
-  oldest_ = std::max(oldest_, removals.back().first);
+  compacted_version_ = std::max(compacted_version_, removals.back().first);
 }
 
 std::optional<std::vector<RelayedRow>> TableMirror::changesAfter(std::uint64_t version) const {
-  if (version < oldest_) return std::nullopt;
+  if (version < compacted_version_) return std::nullopt;
   std::vector<RelayedRow> changed;
   for (const auto& [key, row] : rows_) {
     if (row.version > version) changed.push_back(row);
--- a/src/gateway_control/table_mirror.h
+++ b/src/gateway_control/table_mirror.h
@@ -33,13 +33,14 @@
   std::vector<RelayedRow> rows() const;
 
 private:
-  void forgetRemovals();
+  void compactRemovals();
 
   std::map<std::string, RelayedRow> rows_;  ///< By key, removed ones among them.
-  std::vector<std::string> undated_;        ///< Keys of removals told without a version since the contact.
+  std::vector<std::string>
+      unversioned_removals_;  ///< Keys of removals told without a version since the contact.
   std::uint64_t version_ = 0;
-  std::uint64_t oldest_ = 0;  ///< Changes after this version are known.
-  bool whole_ = false;        ///< Told whole since the last contact.
+  std::uint64_t compacted_version_ = 0;  ///< Changes after this version are known.
+  bool fully_read_ = false;              ///< Told whole since the last contact.
   TimePoint as_of_{};
 };
 
--- a/src/gateway_control/table_relay.cc
+++ b/src/gateway_control/table_relay.cc
@@ -11,22 +11,22 @@
 
 constexpr char kPath[] = "/table";
 constexpr int kOk = 200;
-constexpr int kHistoryGone = 410;
+constexpr int kGone = 410;
 constexpr int kUnavailable = 503;
-constexpr Duration kConnectPatience = std::chrono::milliseconds(400);
-/// Beyond the wait asked for: the way there and back, and a reader that is late.
-constexpr Duration kPatience = std::chrono::milliseconds(1'200);
+constexpr Duration kConnectTimeout = std::chrono::milliseconds(400);
+/// Beyond the wait last for: the way there and back, and a reader that is late.
+constexpr Duration kResponseMargin = std::chrono::milliseconds(1'200);
 /// A reader hears from the store once in the time that its own calls are held. Those that ask it hold theirs
 /// this much longer, so that its next contact falls within.
 constexpr Duration kHoldMargin = std::chrono::milliseconds(400);
 /// An answer whose contact is older than the wait by this much comes from a reader in trouble.
 constexpr Duration kStaleMargin = std::chrono::milliseconds(1'000);
 /// Questions that wait are looked at so often.
-constexpr Duration kLook = std::chrono::milliseconds(200);
+constexpr Duration kWaitingCheckInterval = std::chrono::milliseconds(200);
 /// Least age at which a contact counts as old whatever the wait: a call without a wait may come at any moment
 /// of the reader's own.
-constexpr Duration kLeastStale = std::chrono::milliseconds(3'500);
-constexpr Duration kLongestWait = std::chrono::seconds(30);
+constexpr Duration kMinStaleAge = std::chrono::milliseconds(3'500);
+constexpr Duration kMaxWait = std::chrono::seconds(30);
 
 std::uint64_t number(const std::string& text) {
   std::uint64_t value = 0;
@@ -60,64 +60,64 @@
 void TableRelay::read(const std::string& table, const std::string& from, TableCallback done) {
   const ReadTarget source = nextSource(table);
   if (source.kind == ReadTarget::Kind::Platform)
-    return store_.read(table, from, noteOutcome(std::move(done)));
+    return store_.read(table, from, recordOutcome(std::move(done)));
   if (source.kind == ReadTarget::Kind::None) return done({TableOutcome::Rejected, {}, false, 0, 0, {}});
-  askGateway(source.address, std::string(kPath) + "?name=" + table, Duration(0), std::move(done));
+  requestFromGateway(source.address, std::string(kPath) + "?name=" + table, Duration(0), std::move(done));
 }
 
 void TableRelay::waitForChanges(const std::string& table, std::uint64_t version, Duration wait,
                                 TableCallback done) {
   const ReadTarget source = nextSource(table);
   if (source.kind == ReadTarget::Kind::Platform) {
-    return store_.waitForChanges(table, version, wait, noteOutcome(std::move(done)));
+    return store_.waitForChanges(table, version, wait, recordOutcome(std::move(done)));
   }
   if (source.kind == ReadTarget::Kind::None) return done({TableOutcome::Rejected, {}, false, 0, 0, {}});
   const std::string target = std::string(kPath) + "?name=" + table + "&after=" + std::to_string(version) +
                              "&wait_ms=" + std::to_string(milliseconds(wait));
-  askGateway(source.address, target, wait, std::move(done));
+  requestFromGateway(source.address, target, wait, std::move(done));
 }
 
 ReadTarget TableRelay::nextSource(const std::string& table) {
   ReadTarget source = choice_.next(now());
-  asked_[table] = source;
+  last_target_[table] = source;
   // All readers fail or are late: connections to the store that are kept for other calls may be silent as
   // well.
   if (source.kind == ReadTarget::Kind::Platform && !readsPlatform()) store_.onLate(table);
   return source;
 }
 
-TableCallback TableRelay::noteOutcome(TableCallback done) {
+TableCallback TableRelay::recordOutcome(TableCallback done) {
   return [this, done = std::move(done)](TableResponse answer) {
     const bool answered =
         answer.outcome == TableOutcome::Done || answer.outcome == TableOutcome::HistoryCompacted;
-    choice_.onPlatformAnswer(answered);
+    choice_.onPlatformResponse(answered);
     done(std::move(answer));
   };
 }
 
 void TableRelay::onLate(const std::string& table) {
-  const auto asked = asked_.find(table);
-  if (asked == asked_.end()) return;
-  if (asked->second.kind == ReadTarget::Kind::Platform) return store_.onLate(table);
-  if (asked->second.kind == ReadTarget::Kind::None) return;
-  choice_.onLate(asked->second.address, now());
+  const auto last = last_target_.find(table);
+  if (last == last_target_.end()) return;
+  if (last->second.kind == ReadTarget::Kind::Platform) return store_.onLate(table);
+  if (last->second.kind == ReadTarget::Kind::None) return;
+  choice_.onLate(last->second.address, now());
   // The connection to the next one may be as silent.
   client_.leaveKept("");
 }
 
-void TableRelay::askGateway(const std::string& address, const std::string& target, Duration wait,
-                            TableCallback done) {
+void TableRelay::requestFromGateway(const std::string& address, const std::string& target, Duration wait,
+                                    TableCallback done) {
   http::Request request;
   request.target = target;
   http::ExchangeOptions options;
-  options.connect_timeout = kConnectPatience;
-  options.idle_timeout = wait + kHoldMargin + kPatience;
+  options.connect_timeout = kConnectTimeout;
+  options.idle_timeout = wait + kHoldMargin + kResponseMargin;
   const TimePoint sent_at = now();
   http::ExchangeCallbacks callbacks;
   callbacks.on_done = [this, address, wait, sent_at, done = std::move(done)](
                           std::error_code error, http::SendState, const http::Response& response) {
     TableResponse answer;
-    if (!error) answer = readAnswer(response, sent_at, wait);
+    if (!error) answer = parseResponse(response, sent_at, wait);
     const bool usable =
         answer.outcome == TableOutcome::Done || answer.outcome == TableOutcome::HistoryCompacted;
     if (!usable && !choice_.wasLateAfter(address, sent_at)) choice_.onFailed(address, now());
@@ -128,16 +128,17 @@
 
 /// The reader held the call for a time that it measured, and its contact was so old when it answered: counted
 /// from the sending, the contact is never taken to be younger than it was.
-TableResponse TableRelay::readAnswer(const http::Response& response, TimePoint sent_at, Duration wait) const {
+TableResponse TableRelay::parseResponse(const http::Response& response, TimePoint sent_at,
+                                        Duration wait) const {
   TableResponse answer;
-  if (response.status == kHistoryGone) answer.outcome = TableOutcome::HistoryCompacted;
+  if (response.status == kGone) answer.outcome = TableOutcome::HistoryCompacted;
   if (response.status == kUnavailable) answer.outcome = TableOutcome::Rejected;
   if (response.status != kOk) return answer;
   DecodedFrame frame = decodeFrame(response.body);
   auto* rows = frame.message ? std::get_if<RelayedRows>(&*frame.message) : nullptr;
   if (rows == nullptr) return answer;
   const Duration age = std::chrono::milliseconds(rows->contact_age_milliseconds);
-  if (rows->in_trouble || age > std::max(wait + kStaleMargin, kLeastStale)) return answer;
+  if (rows->in_trouble || age > std::max(wait + kStaleMargin, kMinStaleAge)) return answer;
   answer.outcome = TableOutcome::Done;
   answer.rows = std::move(rows->rows);
   answer.version = rows->version;
@@ -145,26 +146,26 @@
   return answer;
 }
 
-// The side that is asked.
+// The side that is last.
 
 void TableRelay::serve(const http::Request& request, const std::shared_ptr<http::ResponseWriter>& writer) {
   const auto mirror = mirrors_.find(request.query("name"));
   const bool known = request.path() == kPath && mirror != mirrors_.end() && mirror->second.known();
   if (!known || !readsPlatform()) return writer->respond({kUnavailable, {}, ""});
   // One that waited here for a contact that may not come would learn of the trouble seconds later.
-  if (in_trouble_.contains(mirror->first)) return respondTrouble(*writer);
-  Waiting question;
+  if (unavailable_tables_.contains(mirror->first)) return respondUnavailable(*writer);
+  WaitingRequest question;
   question.table = mirror->first;
   question.after = number(request.query("after"));
   question.since = now();
   question.writer = writer;
   const Duration wait =
-      std::min<Duration>(std::chrono::milliseconds(number(request.query("wait_ms"))), kLongestWait);
-  const bool has_news = mirror->second.version() > question.after;
-  if (wait == Duration(0) || has_news) return answer(question);
+      std::min<Duration>(std::chrono::milliseconds(number(request.query("wait_ms"))), kMaxWait);
+  const bool has_changes = mirror->second.version() > question.after;
+  if (wait == Duration(0) || has_changes) return answer(question);
   question.until = now() + wait + kHoldMargin;
-  const auto kept = std::make_shared<Waiting>(std::move(question));
-  kept->writer->onClientGone([weak = std::weak_ptr<Waiting>(kept)] {
+  const auto kept = std::make_shared<WaitingRequest>(std::move(question));
+  kept->writer->onClientGone([weak = std::weak_ptr<WaitingRequest>(kept)] {
     if (const auto waiting = weak.lock()) waiting->gone = true;
   });
   waiting_.push_back(kept);
@@ -172,7 +173,7 @@
 }
 
 /// An answer to a question without a version is the whole table.
-void TableRelay::answer(const Waiting& waiting) {
+void TableRelay::answer(const WaitingRequest& waiting) {
   const TableMirror& mirror = mirrors_[waiting.table];
   RelayedRows message;
   message.version = mirror.version();
@@ -183,42 +184,42 @@
   } else if (auto changes = mirror.changesAfter(waiting.after)) {
     message.rows = std::move(*changes);
   } else {
-    return waiting.writer->respond({kHistoryGone, {}, ""});
+    return waiting.writer->respond({kGone, {}, ""});
   }
   waiting.writer->respond({kOk, {}, encodeFrame(message)});
 }
 
 void TableRelay::onContact(const std::string& table, std::uint64_t version, TimePoint as_of) {
   mirrors_[table].onContact(version, as_of);
-  in_trouble_.erase(table);
-  const auto is_due = [&table](const std::shared_ptr<Waiting>& one) { return one->table == table; };
+  unavailable_tables_.erase(table);
+  const auto is_due = [&table](const std::shared_ptr<WaitingRequest>& one) { return one->table == table; };
   const auto rest = std::stable_partition(waiting_.begin(), waiting_.end(), std::not_fn(is_due));
-  const std::vector<std::shared_ptr<Waiting>> due(rest, waiting_.end());
+  const std::vector<std::shared_ptr<WaitingRequest>> due(rest, waiting_.end());
   waiting_.erase(rest, waiting_.end());
   for (const auto& waiting : due) {
     if (!waiting->gone) answer(*waiting);
   }
 }
 
-void TableRelay::onTrouble(const std::string& table) {
-  in_trouble_.insert(table);
+void TableRelay::onUnavailable(const std::string& table) {
+  unavailable_tables_.insert(table);
   for (const auto& waiting : waiting_) {
     if (waiting->table != table || waiting->gone) continue;
-    respondTrouble(*waiting->writer);
+    respondUnavailable(*waiting->writer);
     waiting->gone = true;
   }
   std::erase_if(waiting_, [](const auto& waiting) { return waiting->gone; });
 }
 
-void TableRelay::respondTrouble(http::ResponseWriter& writer) const {
+void TableRelay::respondUnavailable(http::ResponseWriter& writer) const {
   RelayedRows message;
   message.in_trouble = true;
   writer.respond({kOk, {}, encodeFrame(message)});
 }
 
 /// Questions that have waited long enough are answered with what is known.
-void TableRelay::answerDue() {
-  std::vector<std::shared_ptr<Waiting>> due;
+void TableRelay::respondExpired() {
+  std::vector<std::shared_ptr<WaitingRequest>> due;
   for (const auto& waiting : waiting_) {
     if (now() >= waiting->until) due.push_back(waiting);
   }
@@ -230,11 +231,11 @@
 
 void TableRelay::armTimer() {
   if (waiting_.empty() || std::exchange(timer_armed_, true)) return;
-  timer_.expires_after(kLook);
+  timer_.expires_after(kWaitingCheckInterval);
   timer_.async_wait([this](boost::system::error_code error) {
     if (error) return;
     timer_armed_ = false;
-    answerDue();
+    respondExpired();
     armTimer();
   });
 }
--- a/src/gateway_control/table_relay.h
+++ b/src/gateway_control/table_relay.h
@@ -49,11 +49,11 @@
   }
   void onContact(const std::string& table, std::uint64_t version, TimePoint as_of);
   /// This gateway has lost its own source: those that wait are told at once, and look for another reader.
-  void onTrouble(const std::string& table);
+  void onUnavailable(const std::string& table);
 
 private:
   /// A question of another gateway that waits for news.
-  struct Waiting {
+  struct WaitingRequest {
     std::string table;
     std::uint64_t after = 0;
     TimePoint since{};
@@ -64,23 +64,24 @@
 
   TimePoint now() const { return clock_.now(); }
   void serve(const http::Request& request, const std::shared_ptr<http::ResponseWriter>& writer);
-  void answer(const Waiting& waiting);
-  void answerDue();
+  void answer(const WaitingRequest& waiting);
+  void respondExpired();
   void armTimer();
   ReadTarget nextSource(const std::string& table);
-  TableCallback noteOutcome(TableCallback done);
-  void respondTrouble(http::ResponseWriter& writer) const;
-  void askGateway(const std::string& address, const std::string& target, Duration wait, TableCallback done);
-  TableResponse readAnswer(const http::Response& response, TimePoint sent_at, Duration wait) const;
+  TableCallback recordOutcome(TableCallback done);
+  void respondUnavailable(http::ResponseWriter& writer) const;
+  void requestFromGateway(const std::string& address, const std::string& target, Duration wait,
+                          TableCallback done);
+  TableResponse parseResponse(const http::Response& response, TimePoint sent_at, Duration wait) const;
 
   http::Client& client_;
   TableSource& store_;
   SteadyClock clock_;
   ReaderSelector choice_;
-  std::map<std::string, TableMirror> mirrors_;  ///< By table.
-  std::map<std::string, ReadTarget> asked_;     ///< Where the last call for each table went.
-  std::set<std::string> in_trouble_;            ///< Tables whose own source was lost since the last contact.
-  std::list<std::shared_ptr<Waiting>> waiting_;
+  std::map<std::string, TableMirror> mirrors_;     ///< By table.
+  std::map<std::string, ReadTarget> last_target_;  ///< Where the last call for each table went.
+  std::set<std::string> unavailable_tables_;  ///< Tables whose own source was lost since the last contact.
+  std::list<std::shared_ptr<WaitingRequest>> waiting_;
   boost::asio::any_io_executor executor_;
   boost::asio::steady_timer timer_;
   bool timer_armed_ = false;
--- a/tests/unit/gateway_control/reader_selector_test.cc
+++ b/tests/unit/gateway_control/reader_selector_test.cc
@@ -30,31 +30,31 @@
 TEST_CASE("while all readers fail the platform is asked now and then", "[reader_choice]") {
   ReaderSelector choice(1);
   choice.setReaders({"a", "b"});
-  int asked = 0;
+  int platform_reads = 0;
   TimePoint now = kNow;
   for (; now < kNow + 30s; now += 100ms) {
     choice.onFailed("a", now);
     choice.onFailed("b", now);
-    if (choice.next(now).kind == ReadTarget::Kind::Platform) ++asked;
+    if (choice.next(now).kind == ReadTarget::Kind::Platform) ++platform_reads;
   }
-  CHECK(asked >= 7);
-  CHECK(asked <= 20);
+  CHECK(platform_reads >= 7);
+  CHECK(platform_reads <= 20);
   CHECK(choice.next(now + 2s).kind == ReadTarget::Kind::Gateway);
 }
 
 TEST_CASE("gateways whose readers all fail do not ask the platform in step", "[reader_choice]") {
-  std::set<Duration> second_asks;
+  std::set<Duration> second_reads;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     ReaderSelector choice(seed);
     choice.setReaders({"a"});
-    int asked = 0;
-    for (TimePoint now = kNow; asked < 2; now += 50ms) {
+    int platform_reads = 0;
+    for (TimePoint now = kNow; platform_reads < 2; now += 50ms) {
       choice.onFailed("a", now);
       if (choice.next(now).kind != ReadTarget::Kind::Platform) continue;
-      if (++asked == 2) second_asks.insert(now - kNow);
+      if (++platform_reads == 2) second_reads.insert(now - kNow);
     }
   }
-  CHECK(second_asks.size() > 10);
+  CHECK(second_reads.size() > 10);
 }
 
 TEST_CASE("a reader whose answer is late is passed over for a moment, not for as long as one that failed",
@@ -81,11 +81,11 @@
   REQUIRE(choice.next(kNow).kind == ReadTarget::Kind::Platform);
   // Not known to answer yet: others may be asking it, too.
   CHECK(choice.next(kNow).kind == ReadTarget::Kind::None);
-  choice.onPlatformAnswer(true);
+  choice.onPlatformResponse(true);
   CHECK(choice.next(kNow + 10ms).kind == ReadTarget::Kind::Platform);
   CHECK(choice.next(kNow + 1s).kind == ReadTarget::Kind::Platform);
-  choice.onPlatformAnswer(false);
+  choice.onPlatformResponse(false);
   CHECK(choice.next(kNow + 1s).kind == ReadTarget::Kind::None);
-  choice.onPlatformAnswer(true);
+  choice.onPlatformResponse(true);
   CHECK(choice.next(kNow + 2100ms).kind == ReadTarget::Kind::Gateway);
 }
--- a/tests/unit/gateway_control/serving_set_test.cc
+++ b/tests/unit/gateway_control/serving_set_test.cc
@@ -24,7 +24,7 @@
       for (std::size_t index = 0; index < strong; ++index) add(zone, "strong", index, kStrong);
       for (std::size_t index = 0; index < weak; ++index) add(zone, "weak", index, kWeak);
     }
-    tellMembers();
+    updateMembers();
   }
 
   void add(const std::string& zone, const std::string& kind, std::size_t index, std::uint32_t capacity) {
@@ -36,29 +36,29 @@
     members[record.name] = record;
   }
 
-  void tellMembers() {
+  void updateMembers() {
     std::vector<MemberRecord> records;
     for (const auto& [name, record] : members) records.push_back(record);
     set.onMembers(records, now);
   }
 
-  /// Lets time pass; those that serve and are not mute tell so.
+  /// Lets time pass; those that serve and are not muted tell so.
   void run(Duration time) {
     for (const TimePoint end = now + time; now < end; now += kServingRefreshInterval) {
       for (const std::string& name : set.serving()) {
-        if (!mute.contains(name)) set.onNotice(name, notices[name], now);
+        if (!muted.contains(name)) set.onNotice(name, notices[name], now);
       }
       set.refresh(now);
     }
   }
 
-  std::size_t widthOf(const std::string& zone) const { return set.servingIn(zone).size(); }
+  std::size_t widthOf(const std::string& zone) const { return set.servingInZone(zone).size(); }
   bool serves(const std::string& name) const { return set.serves(name); }
 
   TimePoint now{1h};
   std::map<std::string, MemberRecord> members;
   std::map<std::string, ServingNotice> notices;
-  std::set<std::string> mute;
+  std::set<std::string> muted;
   ServingSet set;
 };
 
@@ -78,7 +78,7 @@
   for (const std::string zone : {"a", "b", "c"}) {
     CHECK(fleet.serves(zone + "-strong-0"));
     CHECK(fleet.serves(zone + "-strong-1"));
-    for (const std::string& name : fleet.set.servingIn(zone)) CHECK(name.front() == zone.front());
+    for (const std::string& name : fleet.set.servingInZone(zone)) CHECK(name.front() == zone.front());
   }
 }
 
@@ -98,10 +98,10 @@
   Fleet fleet;
   fleet.run(2s);
   fleet.members.erase("b-strong-1");
-  fleet.mute.insert("b-strong-1");
-  fleet.tellMembers();
+  fleet.muted.insert("b-strong-1");
+  fleet.updateMembers();
   fleet.run(4s);
-  fleet.tellMembers();
+  fleet.updateMembers();
   CHECK(fleet.widthOf("b") == 2);
   CHECK_FALSE(fleet.serves("b-strong-1"));
 }
@@ -110,7 +110,7 @@
   Fleet fleet;
   fleet.run(2s);
   fleet.members.erase("b-strong-1");
-  fleet.tellMembers();
+  fleet.updateMembers();
   CHECK(fleet.serves("b-strong-1"));
   fleet.run(2s);
   CHECK(fleet.serves("b-strong-1"));
@@ -119,12 +119,12 @@
 TEST_CASE("a gateway that falls silent is passed over before membership has lost it", "[serving_set]") {
   Fleet fleet;
   fleet.run(3s);
-  fleet.mute.insert("a-strong-1");
+  fleet.muted.insert("a-strong-1");
   fleet.run(1'600ms);
   CHECK_FALSE(fleet.serves("a-strong-1"));
   CHECK(fleet.widthOf("a") == 2);
   SECTION("and serves again once it tells something") {
-    fleet.mute.clear();
+    fleet.muted.clear();
     fleet.set.onNotice("a-strong-1", {}, fleet.now);
     fleet.run(400ms);
     CHECK_FALSE(fleet.serves("a-strong-1"));
@@ -138,7 +138,7 @@
   fleet.run(3s);
   const std::vector<std::string> before = fleet.set.serving();
   for (const std::string& name : before) {
-    if (name != kOwn) fleet.mute.insert(name);
+    if (name != kOwn) fleet.muted.insert(name);
   }
   fleet.run(1'200ms);  // No longer heard by now, and silence is not concluded.
   for (int step = 0; step < 30; ++step) {
@@ -153,12 +153,12 @@
   Fleet fleet;
   fleet.run(1s);
   fleet.members["b-strong-0"].state = MemberState::Suspect;
-  fleet.tellMembers();
+  fleet.updateMembers();
   CHECK(fleet.serves("b-strong-0"));
   fleet.members["c-weak-0"].state = MemberState::Suspect;
   fleet.members["c-strong-0"].state = MemberState::Suspect;
-  fleet.mute.insert("c-strong-0");
-  fleet.tellMembers();
+  fleet.muted.insert("c-strong-0");
+  fleet.updateMembers();
   fleet.run(4s);
   CHECK_FALSE(fleet.serves("c-strong-0"));
   CHECK_FALSE(fleet.serves("c-weak-0"));
@@ -182,9 +182,9 @@
 TEST_CASE("a zone that has lost all its gateways uses those of the others", "[serving_set]") {
   Fleet fleet;
   std::erase_if(fleet.members, [](const auto& item) { return item.second.zone == "c"; });
-  fleet.tellMembers();
-  CHECK(fleet.set.servingIn("c") == fleet.set.serving());
-  CHECK(fleet.set.servingIn("") == fleet.set.serving());
+  fleet.updateMembers();
+  CHECK(fleet.set.servingInZone("c") == fleet.set.serving());
+  CHECK(fleet.set.servingInZone("") == fleet.set.serving());
 }
 
 TEST_CASE("as many serve as the traffic told needs, and for a while more", "[serving_set]") {
@@ -211,7 +211,7 @@
 TEST_CASE("a set whose gateways all fall behind widens within seconds and narrows slowly", "[serving_set]") {
   Fleet fleet(0, 20);
   fleet.run(1s);
-  const std::vector<std::string> first = fleet.set.servingIn("a");
+  const std::vector<std::string> first = fleet.set.servingInZone("a");
   for (const std::string& name : first) fleet.notices[name] = {40, true, false};
   fleet.run(2s);
   const std::size_t widened = fleet.widthOf("a");
--- a/tests/unit/gateway_control/table_relay_test.cc
+++ b/tests/unit/gateway_control/table_relay_test.cc
@@ -24,11 +24,11 @@
 };
 
 /// Two gateways on one loop: one that reads the store, and one that asks it.
-struct TwoGateways {
-  TwoGateways() {
+struct ReaderAndStandby {
+  ReaderAndStandby() {
     REQUIRE_FALSE(reader.listen("127.0.0.1:0"));
     reader_address = "127.0.0.1:" + std::to_string(reader.port());
-    asking.setReaders({reader_address});
+    standby.setReaders({reader_address});
     reader.onRow("op", {"config", "one", 5, false});
     reader.onWhole("op", {"config"});
     reader.onContact("op", 7, clock.now());
@@ -36,7 +36,8 @@
 
   void wait(std::uint64_t after, Duration time) {
     answer.reset();
-    asking.waitForChanges("op", after, time, [this](TableResponse given) { answer = std::move(given); });
+    standby.waitForChanges("op", after, time,
+                           [this](TableResponse response) { answer = std::move(response); });
   }
 
   template <typename Condition>
@@ -52,7 +53,7 @@
   std::unique_ptr<http::Client> client = http::makeClient(context.get_executor());
   FakeStore store;
   TableRelay reader{context.get_executor(), *client, store, 1};
-  TableRelay asking{context.get_executor(), *client, store, 2};
+  TableRelay standby{context.get_executor(), *client, store, 2};
   std::string reader_address;
   std::optional<TableResponse> answer;
 };
@@ -60,8 +61,8 @@
 }  // namespace
 
 TEST_CASE("a gateway that stands by reads the table from one that serves", "[table_relay]") {
-  TwoGateways pair;
-  pair.asking.read("op", "", [&pair](TableResponse given) { pair.answer = std::move(given); });
+  ReaderAndStandby pair;
+  pair.standby.read("op", "", [&pair](TableResponse response) { pair.answer = std::move(response); });
   pair.runUntil([&] { return pair.answer.has_value(); });
   CHECK(pair.answer->outcome == TableOutcome::Done);
   CHECK(pair.answer->version == 7);
@@ -73,7 +74,7 @@
 }
 
 TEST_CASE("a question is held until the reader has news or a newer contact", "[table_relay]") {
-  TwoGateways pair;
+  ReaderAndStandby pair;
   pair.wait(7, 5s);
   pair.runFor(100ms);
   CHECK_FALSE(pair.answer);
@@ -93,13 +94,13 @@
 }
 
 TEST_CASE("a contact that is old at the reader is as old at those that ask it", "[table_relay]") {
-  TwoGateways pair;
+  ReaderAndStandby pair;
   const TimePoint contact = pair.clock.now() - 2s;
   TableRelay old{pair.context.get_executor(), *pair.client, pair.store, 3};
   REQUIRE_FALSE(old.listen("127.0.0.1:0"));
   old.onWhole("op", {});
   old.onContact("op", 8, contact);
-  pair.asking.setReaders({"127.0.0.1:" + std::to_string(old.port())});
+  pair.standby.setReaders({"127.0.0.1:" + std::to_string(old.port())});
   pair.wait(8, 0s);
   pair.runUntil([&] { return pair.answer.has_value(); });
   CHECK(pair.answer->outcome == TableOutcome::Done);
@@ -107,12 +108,12 @@
 }
 
 TEST_CASE("a reader whose contact is too old is left for the next one", "[table_relay]") {
-  TwoGateways pair;
+  ReaderAndStandby pair;
   TableRelay lost{pair.context.get_executor(), *pair.client, pair.store, 3};
   REQUIRE_FALSE(lost.listen("127.0.0.1:0"));
   lost.onWhole("op", {});
   lost.onContact("op", 8, pair.clock.now() - 10s);
-  pair.asking.setReaders({"127.0.0.1:" + std::to_string(lost.port()), pair.reader_address});
+  pair.standby.setReaders({"127.0.0.1:" + std::to_string(lost.port()), pair.reader_address});
   pair.wait(6, 0s);
   pair.runUntil([&] { return pair.answer.has_value(); });
   CHECK(pair.answer->outcome != TableOutcome::Done);
@@ -123,10 +124,10 @@
 }
 
 TEST_CASE("a reader in trouble tells so at once, and the platform is asked itself", "[table_relay]") {
-  TwoGateways pair;
+  ReaderAndStandby pair;
   pair.wait(7, 5s);
   pair.runFor(100ms);
-  pair.reader.onTrouble("op");
+  pair.reader.onUnavailable("op");
   pair.runUntil([&] { return pair.answer.has_value(); });
   CHECK(pair.answer->outcome != TableOutcome::Done);
   pair.wait(7, 5s);
@@ -138,13 +139,13 @@
 }
 
 TEST_CASE("a reader in trouble holds no question until it has its own contact again", "[table_relay]") {
-  TwoGateways pair;
-  pair.reader.onTrouble("op");
+  ReaderAndStandby pair;
+  pair.reader.onUnavailable("op");
   pair.wait(7, 5s);
   pair.runUntil([&] { return pair.answer.has_value(); });
   CHECK(pair.answer->outcome != TableOutcome::Done);
-  TwoGateways sound;
-  sound.reader.onTrouble("op");
+  ReaderAndStandby sound;
+  sound.reader.onUnavailable("op");
   sound.reader.onContact("op", 7, sound.clock.now());
   sound.wait(7, 0s);
   sound.runUntil([&] { return sound.answer.has_value(); });
@@ -156,8 +157,8 @@
 // asked again for seconds: 6 s without contact, callers refused by an old configuration (404) and for
 // outdated keys.
 TEST_CASE("gateways whose readers are cut off go on with a store that answers them", "[table_relay]") {
-  TwoGateways pair;
-  pair.reader.onTrouble("op");
+  ReaderAndStandby pair;
+  pair.reader.onUnavailable("op");
   pair.wait(7, 5s);
   pair.runUntil([&] { return pair.answer.has_value(); });
   pair.store.answers_at_once = true;
@@ -170,7 +171,7 @@
 }
 
 TEST_CASE("a gateway that does not read the store itself answers nobody", "[table_relay]") {
-  TwoGateways pair;
+  ReaderAndStandby pair;
   pair.reader.setReaders({"127.0.0.1:9"});
   pair.wait(7, 0s);
   pair.runUntil([&] { return pair.answer.has_value(); });
@@ -178,7 +179,7 @@
 }
 
 TEST_CASE("a question whose asker is gone is dropped", "[table_relay]") {
-  TwoGateways pair;
+  ReaderAndStandby pair;
   {
     const std::unique_ptr<http::Client> passing = http::makeClient(pair.context.get_executor());
     http::Request request;
@@ -195,17 +196,17 @@
 }
 
 TEST_CASE("after a late answer the next call goes to another reader, on a new connection", "[table_relay]") {
-  TwoGateways pair;
+  ReaderAndStandby pair;
   TableRelay other{pair.context.get_executor(), *pair.client, pair.store, 3};
   REQUIRE_FALSE(other.listen("127.0.0.1:0"));
   other.onWhole("op", {});
   other.onContact("op", 7, pair.clock.now());
   other.onContact("op", 9, pair.clock.now());
-  pair.asking.setReaders({pair.reader_address, "127.0.0.1:" + std::to_string(other.port())});
+  pair.standby.setReaders({pair.reader_address, "127.0.0.1:" + std::to_string(other.port())});
   pair.wait(7, 5s);
   pair.runFor(50ms);
   CHECK_FALSE(pair.answer);
-  pair.asking.onLate("op");
+  pair.standby.onLate("op");
   pair.wait(7, 0s);
   pair.runUntil([&] { return pair.answer.has_value(); });
   CHECK(pair.answer->version == 9);
@@ -213,7 +214,7 @@
 }
 
 TEST_CASE("the store itself is asked on a new connection after a late answer", "[table_relay]") {
-  TwoGateways pair;
+  ReaderAndStandby pair;
   pair.reader.waitForChanges("op", 7, 5s, [](const TableResponse&) {});
   CHECK(pair.store.late == 0);
   pair.reader.onLate("op");
