--- a/src/gateway_control/gateway_control.cc
+++ b/src/gateway_control/gateway_control.cc
@@ -15,15 +15,15 @@
 
 namespace {
 
-/// Changes within this time are published together: a publication copies the list of back ends, so that the
-/// time grows with the list.
+/// Changes within the publish delay are published together. A publication copies the list of back ends, so the
+/// delay grows with its length.
 constexpr Duration kMinPublishDelay = std::chrono::milliseconds(5);
 constexpr Duration kPublishDelayPerBackend = std::chrono::microseconds(300);
-/// A back end that got an order takes no new request for about as long as a load lasts.
+/// A back end that received an order takes no new request for this time, about the duration of a load.
 constexpr Duration kLoadingTime = std::chrono::milliseconds(1'500);
-/// Weights found at the start have to be in use this much later at the latest.
+/// Deadline, counted from their discovery, for weights that were already named when this process started.
 constexpr Duration kWeightsFoundMargin = std::chrono::milliseconds(4'500);
-/// Longest time between two publications that check what time alone changes.
+/// Maximum interval between two publications; picks up state that changes with time alone.
 constexpr Duration kMaxPublishInterval = std::chrono::seconds(5);
 constexpr Duration kPublishIntervalAtStart = std::chrono::milliseconds(100);
 
@@ -39,14 +39,14 @@
   return addresses;
 }
 
-/// Processor time that a request takes, seconds: half of what 69 gateways spent a request on a standard day
-/// of voltpath-bc-grown when each of them followed caches and told its work (162 s for 40,166 requests).
+/// Processor time per request in seconds. It is half of what 69 gateways took per request while each of them
+/// followed caches and broadcast its load (162 s for 40,166 requests).
 constexpr double kProcessorSecondsPerRequest = 0.002;
-/// Bits that a request moves over a machine's link in the heavier direction: its body of 10 KB goes in and
-/// out, its answer of some KB too.
+/// Bits that a request transfers over a machine's link in the busier direction: a body of 10 KB and a response
+/// of a few KB each pass in and out.
 constexpr double kLinkBitsPerRequest = 200'000;
 
-/// @return requests a second that the machine can carry by its processor and its link.
+/// @return requests per second that the machine can handle, limited by its processor and its link.
 std::uint32_t capacityOf(const NodeSettings& settings) {
   const double by_processor =
       settings.processor_share * settings.processor_speed / kProcessorSecondsPerRequest;
@@ -119,13 +119,13 @@
 }
 
 PlatformCallbacks GatewayControl::platformCallbacks() {
-  PlatformCallbacks news;
-  news.on_configuration = [this](std::shared_ptr<const Configuration> configuration) {
+  PlatformCallbacks callbacks;
+  callbacks.on_configuration = [this](std::shared_ptr<const Configuration> configuration) {
     onConfiguration(std::move(configuration));
   };
-  news.on_weights = [this](NamedWeights named) {
+  callbacks.on_weights = [this](NamedWeights named) {
     named.named_at = now();
-    // What was found at the start was named an unknown time before.
+    // Weights found at startup were named at an unknown earlier time.
     if (!initial_state_received_) named.named_at -= settings_.weights_limit - kWeightsFoundMargin;
     if (!orders_.onNamed(named)) return;
     log_.write(EventId::WeightsNamed, {{"model", named.model},
@@ -133,22 +133,22 @@
                                        {"age_ms", milliseconds(now() - named.named_at)}});
     schedulePublish();
   };
-  news.on_backend = [this](const ListedBackend& listed) {
+  callbacks.on_backend = [this](const ListedBackend& listed) {
     fleet_.onListed(listed, now());
     schedulePublish();
   };
-  news.on_backend_removed = [this](const std::string& id) {
+  callbacks.on_backend_removed = [this](const std::string& id) {
     fleet_.onRemoved(id, now());
     schedulePublish();
   };
-  news.on_full_list = [this](const std::vector<std::string>& ids) {
+  callbacks.on_full_list = [this](const std::vector<std::string>& ids) {
     fleet_.onFullList(ids, now());
     schedulePublish();
   };
-  news.on_contact = [this](TimePoint as_of) { onContact(as_of); };
-  news.on_trouble = [this] { onPlatformFailure(); };
-  news.on_connections_silent = [this] { onConnectionsSilent(); };
-  return news;
+  callbacks.on_contact = [this](TimePoint as_of) { onContact(as_of); };
+  callbacks.on_trouble = [this] { onPlatformFailure(); };
+  callbacks.on_connections_silent = [this] { onConnectionsSilent(); };
+  return callbacks;
 }
 
 OrderGiverCallbacks GatewayControl::orderCallbacks() {
@@ -219,7 +219,7 @@
   configuration_ = std::move(configuration);
   listKvStores();
   gossip_.setConfigurationVersion(configuration_->version);
-  // At once: every bound of a configuration counts from its acceptance.
+  // Without the publish delay: time limits for a configuration count from its acceptance.
   publish();
 }
 
@@ -286,12 +286,12 @@
   schedulePublish();
 }
 
-/// Those that serve go first: they hear what the giver of orders tells.
+/// Serving gateways rank first because they receive what the rollout coordinator reports.
 std::size_t GatewayControl::rank() const {
   const std::vector<MemberRecord> members = gossip_.members();
   const auto key = [this](const MemberRecord& member) {
-    const bool stands_by = !serving_.serves(member.name);
-    return std::tuple(stands_by, member.incarnation, member.name);
+    const bool on_standby = !serving_.serves(member.name);
+    return std::tuple(on_standby, member.incarnation, member.name);
   };
   const auto self = std::find_if(members.begin(), members.end(), [this](const MemberRecord& member) {
     return member.name == gossip_.ownName();
@@ -369,8 +369,8 @@
                {{"current", keys_current_}, {"age_ms", milliseconds(now() - contact_->vouchedAt())}});
   }
   auto snapshot = std::make_shared<GatewaySnapshot>();
-  // Until the record of quarantined requests is known nothing is served: such a request may be the first that
-  // comes.
+  // Without a configuration nothing is served. It is withheld until the record of quarantined requests is known,
+  // since the first request to arrive may be one of them.
   if (crashes_.isSettled(now())) snapshot->configuration = configuration_;
   snapshot->backends = backends_;
   snapshot->weights = orders_.named();
--- a/src/gateway_control/gateway_control.h
+++ b/src/gateway_control/gateway_control.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file The control state of one gateway: what the platform tells, the back ends, the other gateways and the
-/// roll-out of weights. Publishes snapshots to traffic. Everything runs on one thread.
+/// @file The control state of one gateway: platform state, the back ends, the other gateways and the roll-out
+/// of weights. Publishes snapshots to the traffic thread. Everything here runs on one thread.
 
 #include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -26,24 +26,24 @@
 
 namespace crankspur::gateway {
 
-/// Where the control state puts what it decides.
+/// Callbacks that receive the decisions of the control state. Called on its thread.
 struct GatewayControlOutputs {
   std::function<void(std::shared_ptr<const GatewaySnapshot>)> publish;
   std::function<void(CachedPartsNews)> on_cached_parts;
   std::function<void(std::vector<LoadDigest>)> on_peer_load;
   std::function<void(CrashUpdate)> on_crash_update;
-  /// Open connections have gone silent: those of traffic may have, too.
+  /// Open connections to several peers went silent together; connections of traffic may be affected as well.
   std::function<void()> on_connections_silent;
 };
 
-/// What the control state holds, for operators.
+/// Summary of the control state for operators.
 struct ControlStatus {
-  std::uint64_t configuration_version = 0;  ///< 0: none is known.
-  Duration knowledge_age{0};                ///< Since the platform vouched for all that is known.
+  std::uint64_t configuration_version = 0;  ///< 0: none received yet.
+  Duration knowledge_age{0};                ///< Time since the platform last confirmed the known state.
   bool platform_reachable = false;
   bool leaving = false;
   bool holds_order_lease = false;
-  std::uint64_t orders_sent = 0;  ///< Since the start.
+  std::uint64_t orders_sent = 0;  ///< Since the process started.
   std::vector<MemberRecord> members;
   std::vector<std::string> serving;  ///< Member names of the gateways that clients are sent to.
   bool serves = true;                ///< Whether this gateway is one of them.
@@ -57,25 +57,27 @@
                  std::uint64_t incarnation, PlatformLink& platform, GatewayControlOutputs outputs,
                  EventLog& log);
 
-  /// Begins; an error means that the gossip address cannot be bound.
+  /// Starts gossip, the platform link and all timers.
+  /// @return an error if the gossip address cannot be bound.
   std::error_code start();
-  /// Planned stop: tells the other gateways and gives no further orders.
+  /// Planned shutdown: announces it to the other gateways and sends no further orders.
   void leave();
-  /// Takes changed settings into account. Addresses stay as they were at the start.
+  /// Applies changed settings. Changes of addresses take effect only at a restart.
   void onSettings(const NodeSettings& settings);
-  /// @param zone of the clients that ask; empty or unknown: any.
-  /// @return "IP:port" of the gateways that they should use.
+  /// @param zone zone of the requesting clients; empty or unknown: any.
+  /// @return "IP:port" of each gateway that these clients should use.
   std::vector<std::string> clientAddresses(const std::string& zone) const;
   ControlStatus status() const;
 
   void onUnreachable(EngineSlot slot, std::uint64_t incarnation);
   void onWrongBackend(EngineSlot slot, std::uint64_t incarnation,
                       std::optional<std::uint64_t> weights_version);
-  /// Tells the other gateways, in a large fleet those that serve, what this one has at each engine.
+  /// Sends the load that this gateway has placed on each engine to the other gateways; in a large fleet only to
+  /// the serving ones.
   void onOwnLoadDigest(const LoadDigest& digest);
   void onOwnLoad(const OwnLoad& load) { own_load_ = load; }
-  /// Tells all other gateways which back ends ended under which requests.
-  void onOwnCrashUpdate(const CrashUpdate& news);
+  /// Reports to all other gateways which back ends ended while running which requests.
+  void onOwnCrashUpdate(const CrashUpdate& update);
 
 private:
   TimePoint now() const { return clock_.now(); }
@@ -89,14 +91,14 @@
   void onServingNotice(const std::string& sender, const ServingNotice& notice) override;
   void onCrashNotes(const CrashNotes& notes) override;
   void onCrashDigest(const std::string& sender, const CrashDigest& digest) override;
-  void onCrashRecord(const CrashUpdate& news);
+  void onCrashRecord(const CrashUpdate& update);
   void pumpCrashes();
   void carryOut(const SendCrashMessage& action);
   void carryOut(const TellTraffic& action);
   void carryOut(const CallStore& action);
   std::vector<std::string> otherMembers() const;
   void passPeerWork();
-  void onOwnCacheNews(CachedPartsNews news);
+  void onOwnCacheNews(CachedPartsNews update);
   CacheWatchCallbacks cacheCallbacks();
   void onCacheSilent(const CacheSilence& silence);
   void onCacheHeard(EngineSlot slot, std::uint64_t incarnation);
@@ -149,28 +151,28 @@
   GossipSocket gossip_;
   ServingSet serving_;
   FleetView fleet_;
-  std::vector<Backend> backends_;  ///< As published last.
+  std::vector<Backend> backends_;  ///< As last published.
   OrderGiver orders_;
   CacheWatch cache_watch_;
   CacheExchange caches_;
   CrashCoordinator crashes_;
   bool cache_send_scheduled_ = false;
-  TimePoint member_added_at_{};  ///< When a gateway that was not known before became known.
-  bool fleet_stable_ = false;    ///< A large fleet is known: see fleetIsKnown().
-  std::vector<CachedPartsNews> received_cache_updates_;  ///< By other gateways, not yet passed on to traffic.
-  std::set<std::string> kv_stores_;                      ///< Ids of those that the configuration names.
-  std::map<std::string, LoadDigest> peer_loads_;  ///< By sender and zone, not yet passed on to traffic.
+  TimePoint member_added_at_{};  ///< When an unknown gateway last joined.
+  bool fleet_stable_ = false;    ///< Set once by fleetIsKnown().
+  std::vector<CachedPartsNews> received_cache_updates_;  ///< From other gateways, not yet forwarded.
+  std::set<std::string> kv_stores_;                      ///< Ids of the stores in the configuration.
+  std::map<std::string, LoadDigest> peer_loads_;  ///< By sender; not yet forwarded to traffic.
   OwnLoad own_load_;
-  int serving_refreshes_ = 0;            ///< Since the start.
-  std::map<std::string, bool> follows_;  ///< Whether this gateway follows a back end's cache, among sharing_.
-  /// Gateways that share the following of caches; empty: each follows all.
+  int serving_refreshes_ = 0;            ///< Since the process started.
+  std::map<std::string, bool> follows_;  ///< By back end: whether, among sharing_, this gateway follows its cache.
+  /// Gateways among which the followed caches are divided; empty: each gateway follows all caches.
   std::vector<std::string> sharing_;
   std::shared_ptr<const Configuration> configuration_;
   std::shared_ptr<PlatformContact> contact_ = std::make_shared<PlatformContact>();
-  bool initial_state_received_ = false;  ///< The platform has told everything once.
+  bool initial_state_received_ = false;  ///< The platform has sent its complete state once.
   bool platform_reachable_ = true;
-  TimePoint unreachable_since_{};                ///< When the platform was last lost.
-  std::map<std::string, MemberRecord> members_;  ///< As logged last, by name.
+  TimePoint unreachable_since_{};                ///< When the platform last became unreachable.
+  std::map<std::string, MemberRecord> members_;  ///< As last logged, by name.
   bool leaving_ = false;
   bool publish_scheduled_ = false;
   bool keys_current_ = true;
--- a/src/gateway_control/serving_set.cc
+++ b/src/gateway_control/serving_set.cc
@@ -9,27 +9,28 @@
 namespace crankspur::gateway {
 namespace {
 
-/// A gateway of the own zone that serves and has reported nothing for so long is passed over: three notices
-/// and the wait for the next look. Those of other zones are reported less often.
+/// A serving gateway of the own zone is excluded after this time without a notice: three notice intervals and
+/// the wait for the next refresh. Other zones receive notices less often.
 constexpr Duration kOwnZoneNoticeTimeout = kNoticeInterval * 3 + std::chrono::milliseconds(150);
 constexpr Duration kOtherZoneNoticeTimeout = kNoticeInterval * kNoticesPerFleetNotice * 3;
-/// A gateway that has just come into the set may not know it yet.
+/// Time allowed for the first notice: a newly selected gateway may not know yet that it serves.
 constexpr Duration kFirstNoticeTimeout = std::chrono::seconds(2);
-/// What a machine that falls behind alone is taken to carry, and for how long: machines turn slow by five
-/// times and more, for seconds.
+/// Share of its capacity that a gateway is rated at after it alone was overloaded, and for how long. Machines
+/// can slow down by a factor of five or more for several seconds.
 constexpr double kSlowCapacityFactor = 1.0 / 8;
 constexpr Duration kSlowDuration = std::chrono::seconds(5);
-/// The estimate of a zone's traffic rises within seconds and falls in such steps, so that a set that a burst
-/// has widened is still there for the next one.
+/// The traffic estimate of a zone rises within seconds and decays by this factor per interval, so that a set
+/// that grew for a burst is still large at the next one.
 constexpr Duration kDemandDecayInterval = std::chrono::seconds(5);
 constexpr double kDemandDecayFactor = 0.8;
-/// Weight of one look at the traffic reported, five a second: a moment's stampede does not widen the set.
+/// Weight of one sample of the reported traffic, five samples per second. A momentary spike does not enlarge
+/// the set.
 constexpr double kDemandSmoothing = 0.2;
-/// One that was taken out as unfit comes back no sooner, so that doubt about it does not make it come and go:
-/// each change moves the following of caches.
+/// Minimum time that a gateway removed as not eligible stays out of the set. Prevents flapping while its
+/// state is uncertain; each change of the set reassigns the followed caches.
 constexpr Duration kExclusionTime = std::chrono::seconds(3);
-/// While all serving gateways of a zone are in trouble, its traffic is taken to be so much heavier each
-/// second; the factor falls as slowly as the estimate.
+/// While all serving gateways of a zone are overloaded, its traffic estimate is scaled up by this factor
+/// every second; the scale decays as slowly as the estimate.
 constexpr Duration kOverloadStep = std::chrono::seconds(1);
 constexpr double kOverloadGrowth = 1.4;
 constexpr double kMaxOverloadFactor = 8;
@@ -39,7 +40,7 @@
 ServingSet::ServingSet(std::string own, const ServingOptions& options)
     : own_(std::move(own)), options_(options) {}
 
-/// One whose notices come is there, whatever the others have concluded.
+/// A gateway that still sends notices is kept even if membership does not list it.
 bool ServingSet::onMembers(const std::vector<MemberRecord>& members, TimePoint now) {
   std::map<std::string, Gateway> present;
   for (const MemberRecord& member : members) {
@@ -66,7 +67,7 @@
   if (known == gateways_.end()) return;
   known->second.notice = notice;
   known->second.notice_received_at = now;
-  known->second.silent = false;
+  known->second.timed_out = false;
 }
 
 void ServingSet::leave() {
@@ -84,31 +85,31 @@
   if (now < gateway.excluded_until) return false;
   const bool announced_leaving = gateway.notice && gateway.notice->leaving;
   if (announced_leaving || gateway.record.state == MemberState::Leaving) return false;
-  // What it tells itself goes before what others suspect.
+  // Its own notice takes precedence over the suspicion of others.
   if (hasCurrentNotice(gateway, now)) return true;
-  return gateway.record.state == MemberState::Alive && gateway.record.incarnation != 0 && !gateway.silent;
+  return gateway.record.state == MemberState::Alive && gateway.record.incarnation != 0 && !gateway.timed_out;
 }
 
-/// A gateway that hears nobody is itself cut off and concludes nothing.
+/// If no other gateway sends notices, this gateway is itself disconnected and no timeout is recorded.
 void ServingSet::detectTimeouts(TimePoint now) {
   if (now - last_received_at_ > kOwnZoneNoticeTimeout) return;
   for (auto& [name, gateway] : gateways_) {
     if (name == own_ || gateway.serving_since == TimePoint{} || hasCurrentNotice(gateway, now)) continue;
     const bool notice_since_selected = gateway.notice && gateway.notice_received_at >= gateway.serving_since;
-    if (notice_since_selected || now - gateway.serving_since > kFirstNoticeTimeout) gateway.silent = true;
+    if (notice_since_selected || now - gateway.serving_since > kFirstNoticeTimeout) gateway.timed_out = true;
   }
 }
 
 void ServingSet::updateDemand(Demand& demand, const Candidates& zone, TimePoint now) const {
   double reported = 0;
   std::size_t serving = 0;
-  std::size_t pressed = 0;
+  std::size_t overloaded = 0;
   for (const Gateway* gateway : zone) {
     if (!hasCurrentNotice(*gateway, now)) continue;
     reported += gateway->notice->requests_per_second;
     if (gateway->serving_since == TimePoint{}) continue;
     ++serving;
-    if (gateway->notice->pressed) ++pressed;
+    if (gateway->notice->pressed) ++overloaded;
   }
   if (reported >= demand.requests_per_second) {
     demand.requests_per_second += kDemandSmoothing * (reported - demand.requests_per_second);
@@ -117,7 +118,7 @@
     demand.requests_per_second = std::max(reported, demand.requests_per_second * kDemandDecayFactor);
     demand.decayed_at = now;
   }
-  if (serving > 0 && pressed == serving) {
+  if (serving > 0 && overloaded == serving) {
     demand.overloaded_at = now;
     if (now - demand.overload_factor_changed_at < kOverloadStep) return;
     demand.overload_factor = std::min(demand.overload_factor * kOverloadGrowth, kMaxOverloadFactor);
@@ -129,8 +130,8 @@
   }
 }
 
-/// One that falls behind while others of its zone do not is itself slow. It is remembered for a while, since
-/// it no longer falls behind once its clients have gone.
+/// A gateway that is overloaded while others of its zone are not is itself slow. It stays marked for a while,
+/// because it is not overloaded any more once its clients have left.
 void ServingSet::detectSlowGateways(const Candidates& zone, TimePoint now) const {
   const bool any_keeps_up = std::any_of(zone.begin(), zone.end(), [&](const Gateway* gateway) {
     return hasCurrentNotice(*gateway, now) && gateway->serving_since != TimePoint{} &&
@@ -148,38 +149,39 @@
   return now < gateway.slow_until ? capacity * kSlowCapacityFactor : capacity;
 }
 
-/// Clients spread evenly over those that serve, so that the weakest of them bounds what all can carry. The
-/// fewest that carry the traffic serve; if no number does, the one that comes nearest.
+/// Clients spread evenly over the selected gateways, so the one with the lowest capacity limits the total.
+/// Selects the smallest number of gateways that can handle the traffic, or the number with the lowest
+/// utilization if none can.
 std::vector<std::string> ServingSet::selectInZone(const Candidates& zone, const Demand& demand,
                                                   TimePoint now) const {
   struct Ranked {
     const Gateway* gateway;
-    double effectiveCapacity;
+    double capacity;
   };
   std::vector<Ranked> ranked;
   for (const Gateway* gateway : zone) {
     if (isEligible(*gateway, now)) ranked.push_back({gateway, effectiveCapacity(*gateway, now)});
   }
   std::sort(ranked.begin(), ranked.end(), [](const Ranked& left, const Ranked& right) {
-    if (left.effectiveCapacity != right.effectiveCapacity)
-      return left.effectiveCapacity > right.effectiveCapacity;
+    if (left.capacity != right.capacity) return left.capacity > right.capacity;
     return left.gateway->tiebreaker < right.gateway->tiebreaker;
   });
   const double traffic = demand.requests_per_second * demand.overload_factor;
-  std::size_t width = 0;
+  std::size_t selected_count = 0;
   double min_utilization = 0;
   for (std::size_t count = 1; count <= ranked.size(); ++count) {
-    const double use = traffic / (static_cast<double>(count) * ranked[count - 1].effectiveCapacity);
+    const double utilization = traffic / (static_cast<double>(count) * ranked[count - 1].capacity);
     const bool too_few = count < std::min(options_.min_per_zone, ranked.size());
     if (too_few) continue;
-    if (width == 0 || use < min_utilization) {
-      width = count;
-      min_utilization = use;
+    if (selected_count == 0 || utilization < min_utilization) {
+      selected_count = count;
+      min_utilization = utilization;
     }
-    if (use <= options_.max_utilization) break;
+    if (utilization <= options_.max_utilization) break;
   }
   std::vector<std::string> selected;
-  for (std::size_t index = 0; index < width; ++index) selected.push_back(ranked[index].gateway->record.name);
+  for (std::size_t index = 0; index < selected_count; ++index)
+    selected.push_back(ranked[index].gateway->record.name);
   return selected;
 }
 
@@ -202,8 +204,8 @@
   std::sort(serving_.begin(), serving_.end());
   for (auto& [name, gateway] : gateways_) {
     if (!isSelected(name)) {
-      const bool unfit = gateway.serving_since != TimePoint{} && !isEligible(gateway, now);
-      if (unfit) gateway.excluded_until = now + kExclusionTime;
+      const bool became_ineligible = gateway.serving_since != TimePoint{} && !isEligible(gateway, now);
+      if (became_ineligible) gateway.excluded_until = now + kExclusionTime;
       gateway.serving_since = TimePoint{};
     } else if (gateway.serving_since == TimePoint{}) {
       gateway.serving_since = now;
--- a/src/gateway_control/serving_set.h
+++ b/src/gateway_control/serving_set.h
@@ -1,10 +1,12 @@
 #pragma once
-/// @file Which gateways clients are sent to. In a large fleet a few strong gateways of each zone serve:
-/// requests that are placed by few gateways are placed by what those know of each other, and what a gateway
-/// needs to know of engines and caches is told to few. The others stand by: they take whatever comes.
+/// @file The serving set: the gateways that clients are directed to. In a large fleet only a few gateways
+/// with high capacity serve in each zone. Few gateways that place requests can know each other's load, and
+/// updates about engines and caches need to reach few recipients. The other gateways are on standby; they
+/// still handle every request that reaches them.
 ///
-/// Every gateway works the set out for itself, from membership and from the notices of those that serve.
-/// Views differ for a while after a change; that only sends clients to a gateway more. Pure decision code.
+/// Each gateway computes the set on its own, from membership and the notices of serving gateways. Views
+/// differ briefly after a change; the only effect is that clients are directed to one more gateway. Pure
+/// decision code.
 
 #include <cstdint>
 #include <map>
@@ -17,61 +19,60 @@
 
 namespace crankspur::gateway {
 
-/// How many gateways serve.
+/// Size limits of the serving set.
 struct ServingOptions {
-  std::size_t min_per_zone = 2;      ///< One may fail without the zone's clients going elsewhere.
-  std::size_t all_serve_up_to = 12;  ///< In a fleet of at most so many gateways all serve.
-  double max_utilization = 1.0;      ///< Share of its stated capacity that a serving gateway uses at most.
+  std::size_t min_per_zone = 2;      ///< With 2, one may fail and clients still stay in their zone.
+  std::size_t all_serve_up_to = 12;  ///< In a fleet of up to this many gateways all of them serve.
+  double max_utilization = 1.0;      ///< Maximum load of a serving gateway as a ratio of its stated capacity.
 };
 
-/// The set as one gateway sees it. Not thread-safe.
+/// The serving set as seen by one gateway. Not thread-safe.
 class ServingSet {
 public:
   /// @param own member name of this gateway.
   ServingSet(std::string own, const ServingOptions& options);
 
-  /// Takes the live members, this one included, and works the set out anew.
-  /// @return whether it differs from the one before.
+  /// Applies the list of live members, which includes this gateway, and recomputes the set.
+  /// @return whether the set changed.
   bool onMembers(const std::vector<MemberRecord>& members, TimePoint now);
-  /// Takes the notice of a gateway, this one included.
+  /// Records the notice of a gateway, which may be this one.
   void onNotice(const std::string& sender, const ServingNotice& notice, TimePoint now);
-  /// This gateway stops as planned.
+  /// Marks this gateway as shutting down, which removes it from the set at the next refresh.
   void leave();
 
-  /// Works the set out anew.
-  /// @return whether it differs from the one before.
+  /// Recomputes the set.
+  /// @return whether the set changed.
   bool refresh(TimePoint now);
 
-  /// @return whether the fleet is so small that all gateways serve.
+  /// @return whether the fleet is small enough for all gateways to serve.
   bool allServe() const { return all_serve_; }
-  /// @return names of those that serve, sorted.
+  /// @return member names of the selected gateways, sorted.
   const std::vector<std::string>& serving() const { return serving_; }
-  /// @return whether clients are sent to the gateway: in a small fleet to each.
+  /// @return whether clients are directed to the gateway. Always true in a small fleet.
   bool serves(const std::string& name) const;
-  /// @return those of the zone, the strongest first; of all zones if the zone has none.
+  /// @return serving gateways of the zone by descending capacity; those of all zones if the zone has none.
   std::vector<std::string> servingInZone(const std::string& zone) const;
-  /// @return the zone's traffic that the set was made for, requests a second, overload_factor included.
+  /// @return the traffic that the zone's set is sized for, in requests per second, overload factor included.
   double demandOf(const std::string& zone) const;
 
 private:
-  /// One gateway.
   struct Gateway {
     MemberRecord record;
-    std::uint64_t tiebreaker = 0;  ///< Orders gateways of equal effectiveCapacity.
+    std::uint64_t tiebreaker = 0;  ///< Orders gateways of equal capacity.
     std::optional<ServingNotice> notice;
     TimePoint notice_received_at{};
-    TimePoint serving_since{};   ///< TimePoint{}: it is not in the set.
-    bool silent = false;         ///< Was in the set and told nothing for too long.
-    TimePoint slow_until{};      ///< Fell behind while others of its zone did not.
-    TimePoint excluded_until{};  ///< Was taken out as unfit, and comes back no sooner.
+    TimePoint serving_since{};   ///< TimePoint{}: not in the set.
+    bool timed_out = false;      ///< Sent no notice for too long while in the set.
+    TimePoint slow_until{};      ///< Was overloaded while others of its zone were not.
+    TimePoint excluded_until{};  ///< Was removed as not eligible; may not be selected before.
   };
-  /// What is remembered of a zone's traffic.
+  /// Traffic estimate of a zone.
   struct Demand {
-    double requests_per_second = 0;  ///< Smoothed, and falling slowly.
+    double requests_per_second = 0;  ///< Smoothed; decays slowly.
     TimePoint decayed_at{};
-    double overload_factor = 1;  ///< Factor by which gateways in trouble say that the figures are too low.
+    double overload_factor = 1;  ///< Scales the estimate up while all serving gateways are overloaded.
     TimePoint overloaded_at{};
-    TimePoint overload_factor_changed_at{};  ///< When `overload_factor` changed last.
+    TimePoint overload_factor_changed_at{};
   };
   using Candidates = std::vector<Gateway*>;
   bool isSelected(const std::string& name) const;
@@ -89,11 +90,11 @@
   ServingOptions options_;
   std::map<std::string, Gateway> gateways_;
   std::map<std::string, Demand> demands_;                    ///< By zone.
-  std::map<std::string, std::vector<std::string>> by_zone_;  ///< Those that serve, the strongest first.
+  std::map<std::string, std::vector<std::string>> by_zone_;  ///< Selected gateways by descending capacity.
   std::vector<std::string> serving_;
   bool all_serve_ = true;
   bool leaving_ = false;
-  TimePoint last_received_at_{};  ///< When any other gateway told something.
+  TimePoint last_received_at_{};  ///< Last notice from any other gateway.
 };
 
 }  // namespace crankspur::gateway
--- a/src/gateway_control/serving_timings.h
+++ b/src/gateway_control/serving_timings.h
@@ -1,17 +1,17 @@
 #pragma once
-/// @file How often gateways that serve tell the others so: shared by those who tell and those who judge
-/// silence.
+/// @file Intervals of serving notices. Shared by the code that sends them and the code that detects their
+/// absence.
 
 #include "base/time.h"
 
 namespace crankspur::gateway {
 
-/// Between two notices to the own zone and to those that serve elsewhere: a gateway that dies is left out of
-/// the answers to clients some 1.3 s later, sooner than gossip finds it.
+/// Interval between notices to the own zone and to serving gateways of other zones. A gateway that dies is
+/// left out of the addresses given to clients about 1.3 s later, sooner than gossip detects the failure.
 inline constexpr Duration kNoticeInterval = std::chrono::milliseconds(400);
-/// Each so many notices one goes to the whole fleet.
+/// Every n-th notice is sent to the whole fleet.
 inline constexpr int kNoticesPerFleetNotice = 3;
-/// The set is worked out anew so often.
+/// Interval at which the serving set is recomputed.
 inline constexpr Duration kServingRefreshInterval = std::chrono::milliseconds(200);
 
 }  // namespace crankspur::gateway
