--- a/src/gateway_control/fleet_view.cc
+++ b/src/gateway_control/fleet_view.cc
@@ -10,23 +10,24 @@
 
 namespace {
 
-/// After trouble of the platform an entry that vanished is believed to be gone only this much later, so that
-/// a sound back end has written it again.
+/// An entry that disappears around a platform failure counts as removed only after this time since the
+/// failure, so that a healthy back end can write it again.
 constexpr Duration kPlatformFailureGrace = std::chrono::milliseconds(2'800);
-/// A back end that is gone is expired this much later; its runs may still go on.
+/// A removed back end is kept for this time because its runs may still continue.
 constexpr Duration kRetention = std::chrono::seconds(30);
 constexpr Duration kInitialAvoidance = std::chrono::milliseconds(500);
 constexpr Duration kMaxAvoidance = std::chrono::seconds(4);
-/// A failure this long after the one before starts the count anew.
+/// A failure this long after the previous one restarts the failure count.
 constexpr Duration kFailureStreakTimeout = std::chrono::seconds(10);
-/// Silence counts for so long after it was last told: the follower of the cache asks about every 0.9 s.
+/// A report that a back end is unresponsive expires after this time; the follower of its cache polls about
+/// every 0.9 s.
 constexpr Duration kUnresponsiveLifetime = std::chrono::milliseconds(2'000);
-/// Lists lag: an older version in one within this time of a learned version is not believed.
+/// For this time after a version was learned, an older one in a list is ignored, because lists lag behind.
 constexpr Duration kListLag = std::chrono::seconds(3);
 
-/// Raises a listed version to the one that was learned before the list.
-void keepNewerVersion(LoadedModel& loaded, const std::vector<LoadedModel>& held) {
-  for (const LoadedModel& before : held) {
+/// Replaces a listed version by the previously known one if that is newer.
+void keepNewerVersion(LoadedModel& loaded, const std::vector<LoadedModel>& previous_models) {
+  for (const LoadedModel& before : previous_models) {
     const bool newer = weightsNumber(before.weights_version) > weightsNumber(loaded.weights_version);
     if (before.model == loaded.model && newer) loaded.weights_version = before.weights_version;
   }
@@ -76,12 +77,12 @@
   entry.backend.cold_until = listed.cold_left > Duration(0) ? now + listed.cold_left : TimePoint{};
   entry.listed = true;
   entry.draining = listed.draining;
-  const std::vector<LoadedModel> held = std::exchange(view.models, listed.models);
+  const std::vector<LoadedModel> previous_models = std::exchange(view.models, listed.models);
   const bool list_lags = now - entry.weights_learned_at < kListLag && !added;
   if (list_lags) {
-    for (LoadedModel& loaded : view.models) keepNewerVersion(loaded, held);
+    for (LoadedModel& loaded : view.models) keepNewerVersion(loaded, previous_models);
   }
-  recordListedWeights(entry, held);
+  recordListedWeights(entry, previous_models);
 }
 
 void FleetView::raiseWeights(Entry& entry, const std::string& model, const std::string& version,
@@ -94,9 +95,9 @@
   }
 }
 
-void FleetView::recordListedWeights(const Entry& entry, const std::vector<LoadedModel>& held) {
+void FleetView::recordListedWeights(const Entry& entry, const std::vector<LoadedModel>& previous_models) {
   const EngineView& view = entry.backend.view;
-  for (const LoadedModel& before : held) {
+  for (const LoadedModel& before : previous_models) {
     const std::string version = view.weightsOf(before.model);
     if (version == before.weights_version) continue;
     weights_changes_.push_back({view.name, before.model, before.weights_version, version, StateSource::list});
@@ -113,18 +114,18 @@
   Entry& entry = place->second;
   entry.listed = false;
   entry.unlisted_at = now;
-  const bool doubtful =
+  const bool may_be_healthy =
       platform_has_failed_ && now - platform_failed_at_ < kPlatformFailureGrace && !entry.draining;
-  entry.leaving_from = doubtful ? platform_failed_at_ + kPlatformFailureGrace : now;
+  entry.leaving_from = may_be_healthy ? platform_failed_at_ + kPlatformFailureGrace : now;
 }
 
 void FleetView::onFullList(const std::vector<std::string>& ids, TimePoint now) {
   const std::set<std::string> listed(ids.begin(), ids.end());
-  std::vector<std::string> gone;
+  std::vector<std::string> removed;
   for (const auto& [id, entry] : entries_) {
-    if (entry.listed && !entry.backend.is_kv_store && !listed.contains(id)) gone.push_back(id);
+    if (entry.listed && !entry.backend.is_kv_store && !listed.contains(id)) removed.push_back(id);
   }
-  for (const std::string& id : gone) onRemoved(id, now);
+  for (const std::string& id : removed) onRemoved(id, now);
 }
 
 void FleetView::onPlatformFailure(TimePoint now) {
@@ -148,7 +149,7 @@
   const auto place = entries_.find(id);
   if (place == entries_.end()) return;
   Entry& entry = place->second;
-  if (now >= entry.unresponsive_until) entry.silent_since = since;
+  if (now >= entry.unresponsive_until) entry.unresponsive_since = since;
   entry.unresponsive_until = now + kUnresponsiveLifetime;
 }
 
@@ -183,11 +184,11 @@
 void FleetView::onLoadReport(const std::string& id, const LoadReport& load, TimePoint now) {
   const auto place = entries_.find(id);
   if (place == entries_.end()) return;
-  LoadReport& held = place->second.backend.view.load;
-  const std::uint32_t limit = held.batch_limit;
-  held = load;
-  held.batch_limit = limit;
-  held.measured_at = now;
+  LoadReport& current = place->second.backend.view.load;
+  const std::uint32_t limit = current.batch_limit;
+  current = load;
+  current.batch_limit = limit;
+  current.measured_at = now;
 }
 
 FleetView::Entry* FleetView::findSlot(EngineSlot slot, std::uint64_t incarnation) {
@@ -235,7 +236,7 @@
       entry.last_state = state;
     }
     entry.backend.view.state = state;
-    entry.backend.silent_since = now < entry.unresponsive_until ? entry.silent_since : TimePoint{};
+    entry.backend.silent_since = now < entry.unresponsive_until ? entry.unresponsive_since : TimePoint{};
     backends.push_back(entry.backend);
   }
   std::sort(backends.begin(), backends.end(),
--- a/src/gateway_control/fleet_view.h
+++ b/src/gateway_control/fleet_view.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file The back ends as one gateway sees them: the platform's list, corrected by what traffic and orders
-/// learned. Pure decision code.
+/// @file The back ends as seen by one gateway: the platform's list, corrected by observations of traffic and
+/// orders. Pure decision code.
 
 #include <cstdint>
 #include <map>
@@ -15,16 +15,16 @@
 
 namespace crankspur::gateway {
 
-/// What a belief about a back end rests on.
+/// The source of a back end's assumed state.
 enum class StateSource {
   list,          ///< The platform's list.
   own_traffic,   ///< Requests that this gateway sent.
-  report,        ///< The back end's report, to this gateway or to another one that told it on.
-  order,         ///< An order to load weights, by this gateway or another one.
-  elapsed_time,  ///< What previous_models before has run out.
+  report,        ///< The back end's report, received directly or forwarded by another gateway.
+  order,         ///< An order to load weights, sent by this gateway or another one.
+  elapsed_time,  ///< The previous state expired.
 };
 
-/// @return the source as it stands in logs.
+/// @return the source as written in logs.
 std::string_view nameOf(StateSource source);
 
 /// A change of a back end's state, for the log.
@@ -37,7 +37,7 @@
   StateSource source = StateSource::list;
 };
 
-/// A change of the weights that a back end is believed to hold, for the log.
+/// A change of the weights that a back end is assumed to hold, for the log.
 struct WeightsChange {
   std::string id;
   std::string model;
@@ -46,34 +46,36 @@
   StateSource source = StateSource::list;
 };
 
-/// The view. Not thread-safe.
+/// Assumed state of all back ends. Not thread-safe.
 class FleetView {
 public:
   void onListed(const ListedBackend& listed, TimePoint now);
   void onRemoved(const std::string& id, TimePoint now);
-  /// Back ends that are listed and not among `ids` are gone.
+  /// The complete list was read: listed back ends that are not among `ids` are removed.
   void onFullList(const std::vector<std::string>& ids, TimePoint now);
-  /// The platform answers badly: entries that vanish soon after may belong to sound back ends.
+  /// The platform failed: entries that disappear soon after it may belong to healthy back ends.
   void onPlatformFailure(TimePoint now);
   /// Traffic could not reach the back end.
   void onUnreachable(EngineSlot slot, std::uint64_t incarnation, TimePoint now);
-  /// It has not answered those who follow its cache since `since`. Holds for a while unless it is told again.
+  /// The back end has not responded to the followers of its cache since `since`. Expires after a while unless
+  /// it is reported again.
   void onUnresponsive(const std::string& id, TimePoint since, TimePoint now);
-  /// It has answered one of them.
-  /// @return whether it was taken to be silent.
+  /// The back end responded to a follower of its cache.
+  /// @return whether it was assumed to be unresponsive.
   bool onResponsive(const std::string& id, TimePoint now);
-  /// The back end itself, or an answer of it, stated the version of weights that it holds.
+  /// A report or response of the back end stated the version of the weights that it holds.
   void onWeights(const std::string& id, const std::string& model, const std::string& version, TimePoint now,
                  StateSource source = StateSource::report);
   /// As above, for a back end that holds one model.
   void onWeightsOfSlot(EngineSlot slot, std::uint64_t incarnation, const std::string& version, TimePoint now);
-  /// An order to load weights is running at the back end until `until`; it takes no new request meanwhile.
+  /// The back end executes an order to load weights until `until` and takes no new request before.
   void onLoading(const std::string& id, TimePoint until);
   void onLoadReport(const std::string& id, const LoadReport& load, TimePoint now);
 
-  /// @return back ends that may still matter, by slot. Forgets those long gone.
+  /// Drops back ends that were removed long ago.
+  /// @return all others, by slot.
   std::vector<Backend> backends(TimePoint now);
-  /// @return when a state changes by time alone; TimePoint::max() if none does.
+  /// @return the next time at which a state changes by elapsed time; TimePoint::max() if there is none.
   TimePoint nextChange(TimePoint now) const;
   /// @return state changes since the last call.
   std::vector<FleetChange> takeChanges();
@@ -87,18 +89,18 @@
     bool draining = false;
     TimePoint unlisted_at{};
     TimePoint leaving_from{};    ///< When an unlisted back end counts as leaving.
-    TimePoint avoided_until{};   ///< Traffic failed to reach it.
-    std::uint32_t failures = 0;  ///< In a row.
+    TimePoint avoided_until{};   ///< Set when traffic fails to reach it.
+    std::uint32_t failures = 0;  ///< Consecutive failures of traffic to reach it.
     TimePoint last_failure{};
     TimePoint loading_until{};
-    TimePoint silent_since{};
-    TimePoint unresponsive_until{};  ///< When the last word of its silence is too old to count.
+    TimePoint unresponsive_since{};
+    TimePoint unresponsive_until{};  ///< When the last report that it is unresponsive expires.
     TimePoint weights_learned_at{};
     EngineState last_state = EngineState::Dead;
   };
 
   Entry* findSlot(EngineSlot slot, std::uint64_t incarnation);
-  /// A state with what it rests on.
+  /// A state with its cause and source.
   struct EvaluatedState {
     EngineState state = EngineState::Live;
     std::string_view cause;
@@ -110,7 +112,7 @@
   void recordListedWeights(const Entry& entry, const std::vector<LoadedModel>& previous_models);
 
   std::map<std::string, Entry> entries_;
-  std::map<std::string, std::string> newest_at_address_;  ///< Address to the id listed there last.
+  std::map<std::string, std::string> newest_at_address_;  ///< By address: the id last listed there.
   TimePoint platform_failed_at_{};
   bool platform_has_failed_ = false;
   SlotPool slots_;
@@ -118,7 +120,7 @@
   std::vector<WeightsChange> weights_changes_;
 };
 
-/// @return the version as a number; 0 when it is none.
+/// @return the version as a number; 0 if it is not numeric.
 std::uint64_t weightsNumber(const std::string& version);
 
 }  // namespace crankspur::gateway
--- a/src/gateway_control/gateway_control_suspension.cc
+++ b/src/gateway_control/gateway_control_suspension.cc
@@ -1,4 +1,4 @@
-/// @file What a gateway does when its machine wakes from a suspension.
+/// @file Detects that the machine was suspended and resumed, and renews the state that expired meanwhile.
 
 #include <chrono>
 
@@ -7,13 +7,13 @@
 namespace crankspur::gateway {
 namespace {
 
-/// A wake is noticed within this time; until then only what the clock itself tells is known of it.
+/// A resume is detected within this time; until then it shows only in the clock.
 constexpr Duration kSuspensionCheckInterval = std::chrono::milliseconds(250);
 
 }  // namespace
 
-/// What has run out during a suspension is judged by the clock at each act; this renews it. Traffic hears of
-/// it by way of the platform's word on silent connections.
+/// State that expired during a suspension is recognized by the clock whenever it is used; this function
+/// renews it. Traffic is notified through the platform's on_connections_silent callback.
 void GatewayControl::watchForSuspension() {
   const auto not_counting = std::chrono::steady_clock::now().time_since_epoch();
   const auto suspended =
--- a/src/gateway_control/list_batch_delay.cc
+++ b/src/gateway_control/list_batch_delay.cc
@@ -6,15 +6,15 @@
 namespace {
 
 constexpr Duration kDelayPerGateway = std::chrono::milliseconds(25);
-/// The rest of the limit is for the call, its repetition after a failure, and the publication.
+/// The remainder of the limit covers the call, one retry after a failure, and the publication.
 constexpr double kMaxShareOfLimit = 0.5;
 
 }  // namespace
 
 Duration listBatchDelay(std::size_t gateways, Duration departure_limit) {
-  const Duration longest(
+  const Duration max_delay(
       static_cast<Duration::rep>(static_cast<double>(departure_limit.count()) * kMaxShareOfLimit));
-  return std::min(longest, kDelayPerGateway * static_cast<Duration::rep>(gateways));
+  return std::min(max_delay, kDelayPerGateway * static_cast<Duration::rep>(gateways));
 }
 
 }  // namespace crankspur::gateway
--- a/src/gateway_control/list_batch_delay.h
+++ b/src/gateway_control/list_batch_delay.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file How long changes of the platform's list of back ends may be gathered before they are read.
+/// @file Delay for which changes of the platform's list of back ends are batched before they are read.
 
 #include <cstddef>
 
@@ -7,11 +7,11 @@
 
 namespace crankspur::gateway {
 
-/// Each gateway reads the list at each of its changes, so that the calls of a fleet grow with its size; a
-/// larger one gathers changes for longer.
-/// @param gateways live ones.
-/// @param departure_limit from the listing of a back end as leaving to the last new request for it; more than
-/// a part of it is never spent on gathering.
+/// Every gateway reads the list whenever it changes, so the number of calls grows with the size of the fleet.
+/// A larger fleet therefore batches changes for longer.
+/// @param gateways number of live gateways that read the list.
+/// @param departure_limit maximum time from the listing of a back end as leaving to the last new request for
+/// it; the delay takes at most a fixed share of it.
 Duration listBatchDelay(std::size_t gateways, Duration departure_limit);
 
 }  // namespace crankspur::gateway
--- a/src/gateway_control/platform_link.h
+++ b/src/gateway_control/platform_link.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file What a gateway's control state needs of the platform it runs on, in the product's terms. Translators
-/// implement it; everything happens on the control thread.
+/// @file Interface between a gateway's control state and the platform it runs on. Platform-specific
+/// translators implement it. All calls and callbacks run on the control thread.
 
 #include <cstdint>
 #include <functional>
@@ -16,10 +16,10 @@
 
 namespace crankspur::gateway {
 
-/// A back end as the platform lists it.
+/// Entry of a back end in the platform's list.
 struct ListedBackend {
-  std::string id;             ///< Differs at each start of a back end.
-  std::uint64_t born_ms = 0;  ///< Unix time of the start, for those that read lists; 0: not stated.
+  std::string id;             ///< New at each start of the back end.
+  std::uint64_t born_ms = 0;  ///< Unix time of the start, for readers of lists; 0: not stated.
   std::string pool;
   std::string address;  ///< "IP:port".
   std::string zone;
@@ -27,34 +27,35 @@
   bool draining = false;
   Duration cold_left{0};
   std::vector<LoadedModel> models;
-  bool is_kv_store = false;         ///< Named by the configuration, not by the list.
-  double link_bits_per_second = 0;  ///< Rate at which a store gives KV cache away; 0: not stated.
+  bool is_kv_store = false;         ///< Comes from the configuration, not from the list.
+  double link_bits_per_second = 0;  ///< Rate at which a store sends KV cache; 0: not stated.
 };
 
-/// What the platform tells unasked. Listed back ends come before the contact that vouches for them.
+/// Notifications from the platform. Listed back ends are delivered before the contact that confirms them.
 struct PlatformCallbacks {
-  /// A configuration that the operator had accepted; versions may repeat but never mean different things.
+  /// A configuration that the platform accepted from the operator. A version may be delivered more than once,
+  /// but always with the same content.
   std::function<void(std::shared_ptr<const Configuration>)> on_configuration;
   std::function<void(NamedWeights)> on_weights;
   std::function<void(const ListedBackend&)> on_backend;
-  /// The platform lists the back end no longer.
+  /// The back end was removed from the list.
   std::function<void(const std::string& id)> on_backend_removed;
-  /// A whole list has been told: back ends that it left out are listed no longer.
+  /// A complete list was delivered: back ends that are not among `ids` are removed.
   std::function<void(const std::vector<std::string>& ids)> on_full_list;
-  /// Everything that the operator had accepted by `as_of` has been told.
+  /// Everything that the platform accepted from the operator by `as_of` has been delivered.
   std::function<void(TimePoint as_of)> on_contact;
-  /// The platform did not answer or turned a call away.
+  /// The platform did not respond, or rejected a call.
   std::function<void()> on_trouble;
-  /// Open connections to several peers have gone silent together, while new ones may work.
+  /// Open connections to several peers went silent together; new connections may still work.
   std::function<void()> on_connections_silent;
 };
 
-/// What a back end says of the weights that it holds.
+/// Report of a back end about the weights that it holds.
 struct WeightsReport {
-  std::uint64_t orders_taken = 0;  ///< Grows with each order; forgotten at a restart.
+  std::uint64_t orders_taken = 0;  ///< Incremented by each order; reset by a restart.
   bool order_running = false;
   std::vector<LoadedModel> models;
-  LoadReport load;  ///< measured_at is left to the receiver.
+  LoadReport load;  ///< measured_at is set by the receiver.
 };
 
 /// An order to load weights.
@@ -68,67 +69,67 @@
   std::uint64_t fencing_token = 0;
 };
 
-/// How a back end answered an order.
+/// Outcome of an order sent to a back end.
 enum class OrderResponse {
-  Begun,     ///< It is loading.
-  InEffect,  ///< It has these weights.
-  Conflict,  ///< Another order runs, or others were taken since the report.
-  Fenced,    ///< It saw a higher token.
-  Refused,   ///< It does not know the order, or is another back end.
-  Unknown,   ///< No answer: it may have been taken, or be taken later.
+  Begun,     ///< The back end started to load the weights.
+  InEffect,  ///< The back end already has these weights.
+  Conflict,  ///< Another order is running, or others were accepted since the report.
+  Fenced,    ///< The back end has seen a higher fencing token.
+  Refused,   ///< The back end does not support the order, or is another incarnation.
+  Unknown,   ///< No response: the order may have been accepted or may be accepted later.
 };
 
-/// One answer about the cached parts of a back end or store.
+/// One response about the cached parts of a back end or store.
 struct CachedPartsPage {
   bool answered = false;
-  bool rejected = false;       ///< It answers, but holds as many such calls as it may.
-  std::uint64_t epoch = 0;     ///< Differs after each restart of the cache.
-  std::uint64_t position = 0;  ///< Where the next question begins.
-  bool gap = false;            ///< Events were lost: ask for the whole.
+  bool rejected = false;       ///< It responded, but already holds its maximum of such calls.
+  std::uint64_t epoch = 0;     ///< Changes at each restart of the cache.
+  std::uint64_t position = 0;  ///< Position to request next.
+  bool gap = false;            ///< Events were lost; the complete content must be read.
   std::vector<CachedPart> parts;
 };
 
-/// A row of this program's own in the platform's store.
+/// A row that this program owns in the platform's store.
 struct StoredRecord {
-  std::string text;               ///< Empty: there is none.
-  std::uint64_t row_version = 0;  ///< 0: there is none.
-  Duration age{0};                ///< Since it was written, by the store's clock.
+  std::string text;               ///< Empty: the row does not exist.
+  std::uint64_t row_version = 0;  ///< 0: the row does not exist.
+  Duration age{0};                ///< Time since it was written, by the store's clock.
 };
 
-/// The platform and the back ends behind it.
+/// Access to the platform and to the back ends it lists.
 class PlatformLink {
 public:
   virtual ~PlatformLink() = default;
-  /// Begins to tell news.
-  virtual void start(PlatformCallbacks news) = 0;
-  /// The machine was suspended: connections of before are not trusted, and what the platform holds is asked
-  /// for anew.
+  /// Starts to deliver notifications.
+  virtual void start(PlatformCallbacks callbacks) = 0;
+  /// The machine was suspended: abandons connections opened before and reads the state of the platform again.
   virtual void onWake() = 0;
-  /// Changes of the list of back ends may be gathered for so long before they are told.
-  virtual void setListBatchDelay(Duration pause) = 0;
-  /// Names other gateways to ask for what the platform holds.
-  /// @param addresses "IP:port", the best first; empty: this gateway asks the platform itself.
+  /// Sets how long changes of the list of back ends may be batched before they are delivered.
+  virtual void setListBatchDelay(Duration delay) = 0;
+  /// Sets other gateways from which the state of the platform is read.
+  /// @param addresses "IP:port" by descending preference; empty: this gateway reads the platform itself.
   virtual void setReaders(std::vector<std::string> addresses) = 0;
-  /// @param done gets the row, or empty when the platform did not answer.
+  /// @param done receives the row, or nullopt if the platform did not respond.
   virtual void readLease(const std::string& name, std::function<void(std::optional<LeaseRow>)> done) = 0;
   /// Writes the row if it still has `expected_version`.
-  /// @param done gets whether it was written and the present row; empty when the outcome is unknown.
+  /// @param done receives whether the row was written, and the current row; nullopt if the outcome is
+  /// unknown.
   virtual void writeLease(const std::string& name, const LeaseRow& row, std::uint64_t expected_version,
                           std::function<void(bool written, std::optional<LeaseRow>)> done) = 0;
-  /// @param done gets the record, or empty when the platform did not answer.
+  /// @param done receives the record, or nullopt if the platform did not respond.
   virtual void readRecord(const std::string& name,
                           std::function<void(const std::optional<StoredRecord>&)> done) = 0;
   /// Writes the record if its row still has `expected_version`.
-  /// @param done gets whether it was written; false also when that is unknown.
+  /// @param done receives whether the record was written; also false if the outcome is unknown.
   virtual void writeRecord(const std::string& name, const std::string& text, std::uint64_t expected_version,
                            std::function<void(bool written)> done) = 0;
   virtual void readWeights(const std::string& address,
                            std::function<void(std::optional<WeightsReport>)> done) = 0;
   virtual void sendOrder(const WeightsOrder& order, std::function<void(OrderResponse)> done) = 0;
-  /// Asks for changes after `position`, waiting up to `wait` for the first.
+  /// Requests changes after `position`; the response is delayed up to `wait` until there is one.
   virtual void readCacheEvents(const std::string& address, std::uint64_t position, Duration wait,
                                std::function<void(CachedPartsPage)> done) = 0;
-  /// Asks for everything that is cached now.
+  /// Requests everything that is currently cached.
   virtual void readCacheContent(const std::string& address, std::function<void(CachedPartsPage)> done) = 0;
 };
 
--- a/src/gateway_control/reader_selector.cc
+++ b/src/gateway_control/reader_selector.cc
@@ -6,12 +6,14 @@
 namespace crankspur::gateway {
 namespace {
 
-/// A gateway that failed is not asked again for so long: as long as a restart takes.
+/// A gateway that failed is not used for this time, which is the duration of a restart.
 constexpr Duration kFailureBackoff = std::chrono::seconds(2);
-/// One whose answer is late: until another one has had time to answer on a new connection.
+/// A gateway whose response is late is not used for this time, which lets another one respond on a new
+/// connection.
 constexpr Duration kLateBackoff = std::chrono::milliseconds(400);
-/// While all readers fail, and the platform too, a gateway asks the platform itself about this often. Readers
-/// fail together when the platform is down, and then hundreds of gateways would ask it at once.
+/// Average interval at which a gateway reads the platform while all readers and the platform itself fail.
+/// Readers fail together when the platform is down; without the interval hundreds of gateways would call it
+/// at once.
 constexpr Duration kPlatformInterval = std::chrono::seconds(3);
 
 }  // namespace
@@ -31,9 +33,9 @@
   }
   if (platform_responds_) return {ReadTarget::Kind::Platform, ""};
   if (now < next_platform_read_at_) return {ReadTarget::Kind::None, ""};
-  const double share = 0.5 + random_.unit();
+  const double jitter = 0.5 + random_.unit();
   next_platform_read_at_ =
-      now + Duration(static_cast<Duration::rep>(static_cast<double>(kPlatformInterval.count()) * share));
+      now + Duration(static_cast<Duration::rep>(static_cast<double>(kPlatformInterval.count()) * jitter));
   return {ReadTarget::Kind::Platform, ""};
 }
 
--- a/src/gateway_control/table_mirror.cc
+++ b/src/gateway_control/table_mirror.cc
@@ -6,8 +6,8 @@
 namespace crankspur::gateway {
 namespace {
 
-/// Removed rows are remembered up to this many: some minutes of a fleet whose back ends come and go. Whoever
-/// asks for older changes reads the table whole.
+/// Maximum number of removed rows that are kept, enough for some minutes of a fleet whose back ends come and
+/// go. A request for older changes has to read the complete table.
 constexpr std::size_t kMaxRemovals = 500;
 
 }  // namespace
--- a/src/gateway_control/table_relay.cc
+++ b/src/gateway_control/table_relay.cc
@@ -14,17 +14,17 @@
 constexpr int kGone = 410;
 constexpr int kUnavailable = 503;
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(400);
-/// Beyond the wait last for: the way there and back, and a reader that is late.
+/// Time allowed beyond the requested wait, for the round trip and a late reader.
 constexpr Duration kResponseMargin = std::chrono::milliseconds(1'200);
-/// A reader hears from the store once in the time that its own calls are held. Those that ask it hold theirs
-/// this much longer, so that its next contact falls within.
+/// A reader has contact with the store once per hold time of its own calls. It holds requests of other
+/// gateways longer by this margin, so that its next contact falls within.
 constexpr Duration kHoldMargin = std::chrono::milliseconds(400);
-/// An answer whose contact is older than the wait by this much comes from a reader in trouble.
+/// A response whose contact is older than the wait plus this margin comes from a reader that lost the store.
 constexpr Duration kStaleMargin = std::chrono::milliseconds(1'000);
-/// Questions that wait are looked at so often.
+/// Interval at which held requests are checked for expiry.
 constexpr Duration kWaitingCheckInterval = std::chrono::milliseconds(200);
-/// Least age at which a contact counts as old whatever the wait: a call without a wait may come at any moment
-/// of the reader's own.
+/// Minimum age at which a contact counts as stale, regardless of the wait: a call without a wait may arrive
+/// at any time during the reader's own call.
 constexpr Duration kMinStaleAge = std::chrono::milliseconds(3'500);
 constexpr Duration kMaxWait = std::chrono::seconds(30);
 
@@ -43,7 +43,7 @@
 
 TableRelay::TableRelay(const boost::asio::any_io_executor& executor, http::Client& client, TableSource& store,
                        std::uint64_t random_seed)
-    : client_(client), store_(store), choice_(random_seed), executor_(executor), timer_(executor) {}
+    : client_(client), store_(store), selector_(random_seed), executor_(executor), timer_(executor) {}
 
 std::error_code TableRelay::listen(const std::string& address) {
   std::error_code error;
@@ -55,7 +55,7 @@
   return error;
 }
 
-// The side that asks.
+// Client side.
 
 void TableRelay::read(const std::string& table, const std::string& from, TableCallback done) {
   const ReadTarget source = nextSource(table);
@@ -78,20 +78,19 @@
 }
 
 ReadTarget TableRelay::nextSource(const std::string& table) {
-  ReadTarget source = choice_.next(now());
+  ReadTarget source = selector_.next(now());
   last_target_[table] = source;
-  // All readers fail or are late: connections to the store that are kept for other calls may be silent as
-  // well.
+  // All readers fail or are late, so idle connections to the store may be silent as well.
   if (source.kind == ReadTarget::Kind::Platform && !readsPlatform()) store_.onLate(table);
   return source;
 }
 
 TableCallback TableRelay::recordOutcome(TableCallback done) {
-  return [this, done = std::move(done)](TableResponse answer) {
-    const bool answered =
-        answer.outcome == TableOutcome::Done || answer.outcome == TableOutcome::HistoryCompacted;
-    choice_.onPlatformResponse(answered);
-    done(std::move(answer));
+  return [this, done = std::move(done)](TableResponse result) {
+    const bool responded =
+        result.outcome == TableOutcome::Done || result.outcome == TableOutcome::HistoryCompacted;
+    selector_.onPlatformResponse(responded);
+    done(std::move(result));
   };
 }
 
@@ -100,8 +99,8 @@
   if (last == last_target_.end()) return;
   if (last->second.kind == ReadTarget::Kind::Platform) return store_.onLate(table);
   if (last->second.kind == ReadTarget::Kind::None) return;
-  choice_.onLate(last->second.address, now());
-  // The connection to the next one may be as silent.
+  selector_.onLate(last->second.address, now());
+  // Idle connections to the next reader may be silent as well.
   client_.leaveKept("");
 }
 
@@ -116,64 +115,64 @@
   http::ExchangeCallbacks callbacks;
   callbacks.on_done = [this, address, wait, sent_at, done = std::move(done)](
                           std::error_code error, http::SendState, const http::Response& response) {
-    TableResponse answer;
-    if (!error) answer = parseResponse(response, sent_at, wait);
+    TableResponse result;
+    if (!error) result = parseResponse(response, sent_at, wait);
     const bool usable =
-        answer.outcome == TableOutcome::Done || answer.outcome == TableOutcome::HistoryCompacted;
-    if (!usable && !choice_.wasLateAfter(address, sent_at)) choice_.onFailed(address, now());
-    done(std::move(answer));
+        result.outcome == TableOutcome::Done || result.outcome == TableOutcome::HistoryCompacted;
+    if (!usable && !selector_.wasLateAfter(address, sent_at)) selector_.onFailed(address, now());
+    done(std::move(result));
   };
   client_.start(address, std::move(request), std::move(callbacks), options);
 }
 
-/// The reader held the call for a time that it measured, and its contact was so old when it answered: counted
-/// from the sending, the contact is never taken to be younger than it was.
+/// The reader states how long it held the call and how old its contact was when it responded. Both are
+/// counted from the time of sending, so the contact is never assumed to be more recent than it was.
 TableResponse TableRelay::parseResponse(const http::Response& response, TimePoint sent_at,
                                         Duration wait) const {
-  TableResponse answer;
-  if (response.status == kGone) answer.outcome = TableOutcome::HistoryCompacted;
-  if (response.status == kUnavailable) answer.outcome = TableOutcome::Rejected;
-  if (response.status != kOk) return answer;
+  TableResponse result;
+  if (response.status == kGone) result.outcome = TableOutcome::HistoryCompacted;
+  if (response.status == kUnavailable) result.outcome = TableOutcome::Rejected;
+  if (response.status != kOk) return result;
   DecodedFrame frame = decodeFrame(response.body);
   auto* rows = frame.message ? std::get_if<RelayedRows>(&*frame.message) : nullptr;
-  if (rows == nullptr) return answer;
+  if (rows == nullptr) return result;
   const Duration age = std::chrono::milliseconds(rows->contact_age_milliseconds);
-  if (rows->in_trouble || age > std::max(wait + kStaleMargin, kMinStaleAge)) return answer;
-  answer.outcome = TableOutcome::Done;
-  answer.rows = std::move(rows->rows);
-  answer.version = rows->version;
-  answer.as_of = sent_at + std::chrono::milliseconds(rows->held_milliseconds) - age;
-  return answer;
+  if (rows->in_trouble || age > std::max(wait + kStaleMargin, kMinStaleAge)) return result;
+  result.outcome = TableOutcome::Done;
+  result.rows = std::move(rows->rows);
+  result.version = rows->version;
+  result.as_of = sent_at + std::chrono::milliseconds(rows->held_milliseconds) - age;
+  return result;
 }
 
-// The side that is last.
+// Server side.
 
 void TableRelay::serve(const http::Request& request, const std::shared_ptr<http::ResponseWriter>& writer) {
   const auto mirror = mirrors_.find(request.query("name"));
   const bool known = request.path() == kPath && mirror != mirrors_.end() && mirror->second.known();
   if (!known || !readsPlatform()) return writer->respond({kUnavailable, {}, ""});
-  // One that waited here for a contact that may not come would learn of the trouble seconds later.
+  // Holding the request for a contact that may not come would delay this response by seconds.
   if (unavailable_tables_.contains(mirror->first)) return respondUnavailable(*writer);
-  WaitingRequest question;
-  question.table = mirror->first;
-  question.after = number(request.query("after"));
-  question.since = now();
-  question.writer = writer;
+  WaitingRequest pending;
+  pending.table = mirror->first;
+  pending.after = number(request.query("after"));
+  pending.since = now();
+  pending.writer = writer;
   const Duration wait =
       std::min<Duration>(std::chrono::milliseconds(number(request.query("wait_ms"))), kMaxWait);
-  const bool has_changes = mirror->second.version() > question.after;
-  if (wait == Duration(0) || has_changes) return answer(question);
-  question.until = now() + wait + kHoldMargin;
-  const auto kept = std::make_shared<WaitingRequest>(std::move(question));
+  const bool has_changes = mirror->second.version() > pending.after;
+  if (wait == Duration(0) || has_changes) return respond(pending);
+  pending.until = now() + wait + kHoldMargin;
+  const auto kept = std::make_shared<WaitingRequest>(std::move(pending));
   kept->writer->onClientGone([weak = std::weak_ptr<WaitingRequest>(kept)] {
-    if (const auto waiting = weak.lock()) waiting->gone = true;
+    if (const auto waiting = weak.lock()) waiting->finished = true;
   });
   waiting_.push_back(kept);
   armTimer();
 }
 
-/// An answer to a question without a version is the whole table.
-void TableRelay::answer(const WaitingRequest& waiting) {
+/// Responds with the changes after the requested version, or with the complete table if no version was given.
+void TableRelay::respond(const WaitingRequest& waiting) {
   const TableMirror& mirror = mirrors_[waiting.table];
   RelayedRows message;
   message.version = mirror.version();
@@ -197,18 +196,18 @@
   const std::vector<std::shared_ptr<WaitingRequest>> due(rest, waiting_.end());
   waiting_.erase(rest, waiting_.end());
   for (const auto& waiting : due) {
-    if (!waiting->gone) answer(*waiting);
+    if (!waiting->finished) respond(*waiting);
   }
 }
 
 void TableRelay::onUnavailable(const std::string& table) {
   unavailable_tables_.insert(table);
   for (const auto& waiting : waiting_) {
-    if (waiting->table != table || waiting->gone) continue;
+    if (waiting->table != table || waiting->finished) continue;
     respondUnavailable(*waiting->writer);
-    waiting->gone = true;
+    waiting->finished = true;
   }
-  std::erase_if(waiting_, [](const auto& waiting) { return waiting->gone; });
+  std::erase_if(waiting_, [](const auto& waiting) { return waiting->finished; });
 }
 
 void TableRelay::respondUnavailable(http::ResponseWriter& writer) const {
@@ -217,15 +216,16 @@
   writer.respond({kOk, {}, encodeFrame(message)});
 }
 
-/// Questions that have waited long enough are answered with what is known.
+/// Responds to requests whose hold time expired with the current copy.
 void TableRelay::respondExpired() {
   std::vector<std::shared_ptr<WaitingRequest>> due;
   for (const auto& waiting : waiting_) {
     if (now() >= waiting->until) due.push_back(waiting);
   }
-  std::erase_if(waiting_, [this](const auto& waiting) { return waiting->gone || now() >= waiting->until; });
+  std::erase_if(waiting_,
+                [this](const auto& waiting) { return waiting->finished || now() >= waiting->until; });
   for (const auto& waiting : due) {
-    if (!waiting->gone) answer(*waiting);
+    if (!waiting->finished) respond(*waiting);
   }
 }
 
--- a/src/gateway_control/table_relay.h
+++ b/src/gateway_control/table_relay.h
@@ -1,8 +1,8 @@
 #pragma once
-/// @file Reads the platform's tables for those gateways that do not read the store themselves: a gateway that
-/// serves clients reads the store and answers the others from its copy; one that stands by asks it instead.
-/// Answers say how old the reader's contact with the store is, so that what is bounded in time, such as the
-/// validity of keys, counts from the store on and not from the reader.
+/// @file Relays the platform's tables between gateways. A serving gateway is a reader: it reads the store and
+/// responds to other gateways from its copy. A gateway on standby reads from such a reader instead of the
+/// store. A response states the age of the reader's contact with the store, so that time limits such as the
+/// validity of keys count from the contact with the store and not from the contact with the reader.
 
 #include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -22,49 +22,50 @@
 
 namespace crankspur::gateway {
 
-/// Both sides of the relay. Use from the executor's thread only.
+/// Client and server side of the relay. Use from the executor's thread only.
 class TableRelay : public TableSource {
 public:
-  /// @param store reads the platform itself; must outlive this.
+  /// @param store source that reads the platform directly; must outlive this object, as must `client`.
   TableRelay(const boost::asio::any_io_executor& executor, http::Client& client, TableSource& store,
              std::uint64_t random_seed);
-  /// Answers other gateways.
+  /// Starts to serve other gateways.
   /// @param address "IP:port".
   std::error_code listen(const std::string& address);
-  /// @return the port that was bound; 0: none.
+  /// @return the bound port; 0 if not listening.
   std::uint16_t port() const { return server_ == nullptr ? 0 : server_->port(); }
-  /// @param readers addresses of gateways to ask, the best first; empty: the platform itself.
-  void setReaders(std::vector<std::string> readers) { choice_.setReaders(std::move(readers)); }
-  bool readsPlatform() const { return choice_.readsPlatform(); }
+  /// @param readers addresses of gateways to read from, by descending preference; empty: the platform itself.
+  void setReaders(std::vector<std::string> readers) { selector_.setReaders(std::move(readers)); }
+  bool readsPlatform() const { return selector_.readsPlatform(); }
 
   void read(const std::string& table, const std::string& from, TableCallback done) override;
   void waitForChanges(const std::string& table, std::uint64_t version, Duration wait,
                       TableCallback done) override;
   void onLate(const std::string& table) override;
 
-  // What this gateway learns of a table goes to its copy.
+  // Updates of this gateway's own copy of a table.
   void onRow(const std::string& table, const RelayedRow& row) { mirrors_[table].onRow(row); }
   void onWhole(const std::string& table, const std::vector<std::string>& keys) {
     mirrors_[table].onWhole(keys);
   }
   void onContact(const std::string& table, std::uint64_t version, TimePoint as_of);
-  /// This gateway has lost its own source: those that wait are told at once, and look for another reader.
+  /// This gateway lost its own source of the table. Waiting requests are responded to immediately, so that
+  /// their senders can choose another reader.
   void onUnavailable(const std::string& table);
 
 private:
-  /// A question of another gateway that waits for news.
+  /// A request of another gateway, held until there are changes or a more recent contact.
   struct WaitingRequest {
     std::string table;
     std::uint64_t after = 0;
     TimePoint since{};
     TimePoint until{};
     std::shared_ptr<http::ResponseWriter> writer;
-    bool gone = false;
+    bool finished = false;  ///< Responded to, or the client disconnected.
   };
 
   TimePoint now() const { return clock_.now(); }
   void serve(const http::Request& request, const std::shared_ptr<http::ResponseWriter>& writer);
-  void answer(const WaitingRequest& waiting);
+  void respond(const WaitingRequest& waiting);
   void respondExpired();
   void armTimer();
   ReadTarget nextSource(const std::string& table);
@@ -77,9 +78,9 @@
   http::Client& client_;
   TableSource& store_;
   SteadyClock clock_;
-  ReaderSelector choice_;
+  ReaderSelector selector_;
   std::map<std::string, TableMirror> mirrors_;     ///< By table.
-  std::map<std::string, ReadTarget> last_target_;  ///< Where the last call for each table went.
+  std::map<std::string, ReadTarget> last_target_;  ///< Target of the last call, by table.
   std::set<std::string> unavailable_tables_;  ///< Tables whose own source was lost since the last contact.
   std::list<std::shared_ptr<WaitingRequest>> waiting_;
   boost::asio::any_io_executor executor_;
