--- a/src/gateway_control/gateway_control.cc
+++ b/src/gateway_control/gateway_control.cc
@@ -15,8 +15,8 @@
 
 namespace {
 
-/// Changes within the publish delay are published together. A publication copies the list of back ends, so the
-/// delay grows with its length.
+/// Changes within the publish delay are published together. A publication copies the list of back ends, so
+/// the delay grows with its length.
 constexpr Duration kMinPublishDelay = std::chrono::milliseconds(5);
 constexpr Duration kPublishDelayPerBackend = std::chrono::microseconds(300);
 /// A back end that received an order takes no new request for this time, about the duration of a load.
@@ -42,8 +42,8 @@
 /// Processor time per request in seconds. It is half of what 69 gateways took per request while each of them
 /// followed caches and broadcast its load (162 s for 40,166 requests).
 constexpr double kProcessorSecondsPerRequest = 0.002;
-/// Bits that a request transfers over a machine's link in the busier direction: a body of 10 KB and a response
-/// of a few KB each pass in and out.
+/// Bits that a request transfers over a machine's link in the busier direction: a body of 10 KB and a
+/// response of a few KB each pass in and out.
 constexpr double kLinkBitsPerRequest = 200'000;
 
 /// @return requests per second that the machine can handle, limited by its processor and its link.
@@ -369,8 +369,8 @@
                {{"current", keys_current_}, {"age_ms", milliseconds(now() - contact_->vouchedAt())}});
   }
   auto snapshot = std::make_shared<GatewaySnapshot>();
-  // Without a configuration nothing is served. It is withheld until the record of quarantined requests is known,
-  // since the first request to arrive may be one of them.
+  // Without a configuration nothing is served. It is withheld until the record of quarantined requests is
+  // known, since the first request to arrive may be one of them.
   if (crashes_.isSettled(now())) snapshot->configuration = configuration_;
   snapshot->backends = backends_;
   snapshot->weights = orders_.named();
--- a/src/gateway_control/gateway_control.h
+++ b/src/gateway_control/gateway_control.h
@@ -72,8 +72,8 @@
   void onUnreachable(EngineSlot slot, std::uint64_t incarnation);
   void onWrongBackend(EngineSlot slot, std::uint64_t incarnation,
                       std::optional<std::uint64_t> weights_version);
-  /// Sends the load that this gateway has placed on each engine to the other gateways; in a large fleet only to
-  /// the serving ones.
+  /// Sends the load that this gateway has placed on each engine to the other gateways; in a large fleet only
+  /// to the serving ones.
   void onOwnLoadDigest(const LoadDigest& digest);
   void onOwnLoad(const OwnLoad& load) { own_load_ = load; }
   /// Reports to all other gateways which back ends ended while running which requests.
@@ -157,14 +157,15 @@
   CacheExchange caches_;
   CrashCoordinator crashes_;
   bool cache_send_scheduled_ = false;
-  TimePoint member_added_at_{};  ///< When an unknown gateway last joined.
-  bool fleet_stable_ = false;    ///< Set once by fleetIsKnown().
+  TimePoint member_added_at_{};                          ///< When an unknown gateway last joined.
+  bool fleet_stable_ = false;                            ///< Set once by fleetIsKnown().
   std::vector<CachedPartsNews> received_cache_updates_;  ///< From other gateways, not yet forwarded.
   std::set<std::string> kv_stores_;                      ///< Ids of the stores in the configuration.
-  std::map<std::string, LoadDigest> peer_loads_;  ///< By sender; not yet forwarded to traffic.
+  std::map<std::string, LoadDigest> peer_loads_;         ///< By sender; not yet forwarded to traffic.
   OwnLoad own_load_;
-  int serving_refreshes_ = 0;            ///< Since the process started.
-  std::map<std::string, bool> follows_;  ///< By back end: whether, among sharing_, this gateway follows its cache.
+  int serving_refreshes_ = 0;  ///< Since the process started.
+  std::map<std::string, bool>
+      follows_;  ///< By back end: whether, among sharing_, this gateway follows its cache.
   /// Gateways among which the followed caches are divided; empty: each gateway follows all caches.
   std::vector<std::string> sharing_;
   std::shared_ptr<const Configuration> configuration_;
--- a/src/gateway_control/gateway_control_serving.cc
+++ b/src/gateway_control/gateway_control_serving.cc
@@ -1,5 +1,5 @@
-/// @file How a gateway takes part in the set of those that serve clients: its notices, the addresses that
-/// clients get, and its share of what all gateways may use together.
+/// @file Participation of a gateway in the serving set: its notices, the addresses given to clients, and its
+/// share of the limits that apply to all gateways together.
 
 #include <fmt/format.h>
 #include <fmt/ranges.h>
@@ -17,16 +17,16 @@
 namespace crankspur::gateway {
 namespace {
 
-/// Of what all gateways may use together, connections to back ends and repeats, the part of those that serve;
-/// the rest is for the others, whom some clients still come to.
+/// Share of the common limits, on connections to back ends and on retries, that serving gateways get. The
+/// rest is for gateways on standby, which some clients still use.
 constexpr double kServingShare = 0.7;
-/// Gateways of other zones that one that stands by asks when those of its own fail.
+/// Number of gateways of other zones that a gateway on standby reads from when all of its own zone fail.
 constexpr std::size_t kReadersInOtherZones = 2;
 
-/// @return by how much what all may use is divided for one of `gateways` that together may use `part` of it.
-std::uint32_t divisor(std::size_t gateways, double part) {
+/// @return the divisor of a common limit for each of `gateways` gateways that together get `share` of it.
+std::uint32_t divisor(std::size_t gateways, double share) {
   return static_cast<std::uint32_t>(
-      std::ceil(static_cast<double>(std::max<std::size_t>(gateways, 1)) / part));
+      std::ceil(static_cast<double>(std::max<std::size_t>(gateways, 1)) / share));
 }
 
 }  // namespace
@@ -53,28 +53,29 @@
   schedulePublish();
 }
 
-/// Those that serve read the platform; one that stands by asks those of its zone, each a different one first,
-/// and then two of other zones.
+/// Serving gateways read the platform. A gateway on standby reads from the serving gateways of its zone,
+/// each standby starting with a different one, and then from two of other zones.
 void GatewayControl::updateReaders() {
-  const bool reads = serving_.serves(gossip_.ownName());
-  const std::size_t readers = serving_.allServe() ? members_.size() : serving_.serving().size();
-  platform_.setListBatchDelay(listBatchDelay(readers, settings_.departure_limit));
-  if (reads) return platform_.setReaders({});
+  const bool reads_platform = serving_.serves(gossip_.ownName());
+  const std::size_t reader_count = serving_.allServe() ? members_.size() : serving_.serving().size();
+  platform_.setListBatchDelay(listBatchDelay(reader_count, settings_.departure_limit));
+  if (reads_platform) return platform_.setReaders({});
   const std::uint64_t own = hashBytes(gossip_.ownName());
-  std::vector<std::string> named = serving_.servingInZone(settings_.zone);
-  if (named.empty()) return platform_.setReaders({});
-  std::rotate(named.begin(), named.begin() + static_cast<std::ptrdiff_t>(own % named.size()), named.end());
+  std::vector<std::string> readers = serving_.servingInZone(settings_.zone);
+  if (readers.empty()) return platform_.setReaders({});
+  std::rotate(readers.begin(), readers.begin() + static_cast<std::ptrdiff_t>(own % readers.size()),
+              readers.end());
   std::vector<std::string> others;
   for (const std::string& name : serving_.serving()) {
-    if (std::find(named.begin(), named.end(), name) == named.end()) others.push_back(name);
+    if (std::find(readers.begin(), readers.end(), name) == readers.end()) others.push_back(name);
   }
   for (std::size_t index = 0; index < std::min(others.size(), kReadersInOtherZones); ++index) {
-    named.push_back(others[(own + index) % others.size()]);
+    readers.push_back(others[(own + index) % others.size()]);
   }
-  platform_.setReaders(std::move(named));
+  platform_.setReaders(std::move(readers));
 }
 
-/// One that serves tells so, and one that stands by and yet has clients.
+/// Sent by serving gateways, and by gateways on standby that still have clients.
 void GatewayControl::sendServingNotice() {
   if (serving_.allServe() || leaving_) return;
   const bool serves = serving_.serves(gossip_.ownName());
@@ -89,9 +90,9 @@
 
 void GatewayControl::broadcastNotice(const ServingNotice& notice, bool whole_fleet) {
   for (const MemberRecord& member : gossip_.members()) {
-    const bool lives = member.state != MemberState::Leaving && member.incarnation != 0;
-    const bool told = whole_fleet || member.zone == settings_.zone || serving_.serves(member.name);
-    if (lives && told && member.name != gossip_.ownName()) gossip_.tell(member.name, notice);
+    const bool live = member.state != MemberState::Leaving && member.incarnation != 0;
+    const bool is_recipient = whole_fleet || member.zone == settings_.zone || serving_.serves(member.name);
+    if (live && is_recipient && member.name != gossip_.ownName()) gossip_.tell(member.name, notice);
   }
 }
 
@@ -114,23 +115,24 @@
   std::vector<std::string> unready;
   for (const MemberRecord& member : gossip_.members()) {
     const bool own = member.name == gossip_.ownName();
-    const bool leaves = member.state == MemberState::Leaving || (own && leaving_);
-    if (leaves || (member.incarnation == 0 && !own)) continue;
+    const bool is_leaving = member.state == MemberState::Leaving || (own && leaving_);
+    if (is_leaving || (member.incarnation == 0 && !own)) continue;
     auto& list = member.bundle_version > 0 || own ? addresses : unready;
     list.push_back(hostOf(member.address) + ":" + port);
   }
   return addresses.empty() ? unready : addresses;
 }
 
-/// @return the other gateways that place requests: what this one has at the engines counts for them.
+/// @return the other gateways that place requests and therefore need the load that this one has on the
+/// engines.
 std::vector<std::string> GatewayControl::peers() const {
   std::vector<std::string> names;
   if (!serving_.allServe()) {
     names = serving_.serving();
   } else {
     for (const MemberRecord& member : gossip_.members()) {
-      const bool lives = member.state == MemberState::Alive && member.incarnation != 0;
-      if (lives) names.push_back(member.name);
+      const bool live = member.state == MemberState::Alive && member.incarnation != 0;
+      if (live) names.push_back(member.name);
     }
   }
   std::erase(names, gossip_.ownName());
--- a/src/gateway_control/node_settings.cc
+++ b/src/gateway_control/node_settings.cc
@@ -13,7 +13,8 @@
 constexpr Range<double> kMegabits{0.1, 1e7};
 constexpr Range<std::int64_t> kGateways{1, 10'000};
 
-/// A key that is there but empty, as a template leaves it for a field without a value, is a problem too.
+/// Also reports a key that is present but empty, which is what a template produces for a field without a
+/// value.
 std::string requireText(TomlTable& root, const std::string& key) {
   std::string value = root.requireString(key);
   if (value.empty() && root.has(key)) root.report(key, "must not be empty");
