--- a/tests/unit/gateway_control/fleet_view_test.cc
+++ b/tests/unit/gateway_control/fleet_view_test.cc
@@ -34,7 +34,8 @@
 
 }  // namespace
 
-TEST_CASE("a back end that drains or vanishes from a sound list gets nothing new at once", "[fleet_view]") {
+TEST_CASE("a back end that drains or is missing from a complete list takes no new requests immediately",
+          "[fleet_view]") {
   FleetView fleet;
   fleet.onListed(listed("a"), kStart);
   fleet.onListed(listed("b", "10.0.0.2:80"), kStart);
@@ -47,7 +48,7 @@
   CHECK(stateOf(fleet, "b", kStart + 2s) == EngineState::Leaving);
 }
 
-TEST_CASE("a back end that is told to be silent counts as such until it is heard or nobody repeats it",
+TEST_CASE("a back end reported as unresponsive counts as such until it responds or the report expires",
           "[fleet_view][silence]") {
   FleetView fleet;
   fleet.onListed(listed("a"), kStart);
@@ -55,23 +56,24 @@
   fleet.onUnresponsive("a", kStart + 1s, kStart + 2s);
   CHECK(only(fleet, "a", kStart + 2s).silent_since == kStart + 1s);
   CHECK(only(fleet, "a", kStart + 2s).view.state == EngineState::Live);
-  SECTION("heard") {
+  SECTION("response received") {
     CHECK(fleet.onResponsive("a", kStart + 3s));
     CHECK_FALSE(fleet.onResponsive("a", kStart + 3s));
     CHECK(only(fleet, "a", kStart + 3s).silent_since == TimePoint{});
   }
-  SECTION("repeated, with the first moment kept") {
+  SECTION("reported again: the first time is kept") {
     fleet.onUnresponsive("a", kStart + 3s, kStart + 3500ms);
     CHECK(only(fleet, "a", kStart + 5s).silent_since == kStart + 1s);
   }
-  SECTION("not repeated") {
-    const TimePoint over = fleet.nextChange(kStart + 2s);
-    REQUIRE(over < kStart + 10s);
-    CHECK(only(fleet, "a", over).silent_since == TimePoint{});
+  SECTION("not reported again") {
+    const TimePoint expiry = fleet.nextChange(kStart + 2s);
+    REQUIRE(expiry < kStart + 10s);
+    CHECK(only(fleet, "a", expiry).silent_since == TimePoint{});
   }
 }
 
-TEST_CASE("a back end whose entry vanishes around trouble of the platform is not gone", "[fleet_view]") {
+TEST_CASE("a back end whose entry disappears around a platform failure stays live for a grace period",
+          "[fleet_view]") {
   FleetView fleet;
   fleet.onListed(listed("a"), kStart);
   fleet.onListed(listed("b", "10.0.0.2:80"), kStart);
@@ -84,7 +86,7 @@
   CHECK(stateOf(fleet, "b", kStart + 9s) == EngineState::Leaving);
 }
 
-TEST_CASE("another back end at the same address ends the one before", "[fleet_view]") {
+TEST_CASE("a new back end at the same address replaces the previous one", "[fleet_view]") {
   FleetView fleet;
   fleet.onListed(listed("old"), kStart);
   fleet.onListed(listed("new"), kStart + 1s);
@@ -94,7 +96,7 @@
   CHECK(stateOf(fleet, "new", kStart + 2s) == EngineState::Live);
 }
 
-TEST_CASE("learned weights outlast a list that lags behind them", "[fleet_view]") {
+TEST_CASE("learned weights take precedence over a list that lags behind", "[fleet_view]") {
   FleetView fleet;
   fleet.onListed(listed("a"), kStart);
   fleet.onWeights("a", "m", "3", kStart + 1s);
@@ -104,7 +106,7 @@
   CHECK(only(fleet, "a", kStart + 10s).view.weightsOf("m") == "1");
 }
 
-TEST_CASE("a back end that cannot be reached is avoided for longer each time", "[fleet_view]") {
+TEST_CASE("an unreachable back end is avoided for longer after each failure", "[fleet_view]") {
   FleetView fleet;
   fleet.onListed(listed("a"), kStart);
   const EngineView view = only(fleet, "a", kStart).view;
@@ -123,7 +125,7 @@
   CHECK(stateOf(fleet, "a", now) == EngineState::Live);
 }
 
-TEST_CASE("the slot of a back end long gone is given out again, after a rest", "[fleet_view]") {
+TEST_CASE("the slot of a removed back end is reused only after a delay", "[fleet_view]") {
   FleetView fleet;
   fleet.onListed(listed("a"), kStart);
   const EngineSlot slot = only(fleet, "a", kStart).view.slot;
@@ -135,7 +137,7 @@
   CHECK(only(fleet, "c", kStart + 11min).view.slot == slot);
 }
 
-TEST_CASE("a store that the configuration names stays although the platform does not list it",
+TEST_CASE("a store from the configuration stays live although the platform does not list it",
           "[fleet_view]") {
   FleetView fleet;
   ListedBackend store = listed("store", "10.0.0.9:80");
--- a/tests/unit/gateway_control/list_batch_delay_test.cc
+++ b/tests/unit/gateway_control/list_batch_delay_test.cc
@@ -6,8 +6,8 @@
 using namespace crankspur::gateway;
 using namespace std::chrono_literals;
 
-TEST_CASE("a larger fleet gathers changes of the list longer, within half of what a departure allows",
-          "[list_pause]") {
+TEST_CASE("a larger fleet batches list changes for longer, up to half of the departure limit",
+          "[list_batch_delay]") {
   CHECK(listBatchDelay(1, 2s) == 25ms);
   CHECK(listBatchDelay(8, 2s) == 200ms);
   CHECK(listBatchDelay(69, 3s) == 1500ms);
--- a/tests/unit/gateway_control/node_settings_test.cc
+++ b/tests/unit/gateway_control/node_settings_test.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr char kSound[] = R"(
+constexpr char kValid[] = R"(
 name = "n1"
 zone = "z1"
 front = "10.0.0.1:8000"
@@ -21,9 +21,9 @@
 
 }  // namespace
 
-TEST_CASE("node settings are read, with defaults for what is left out", "[node_settings]") {
+TEST_CASE("node settings are read, with defaults for missing keys", "[node_settings]") {
   std::vector<SettingsProblem> problems;
-  const NodeSettings settings = readNodeSettings(kSound, "node.toml", problems);
+  const NodeSettings settings = readNodeSettings(kValid, "node.toml", problems);
   CHECK(problems.empty());
   CHECK(settings.front == "10.0.0.1:8000");
   CHECK(settings.seeds == std::vector<std::string>{"10.0.0.2:8003"});
@@ -31,17 +31,17 @@
   CHECK(settings.weights_limit == Duration(9s));
   CHECK(settings.directory.empty());
   CHECK(settings.departure_limit == Duration(2s));
-  const std::string text = std::string(kSound) + "departure_limit_ms = 3000";
+  const std::string text = std::string(kValid) + "departure_limit_ms = 3000";
   CHECK(readNodeSettings(text, "node.toml", problems).departure_limit == Duration(3s));
 }
 
-TEST_CASE("a machine's strength and the size of the serving set are settings", "[node_settings]") {
+TEST_CASE("the capacity of a machine and the size of the serving set are settings", "[node_settings]") {
   std::vector<SettingsProblem> problems;
-  const NodeSettings usual = readNodeSettings(kSound, "node.toml", problems);
+  const NodeSettings usual = readNodeSettings(kValid, "node.toml", problems);
   CHECK(usual.processor_share == 1);
   CHECK(usual.serving_least_in_zone == 2);
   CHECK(usual.serving_all_up_to == 12);
-  const std::string text = std::string(kSound) +
+  const std::string text = std::string(kValid) +
                            "processor_share = 0.12\nprocessor_speed = 2\nlink_megabits_per_second = 20\n"
                            "serving_least_in_zone = 3\nserving_all_up_to = 5\n";
   const NodeSettings stated = readNodeSettings(text, "node.toml", problems);
@@ -51,14 +51,14 @@
   CHECK(stated.link_megabits_per_second == 20);
   CHECK(stated.serving_least_in_zone == 3);
   CHECK(stated.serving_all_up_to == 5);
-  readNodeSettings(std::string(kSound) + "processor_share = 0", "node.toml", problems);
+  readNodeSettings(std::string(kValid) + "processor_share = 0", "node.toml", problems);
   CHECK(problems.at(0).key == "processor_share");
 }
 
-TEST_CASE("wrong node settings are named with their line", "[node_settings]") {
+TEST_CASE("invalid node settings are reported with key and line", "[node_settings]") {
   const auto problemsOf = [](const std::string& added) {
     std::vector<SettingsProblem> problems;
-    readNodeSettings(kSound + added, "node.toml", problems);
+    readNodeSettings(kValid + added, "node.toml", problems);
     return problems;
   };
   CHECK(problemsOf("log_level = \"loud\"").at(0).key == "log_level");
@@ -70,7 +70,7 @@
   CHECK(problems.size() == 4);
 }
 
-TEST_CASE("node settings: a required key that is empty is refused", "[node_settings]") {
+TEST_CASE("node settings: a required key that is empty is rejected", "[node_settings]") {
   for (const std::string key : {"name", "zone", "front", "gossip", "platform"}) {
     std::string text;
     for (const std::string required : {"name", "zone", "front", "gossip", "platform"}) {
--- a/tests/unit/gateway_control/platform_link_fake.h
+++ b/tests/unit/gateway_control/platform_link_fake.h
@@ -1,6 +1,5 @@
 #pragma once
-/// @file A platform that answers nothing by itself: tests tell its platform_callbacks and answer its calls by
-/// hand.
+/// @file A platform that does nothing by itself: tests invoke its callbacks and complete its calls.
 
 #include <map>
 #include <string>
@@ -12,9 +11,9 @@
 
 class FakePlatformLink : public PlatformLink {
 public:
-  void start(PlatformCallbacks told) override { platform_callbacks = std::move(told); }
+  void start(PlatformCallbacks callbacks) override { platform_callbacks = std::move(callbacks); }
   void onWake() override { ++wakes; }
-  void setListBatchDelay(Duration pause) override { list_batch_delay = pause; }
+  void setListBatchDelay(Duration delay) override { list_batch_delay = delay; }
   void setReaders(std::vector<std::string> addresses) override { readers = std::move(addresses); }
   void readLease(const std::string&, std::function<void(std::optional<LeaseRow>)>) override {}
   void writeLease(const std::string&, const LeaseRow&, std::uint64_t,
@@ -29,10 +28,10 @@
     record_writes.push_back(std::move(done));
     record_writes.back()(written);
   }
-  /// Answers reads of the record that wait, all with the same.
-  void answerRecordReads(bool reachable) {
-    const std::optional<StoredRecord> answer = reachable ? std::optional(record) : std::nullopt;
-    for (auto& done : std::exchange(record_reads, {})) done(answer);
+  /// Completes all pending reads of the record with the same response.
+  void completeRecordReads(bool reachable) {
+    const std::optional<StoredRecord> response = reachable ? std::optional(record) : std::nullopt;
+    for (auto& done : std::exchange(record_reads, {})) done(response);
   }
   void readWeights(const std::string&, std::function<void(std::optional<WeightsReport>)>) override {}
   void sendOrder(const WeightsOrder&, std::function<void(OrderResponse)>) override {}
@@ -50,8 +49,8 @@
   std::vector<std::function<void(bool)>> record_writes;
   Duration list_batch_delay{0};
   std::vector<std::string> readers;
-  std::map<std::string, std::function<void(CachedPartsPage)>> events_calls;  ///< That wait, by address.
-  std::map<std::string, Duration> events_waits;                              ///< As asked for last.
+  std::map<std::string, std::function<void(CachedPartsPage)>> events_calls;  ///< Pending, by address.
+  std::map<std::string, Duration> events_waits;  ///< As last requested, by address.
 };
 
 }  // namespace crankspur::gateway
--- a/tests/unit/gateway_control/reader_selector_test.cc
+++ b/tests/unit/gateway_control/reader_selector_test.cc
@@ -11,13 +11,13 @@
 const TimePoint kNow(1h);
 }
 
-TEST_CASE("without readers a gateway asks the platform", "[reader_choice]") {
+TEST_CASE("without readers a gateway reads the platform", "[reader_selector]") {
   ReaderSelector choice(1);
   CHECK(choice.readsPlatform());
   CHECK(choice.next(kNow).kind == ReadTarget::Kind::Platform);
 }
 
-TEST_CASE("the first reader that has not failed of late is asked", "[reader_choice]") {
+TEST_CASE("the first reader that has not failed recently is selected", "[reader_selector]") {
   ReaderSelector choice(1);
   choice.setReaders({"a", "b"});
   CHECK_FALSE(choice.readsPlatform());
@@ -27,7 +27,7 @@
   CHECK(choice.next(kNow + 2'100ms).address == "a");
 }
 
-TEST_CASE("while all readers fail the platform is asked now and then", "[reader_choice]") {
+TEST_CASE("while all readers fail the platform is read at intervals", "[reader_selector]") {
   ReaderSelector choice(1);
   choice.setReaders({"a", "b"});
   int platform_reads = 0;
@@ -42,7 +42,7 @@
   CHECK(choice.next(now + 2s).kind == ReadTarget::Kind::Gateway);
 }
 
-TEST_CASE("gateways whose readers all fail do not ask the platform in step", "[reader_choice]") {
+TEST_CASE("gateways whose readers all fail do not read the platform at the same time", "[reader_selector]") {
   std::set<Duration> second_reads;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     ReaderSelector choice(seed);
@@ -57,29 +57,29 @@
   CHECK(second_reads.size() > 10);
 }
 
-TEST_CASE("a reader whose answer is late is passed over for a moment, not for as long as one that failed",
-          "[reader_choice]") {
+TEST_CASE("a reader whose response is late is avoided for a shorter time than one that failed",
+          "[reader_selector]") {
   ReaderSelector choice(1);
   choice.setReaders({"a", "b"});
   choice.onLate("a", kNow);
   CHECK(choice.next(kNow).address == "b");
   CHECK(choice.next(kNow + 500ms).address == "a");
-  // The end of the late call itself tells nothing new.
+  // The failure of the late call itself is already accounted for.
   CHECK(choice.wasLateAfter("a", kNow - 3s));
   CHECK_FALSE(choice.wasLateAfter("a", kNow + 1ms));
-  // A failure in earnest is not shortened by lateness.
+  // A late response does not shorten the backoff after a failure.
   choice.onFailed("a", kNow);
   choice.onLate("a", kNow);
   CHECK(choice.next(kNow + 500ms).address == "b");
 }
 
-TEST_CASE("while all readers fail a platform that answers is asked on", "[reader_choice]") {
+TEST_CASE("while all readers fail a platform that responds is read without a delay", "[reader_selector]") {
   ReaderSelector choice(1);
   choice.setReaders({"a", "b"});
   choice.onFailed("a", kNow);
   choice.onFailed("b", kNow);
   REQUIRE(choice.next(kNow).kind == ReadTarget::Kind::Platform);
-  // Not known to answer yet: others may be asking it, too.
+  // The platform is not known to respond yet, and other gateways may be reading it as well.
   CHECK(choice.next(kNow).kind == ReadTarget::Kind::None);
   choice.onPlatformResponse(true);
   CHECK(choice.next(kNow + 10ms).kind == ReadTarget::Kind::Platform);
--- a/tests/unit/gateway_control/serving_set_test.cc
+++ b/tests/unit/gateway_control/serving_set_test.cc
@@ -16,7 +16,8 @@
 constexpr std::uint32_t kWeak = 50;
 const std::string kOwn = "a-strong-0";
 
-/// A fleet of three zones, each with two strong gateways and eighteen weak ones, as one of them sees it.
+/// A fleet of three zones as seen by one gateway. By default each zone has two gateways of high capacity and
+/// eighteen of low capacity.
 class Fleet {
 public:
   explicit Fleet(std::size_t strong = 2, std::size_t weak = 18) : set(kOwn, ServingOptions()) {
@@ -42,7 +43,7 @@
     set.onMembers(records, now);
   }
 
-  /// Lets time pass; those that serve and are not muted tell so.
+  /// Advances the time; serving gateways that are not muted send notices.
   void run(Duration time) {
     for (const TimePoint end = now + time; now < end; now += kServingRefreshInterval) {
       for (const std::string& name : set.serving()) {
@@ -52,7 +53,7 @@
     }
   }
 
-  std::size_t widthOf(const std::string& zone) const { return set.servingInZone(zone).size(); }
+  std::size_t servingCount(const std::string& zone) const { return set.servingInZone(zone).size(); }
   bool serves(const std::string& name) const { return set.serves(name); }
 
   TimePoint now{1h};
@@ -72,7 +73,7 @@
   CHECK_FALSE(larger.set.allServe());
 }
 
-TEST_CASE("the strongest gateways of each zone serve", "[serving_set]") {
+TEST_CASE("the gateways of highest capacity serve in each zone", "[serving_set]") {
   const Fleet fleet;
   CHECK(fleet.set.serving().size() == 6);
   for (const std::string zone : {"a", "b", "c"}) {
@@ -82,7 +83,7 @@
   }
 }
 
-TEST_CASE("gateways of equal strength work out the same set", "[serving_set]") {
+TEST_CASE("all members compute the same set if capacities are equal", "[serving_set]") {
   Fleet one(0, 20);
   ServingSet other("b-weak-3", ServingOptions());
   std::vector<MemberRecord> records;
@@ -91,10 +92,10 @@
   }
   other.onMembers(records, one.now);
   CHECK(one.set.serving() == other.serving());
-  CHECK(one.widthOf("b") == 2);
+  CHECK(one.servingCount("b") == 2);
 }
 
-TEST_CASE("a gateway that membership has lost serves no longer", "[serving_set]") {
+TEST_CASE("a gateway that membership has removed and that sends no notices does not serve", "[serving_set]") {
   Fleet fleet;
   fleet.run(2s);
   fleet.members.erase("b-strong-1");
@@ -102,11 +103,11 @@
   fleet.updateMembers();
   fleet.run(4s);
   fleet.updateMembers();
-  CHECK(fleet.widthOf("b") == 2);
+  CHECK(fleet.servingCount("b") == 2);
   CHECK_FALSE(fleet.serves("b-strong-1"));
 }
 
-TEST_CASE("a gateway whose notices come serves on though membership calls it dead", "[serving_set]") {
+TEST_CASE("a gateway that sends notices continues to serve although membership removed it", "[serving_set]") {
   Fleet fleet;
   fleet.run(2s);
   fleet.members.erase("b-strong-1");
@@ -116,14 +117,14 @@
   CHECK(fleet.serves("b-strong-1"));
 }
 
-TEST_CASE("a gateway that falls silent is passed over before membership has lost it", "[serving_set]") {
+TEST_CASE("a gateway whose notices stop is excluded before membership removes it", "[serving_set]") {
   Fleet fleet;
   fleet.run(3s);
   fleet.muted.insert("a-strong-1");
   fleet.run(1'600ms);
   CHECK_FALSE(fleet.serves("a-strong-1"));
-  CHECK(fleet.widthOf("a") == 2);
-  SECTION("and serves again once it tells something") {
+  CHECK(fleet.servingCount("a") == 2);
+  SECTION("and serves again after its notices resume") {
     fleet.muted.clear();
     fleet.set.onNotice("a-strong-1", {}, fleet.now);
     fleet.run(400ms);
@@ -133,14 +134,14 @@
   }
 }
 
-TEST_CASE("a gateway that hears nobody does not take all others for dead", "[serving_set]") {
+TEST_CASE("a gateway that receives no notices does not exclude all others", "[serving_set]") {
   Fleet fleet;
   fleet.run(3s);
   const std::vector<std::string> before = fleet.set.serving();
   for (const std::string& name : before) {
     if (name != kOwn) fleet.muted.insert(name);
   }
-  fleet.run(1'200ms);  // No longer heard by now, and silence is not concluded.
+  fleet.run(1'200ms);  // No notice is current by now, and no timeout is recorded.
   for (int step = 0; step < 30; ++step) {
     fleet.now += kServingRefreshInterval;
     fleet.set.onNotice(kOwn, {}, fleet.now);
@@ -149,7 +150,7 @@
   CHECK(fleet.set.serving() == before);
 }
 
-TEST_CASE("what a suspected gateway tells itself goes before the suspicion", "[serving_set]") {
+TEST_CASE("the notice of a suspected gateway takes precedence over the suspicion", "[serving_set]") {
   Fleet fleet;
   fleet.run(1s);
   fleet.members["b-strong-0"].state = MemberState::Suspect;
@@ -162,10 +163,10 @@
   fleet.run(4s);
   CHECK_FALSE(fleet.serves("c-strong-0"));
   CHECK_FALSE(fleet.serves("c-weak-0"));
-  CHECK(fleet.widthOf("c") == 2);
+  CHECK(fleet.servingCount("c") == 2);
 }
 
-TEST_CASE("a gateway that stops is left out at once", "[serving_set]") {
+TEST_CASE("a gateway that shuts down is excluded immediately", "[serving_set]") {
   Fleet fleet;
   fleet.run(1s);
   ServingNotice leaving;
@@ -176,10 +177,10 @@
   fleet.set.leave();
   fleet.set.refresh(fleet.now);
   CHECK_FALSE(fleet.serves(kOwn));
-  CHECK(fleet.widthOf("a") == 2);
+  CHECK(fleet.servingCount("a") == 2);
 }
 
-TEST_CASE("a zone that has lost all its gateways uses those of the others", "[serving_set]") {
+TEST_CASE("a zone without gateways uses those of the other zones", "[serving_set]") {
   Fleet fleet;
   std::erase_if(fleet.members, [](const auto& item) { return item.second.zone == "c"; });
   fleet.updateMembers();
@@ -187,52 +188,53 @@
   CHECK(fleet.set.servingInZone("") == fleet.set.serving());
 }
 
-TEST_CASE("as many serve as the traffic told needs, and for a while more", "[serving_set]") {
+TEST_CASE("the set grows with the reported traffic and shrinks after a delay", "[serving_set]") {
   Fleet fleet;
   for (const std::string name : {"a-strong-0", "a-strong-1"}) fleet.notices[name].requests_per_second = 190;
   fleet.run(1s);
-  CHECK(fleet.widthOf("a") == 2);
-  CHECK(fleet.widthOf("b") == 2);
-  // A moment's 600 a second change nothing. For longer they are more than two strong ones carry, and ten weak
-  // ones.
+  CHECK(fleet.servingCount("a") == 2);
+  CHECK(fleet.servingCount("b") == 2);
+  // 600 requests per second for a moment change nothing. Sustained, they exceed the capacity of two strong
+  // gateways and of ten weak ones.
   for (const std::string name : {"a-strong-0", "a-strong-1"}) fleet.notices[name].requests_per_second = 300;
   fleet.run(400ms);
-  CHECK(fleet.widthOf("a") == 2);
+  CHECK(fleet.servingCount("a") == 2);
   fleet.run(1'600ms);
-  CHECK(fleet.widthOf("a") > 10);
-  CHECK(fleet.widthOf("b") == 2);
+  CHECK(fleet.servingCount("a") > 10);
+  CHECK(fleet.servingCount("b") == 2);
   for (auto& [name, notice] : fleet.notices) notice.requests_per_second = 20;
   fleet.run(4s);
-  CHECK(fleet.widthOf("a") > 10);
+  CHECK(fleet.servingCount("a") > 10);
   fleet.run(40s);
-  CHECK(fleet.widthOf("a") == 2);
+  CHECK(fleet.servingCount("a") == 2);
 }
 
-TEST_CASE("a set whose gateways all fall behind widens within seconds and narrows slowly", "[serving_set]") {
+TEST_CASE("a set whose gateways are all overloaded grows within seconds and shrinks slowly",
+          "[serving_set]") {
   Fleet fleet(0, 20);
   fleet.run(1s);
   const std::vector<std::string> first = fleet.set.servingInZone("a");
   for (const std::string& name : first) fleet.notices[name] = {40, true, false};
   fleet.run(2s);
-  const std::size_t widened = fleet.widthOf("a");
-  CHECK(widened > 2);
-  CHECK(widened <= 6);
+  const std::size_t grown = fleet.servingCount("a");
+  CHECK(grown > 2);
+  CHECK(grown <= 6);
   for (auto& [name, notice] : fleet.notices) notice.pressed = false;
   fleet.run(4s);
-  CHECK(fleet.widthOf("a") >= widened);
-  CHECK(fleet.widthOf("a") <= 6);
+  CHECK(fleet.servingCount("a") >= grown);
+  CHECK(fleet.servingCount("a") <= 6);
   fleet.run(60s);
-  CHECK(fleet.widthOf("a") == 2);
+  CHECK(fleet.servingCount("a") == 2);
 }
 
-TEST_CASE("a gateway that falls behind alone is replaced while it does", "[serving_set]") {
+TEST_CASE("a gateway that alone is overloaded is replaced while it is", "[serving_set]") {
   Fleet fleet;
   fleet.run(1s);
   fleet.notices["a-strong-1"] = {30, true, false};
   fleet.run(1s);
   CHECK_FALSE(fleet.serves("a-strong-1"));
-  CHECK(fleet.widthOf("a") == 2);
-  // Without clients it no longer falls behind, which proves nothing yet.
+  CHECK(fleet.servingCount("a") == 2);
+  // Without clients it is not overloaded any more, which does not prove that it has recovered.
   fleet.set.onNotice("a-strong-1", {0, false, false}, fleet.now);
   fleet.run(2s);
   CHECK_FALSE(fleet.serves("a-strong-1"));
--- a/tests/unit/gateway_control/table_mirror_test.cc
+++ b/tests/unit/gateway_control/table_mirror_test.cc
@@ -16,7 +16,7 @@
   return keys;
 }
 
-/// A mirror that was told rows a and b whole, at version 10.
+/// A mirror after a complete read of rows a and b, at version 10.
 TableMirror mirrorOfTwo() {
   TableMirror mirror;
   mirror.onRow({"a", "1", 4, false});
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-TEST_CASE("a mirror tells what changed after a version", "[table_mirror]") {
+TEST_CASE("a mirror returns the changes after a version", "[table_mirror]") {
   TableMirror mirror = mirrorOfTwo();
   CHECK(keysOf(mirror.rows()) == std::vector<std::string>{"a", "b"});
   CHECK(mirror.changesAfter(10)->empty());
@@ -42,7 +42,7 @@
   CHECK(keysOf(mirror.rows()) == std::vector<std::string>{"b", "c"});
 }
 
-TEST_CASE("a removal told without a version counts from the contact that brought it", "[table_mirror]") {
+TEST_CASE("a removal without a version gets the version of the next contact", "[table_mirror]") {
   TableMirror mirror = mirrorOfTwo();
   mirror.onRow({"a", "", 0, true});
   mirror.onContact(15, kNow);
@@ -50,7 +50,7 @@
   CHECK(mirror.changesAfter(15)->empty());
 }
 
-TEST_CASE("changes before a whole read are not known", "[table_mirror]") {
+TEST_CASE("changes before a complete read are not known", "[table_mirror]") {
   TableMirror mirror = mirrorOfTwo();
   CHECK_FALSE(TableMirror().known());
   CHECK_FALSE(mirror.changesAfter(9));
@@ -62,14 +62,15 @@
   CHECK(keysOf(mirror.rows()) == std::vector<std::string>{"c"});
 }
 
-TEST_CASE("a contact never goes back", "[table_mirror]") {
+TEST_CASE("version and time of a contact never decrease", "[table_mirror]") {
   TableMirror mirror = mirrorOfTwo();
   mirror.onContact(8, kNow - 2s);
   CHECK(mirror.version() == 10);
   CHECK(mirror.asOf() == kNow);
 }
 
-TEST_CASE("many removals are forgotten, and those who ask for them read the whole", "[table_mirror]") {
+TEST_CASE("old removals are discarded, and requests for them have to read the complete table",
+          "[table_mirror]") {
   TableMirror mirror = mirrorOfTwo();
   for (std::uint64_t version = 11; version < 1'211; ++version) {
     mirror.onRow({"k" + std::to_string(version), "", version, true});
