--- a/src/gateway_control/cache_watch.cc
+++ b/src/gateway_control/cache_watch.cc
@@ -118,7 +118,7 @@
   if (followed->dropped) return;
   started(*followed);
   startNext();
-  if (!page.answered) return onNoAnswer(followed, page.rejected);
+  if (!page.responded) return onNoAnswer(followed, page.rejected);
   onAnswer(*followed);
   const bool restarted = followed->known && followed->epoch != page.epoch;
   const bool first = !std::exchange(followed->known, true);
@@ -143,7 +143,7 @@
 
 void CacheWatch::onContent(const FollowedPointer& followed, CachedPartsPage page) {
   if (followed->dropped) return;
-  if (!page.answered) return onNoAnswer(followed, page.rejected);
+  if (!page.responded) return onNoAnswer(followed, page.rejected);
   onAnswer(*followed);
   followed->want_content = false;
   followed->epoch = page.epoch;
--- a/src/gateway_control/fleet_view.cc
+++ b/src/gateway_control/fleet_view.cc
@@ -28,7 +28,8 @@
 /// Replaces a listed version by the previously known one if that is newer.
 void keepNewerVersion(LoadedModel& loaded, const std::vector<LoadedModel>& previous_models) {
   for (const LoadedModel& before : previous_models) {
-    const bool newer = weightsNumber(before.weights_version) > weightsNumber(loaded.weights_version);
+    const bool newer =
+        weightsVersionNumber(before.weights_version) > weightsVersionNumber(loaded.weights_version);
     if (before.model == loaded.model && newer) loaded.weights_version = before.weights_version;
   }
 }
@@ -51,7 +52,7 @@
   return "list";
 }
 
-std::uint64_t weightsNumber(const std::string& version) {
+std::uint64_t weightsVersionNumber(const std::string& version) {
   std::uint64_t number = 0;
   const auto result = std::from_chars(version.data(), version.data() + version.size(), number);
   return result.ec == std::errc() && result.ptr == version.data() + version.size() ? number : 0;
@@ -88,7 +89,7 @@
 void FleetView::raiseWeights(Entry& entry, const std::string& model, const std::string& version,
                              StateSource source) {
   for (LoadedModel& loaded : entry.backend.view.models) {
-    const bool newer = weightsNumber(version) > weightsNumber(loaded.weights_version);
+    const bool newer = weightsVersionNumber(version) > weightsVersionNumber(loaded.weights_version);
     if (loaded.model != model || !newer) continue;
     weights_changes_.push_back({entry.backend.view.name, model, loaded.weights_version, version, source});
     loaded.weights_version = version;
--- a/src/gateway_control/fleet_view.h
+++ b/src/gateway_control/fleet_view.h
@@ -121,6 +121,6 @@
 };
 
 /// @return the version as a number; 0 if it is not numeric.
-std::uint64_t weightsNumber(const std::string& version);
+std::uint64_t weightsVersionNumber(const std::string& version);
 
 }  // namespace crankspur::gateway
--- a/src/gateway_control/platform_link.h
+++ b/src/gateway_control/platform_link.h
@@ -81,7 +81,7 @@
 
 /// One response about the cached parts of a back end or store.
 struct CachedPartsPage {
-  bool answered = false;
+  bool responded = false;
   bool rejected = false;       ///< It responded, but already holds its maximum of such calls.
   std::uint64_t epoch = 0;     ///< Changes at each restart of the cache.
   std::uint64_t position = 0;  ///< Position to request next.
--- a/src/gateway_control/weight_rollout.cc
+++ b/src/gateway_control/weight_rollout.cc
@@ -29,7 +29,7 @@
   for (const LoadedModel& loaded : backend.view.models) {
     const auto place = named.find(loaded.model);
     if (place == named.end()) continue;
-    if (weightsNumber(loaded.weights_version) < place->second.version) return &loaded;
+    if (weightsVersionNumber(loaded.weights_version) < place->second.version) return &loaded;
   }
   return nullptr;
 }
@@ -132,7 +132,7 @@
   }
   // Those furthest behind come first, or a new version every few seconds would starve the last ones.
   const auto version = [](const EngineView& engine) {
-    return engine.models.empty() ? 0 : weightsNumber(engine.models.front().weights_version);
+    return engine.models.empty() ? 0 : weightsVersionNumber(engine.models.front().weights_version);
   };
   std::stable_sort(engines.begin(), engines.end(), [&](const EngineView& left, const EngineView& right) {
     return version(left) < version(right);
@@ -166,7 +166,7 @@
     if (run.step == Step::ToSend) {
       action.kind = RolloutAction::Kind::Order;
       action.model = run.order.model;
-      action.version = weightsNumber(run.order.weights_version);
+      action.version = weightsVersionNumber(run.order.weights_version);
       action.expected_orders_taken = run.orders_taken;
       run.step = Step::Sending;
       run.sent_at = now;
@@ -191,7 +191,8 @@
     return;
   }
   for (const LoadedModel& loaded : report->models) {
-    const bool reached = weightsNumber(loaded.weights_version) >= weightsNumber(run.order.weights_version);
+    const bool reached =
+        weightsVersionNumber(loaded.weights_version) >= weightsVersionNumber(run.order.weights_version);
     if (loaded.model != run.order.model || !reached) continue;
     if (run.step == Step::Watching) {
       load_seconds_ += 0.3 * (toSeconds(now - run.began_at) - load_seconds_);
--- a/tests/unit/gateway_control/cache_watch_test.cc
+++ b/tests/unit/gateway_control/cache_watch_test.cc
@@ -35,7 +35,7 @@
   }
   void answerEmpty(const std::string& address) {
     CachedPartsPage page;
-    page.answered = true;
+    page.responded = true;
     page.epoch = 1;
     answer(address, std::move(page));
   }
@@ -114,7 +114,7 @@
 TEST_CASE("the first events of a cache are told as what they leave behind", "[cache_watch]") {
   WatchedCaches watched;
   CachedPartsPage page;
-  page.answered = true;
+  page.responded = true;
   page.epoch = 1;
   page.position = 5;
   page.parts = {
@@ -137,7 +137,7 @@
 TEST_CASE("whole caches are asked for a few at a time", "[cache_watch]") {
   WatchedCaches watched(12);
   CHECK(watched.platform.events_calls.size() == 4);
-  // The next one is asked as soon as one has answered.
+  // The next one is asked as soon as one has responded.
   watched.answerEmpty("a1");
   CHECK(watched.platform.events_calls.contains("a5"));
   // Those that take long do not hold up the others for ever.
