--- a/tests/unit/platform/store_documents_test.cc
+++ b/tests/unit/platform/store_documents_test.cc
@@ -63,7 +63,7 @@
   CHECK(readRunnerEntry("i", R"({"service":"s"})").problem.find("address") == 0);
   CHECK(readNamedWeights(R"({"model":"m","version":-1})").problem.find("version") == 0);
   CHECK_FALSE(readReport("[]"));
-  CHECK_FALSE(gateway::CachedPartsPage(readCacheEvents("{}")).answered);
+  CHECK_FALSE(gateway::CachedPartsPage(readCacheEvents("{}")).responded);
 }
 
 TEST_CASE("a runner's entry, report and cache are read", "[store_documents]") {
