--- a/src/gateway_control/cache_exchange.cc
+++ b/src/gateway_control/cache_exchange.cc
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-// Caches that this gateway follows.
+// Caches that this gateway in_sequence.
 
 void CacheExchange::onOwnUpdate(const std::string& backend, const std::vector<CachedPart>& parts,
                                 bool complete) {
--- a/src/gateway_control/cache_watch.cc
+++ b/src/gateway_control/cache_watch.cc
@@ -101,8 +101,8 @@
     return;
   }
   // After a call without response the next one does not wait for events. If the engine is live behind a
-  // silent connection, requests then avoid it for some milliseconds only, and not for kUnresponsiveDelay and
-  // another wait (0.7 s).
+  // unresponsive connection, requests then avoid it for some milliseconds only, and not for
+  // kUnresponsiveDelay and another wait (0.7 s).
   const Duration wait = followed->unresponsive ? Duration(0) : kEventsWait;
   platform_.readCacheEvents(followed->address, followed->position, wait,
                             [this, followed](CachedPartsPage page) { onEvents(followed, std::move(page)); });
@@ -119,7 +119,7 @@
   if (followed->dropped) return;
   endFirstCall(*followed);
   startFirstCalls();
-  if (!page.answered) return onNoResponse(followed, page.turned_away);
+  if (!page.responded) return onNoResponse(followed, page.rejected);
   onResponse(*followed);
   const bool restarted = followed->known && followed->epoch != page.epoch;
   const bool first = !std::exchange(followed->known, true);
@@ -144,7 +144,7 @@
 
 void CacheWatch::onContent(const FollowedPointer& followed, CachedPartsPage page) {
   if (followed->dropped) return;
-  if (!page.answered) return onNoResponse(followed, page.turned_away);
+  if (!page.responded) return onNoResponse(followed, page.rejected);
   onResponse(*followed);
   followed->content_wanted = false;
   followed->epoch = page.epoch;
@@ -166,8 +166,8 @@
 }
 
 /// A cache that rejects a call has responded.
-void CacheWatch::onNoResponse(const FollowedPointer& followed, bool turned_away) {
-  if (turned_away) {
+void CacheWatch::onNoResponse(const FollowedPointer& followed, bool rejected) {
+  if (rejected) {
     onResponse(*followed);
     return scheduleRequest(followed, kRejectedDelay);
   }
--- a/src/gateway_control/cache_watch.h
+++ b/src/gateway_control/cache_watch.h
@@ -69,7 +69,7 @@
   void onContent(const FollowedPointer& followed, CachedPartsPage page);
   void notify(const Followed& followed, std::vector<CachedPart> parts, bool complete);
   void onResponse(Followed& followed);
-  void onNoResponse(const FollowedPointer& followed, bool turned_away);
+  void onNoResponse(const FollowedPointer& followed, bool rejected);
   bool othersResponded(const Followed& followed) const;
 
   boost::asio::any_io_executor executor_;
--- a/src/gateway_control/fleet_view.cc
+++ b/src/gateway_control/fleet_view.cc
@@ -10,47 +10,49 @@
 
 namespace {
 
-/// After trouble of the platform an entry that vanished is believed to be gone only this much later, so that
-/// a sound back end has written it again.
-constexpr Duration kTroubleRest = std::chrono::milliseconds(2'800);
-/// A back end that is gone is forgotten this much later; its runs may still go on.
-constexpr Duration kForgetAfter = std::chrono::seconds(30);
-constexpr Duration kFirstAvoidance = std::chrono::milliseconds(500);
-constexpr Duration kLongestAvoidance = std::chrono::seconds(4);
-/// A failure this long after the one before starts the count anew.
-constexpr Duration kFailuresInARow = std::chrono::seconds(10);
-/// Silence counts for so long after it was last told: the follower of the cache asks about every 0.9 s.
-constexpr Duration kSilenceLifetime = std::chrono::milliseconds(2'000);
-/// Lists lag: an older version in one within this time of a learned version is not believed.
+/// An entry that disappears around a platform failure counts as removed only after this time since the
+/// failure, so that a healthy back end can write it again.
+constexpr Duration kPlatformFailureGrace = std::chrono::milliseconds(2'800);
+/// A removed back end is kept for this time because its runs may still continue.
+constexpr Duration kRetention = std::chrono::seconds(30);
+constexpr Duration kInitialAvoidance = std::chrono::milliseconds(500);
+constexpr Duration kMaxAvoidance = std::chrono::seconds(4);
+/// A failure this long after the previous one restarts the failure count.
+constexpr Duration kFailureStreakTimeout = std::chrono::seconds(10);
+/// A report that a back end is unresponsive expires after this time; the follower of its cache polls about
+/// every 0.9 s.
+constexpr Duration kUnresponsiveLifetime = std::chrono::milliseconds(2'000);
+/// For this time after a version was learned, an older one in a list is ignored, because lists lag behind.
 constexpr Duration kListLag = std::chrono::seconds(3);
 
-/// Raises a listed version to the one that was learned before the list.
-void keepNewer(LoadedModel& loaded, const std::vector<LoadedModel>& held) {
-  for (const LoadedModel& before : held) {
-    const bool newer = weightsNumber(before.weights_version) > weightsNumber(loaded.weights_version);
+/// Replaces a listed version by the previously known one if that is newer.
+void keepNewerVersion(LoadedModel& loaded, const std::vector<LoadedModel>& previous_models) {
+  for (const LoadedModel& before : previous_models) {
+    const bool newer =
+        weightsVersionNumber(before.weights_version) > weightsVersionNumber(loaded.weights_version);
     if (before.model == loaded.model && newer) loaded.weights_version = before.weights_version;
   }
 }
 
 }  // namespace
 
-std::string_view nameOf(BeliefSource source) {
+std::string_view nameOf(StateSource source) {
   switch (source) {
-    case BeliefSource::list:
+    case StateSource::list:
       return "list";
-    case BeliefSource::own_traffic:
+    case StateSource::own_traffic:
       return "own_traffic";
-    case BeliefSource::report:
+    case StateSource::report:
       return "report";
-    case BeliefSource::order:
+    case StateSource::order:
       return "order";
-    case BeliefSource::elapsed_time:
+    case StateSource::elapsed_time:
       return "elapsed_time";
   }
   return "list";
 }
 
-std::uint64_t weightsNumber(const std::string& version) {
+std::uint64_t weightsVersionNumber(const std::string& version) {
   std::uint64_t number = 0;
   const auto result = std::from_chars(version.data(), version.data() + version.size(), number);
   return result.ec == std::errc() && result.ptr == version.data() + version.size() ? number : 0;
@@ -76,31 +78,30 @@
   entry.backend.cold_until = listed.cold_left > Duration(0) ? now + listed.cold_left : TimePoint{};
   entry.listed = true;
   entry.draining = listed.draining;
-  const std::vector<LoadedModel> held = std::exchange(view.models, listed.models);
+  const std::vector<LoadedModel> previous_models = std::exchange(view.models, listed.models);
   const bool list_lags = now - entry.weights_learned_at < kListLag && !added;
   if (list_lags) {
-    for (LoadedModel& loaded : view.models) keepNewer(loaded, held);
+    for (LoadedModel& loaded : view.models) keepNewerVersion(loaded, previous_models);
   }
-  noteListedWeights(entry, held);
+  recordListedWeights(entry, previous_models);
 }
 
 void FleetView::raiseWeights(Entry& entry, const std::string& model, const std::string& version,
-                             BeliefSource source) {
+                             StateSource source) {
   for (LoadedModel& loaded : entry.backend.view.models) {
-    const bool newer = weightsNumber(version) > weightsNumber(loaded.weights_version);
+    const bool newer = weightsVersionNumber(version) > weightsVersionNumber(loaded.weights_version);
     if (loaded.model != model || !newer) continue;
     weights_changes_.push_back({entry.backend.view.name, model, loaded.weights_version, version, source});
     loaded.weights_version = version;
   }
 }
 
-void FleetView::noteListedWeights(const Entry& entry, const std::vector<LoadedModel>& held) {
+void FleetView::recordListedWeights(const Entry& entry, const std::vector<LoadedModel>& previous_models) {
   const EngineView& view = entry.backend.view;
-  for (const LoadedModel& before : held) {
+  for (const LoadedModel& before : previous_models) {
     const std::string version = view.weightsOf(before.model);
     if (version == before.weights_version) continue;
-    weights_changes_.push_back(
-        {view.name, before.model, before.weights_version, version, BeliefSource::list});
+    weights_changes_.push_back({view.name, before.model, before.weights_version, version, StateSource::list});
   }
 }
 
@@ -108,59 +109,60 @@
   return std::exchange(weights_changes_, {});
 }
 
-void FleetView::onGone(const std::string& id, TimePoint now) {
+void FleetView::onRemoved(const std::string& id, TimePoint now) {
   const auto place = entries_.find(id);
   if (place == entries_.end() || !place->second.listed) return;
   Entry& entry = place->second;
   entry.listed = false;
   entry.unlisted_at = now;
-  const bool doubtful = had_trouble_ && now - trouble_at_ < kTroubleRest && !entry.draining;
-  entry.gone_from = doubtful ? trouble_at_ + kTroubleRest : now;
+  const bool may_be_healthy =
+      platform_has_failed_ && now - platform_failed_at_ < kPlatformFailureGrace && !entry.draining;
+  entry.leaving_from = may_be_healthy ? platform_failed_at_ + kPlatformFailureGrace : now;
 }
 
-void FleetView::onWholeList(const std::vector<std::string>& ids, TimePoint now) {
+void FleetView::onFullList(const std::vector<std::string>& ids, TimePoint now) {
   const std::set<std::string> listed(ids.begin(), ids.end());
-  std::vector<std::string> gone;
+  std::vector<std::string> removed;
   for (const auto& [id, entry] : entries_) {
-    if (entry.listed && !entry.backend.is_kv_store && !listed.contains(id)) gone.push_back(id);
+    if (entry.listed && !entry.backend.is_kv_store && !listed.contains(id)) removed.push_back(id);
   }
-  for (const std::string& id : gone) onGone(id, now);
+  for (const std::string& id : removed) onRemoved(id, now);
 }
 
-void FleetView::onPlatformTrouble(TimePoint now) {
-  had_trouble_ = true;
-  trouble_at_ = now;
+void FleetView::onPlatformFailure(TimePoint now) {
+  platform_has_failed_ = true;
+  platform_failed_at_ = now;
   for (auto& [id, entry] : entries_) {
-    if (!entry.listed && now < entry.gone_from) entry.gone_from = now + kTroubleRest;
+    if (!entry.listed && now < entry.leaving_from) entry.leaving_from = now + kPlatformFailureGrace;
   }
 }
 
 void FleetView::onUnreachable(EngineSlot slot, std::uint64_t incarnation, TimePoint now) {
   Entry* entry = findSlot(slot, incarnation);
   if (entry == nullptr || now < entry->avoided_until) return;
-  entry->failures = now - entry->last_failure < kFailuresInARow ? entry->failures + 1 : 1;
+  entry->failures = now - entry->last_failure < kFailureStreakTimeout ? entry->failures + 1 : 1;
   entry->last_failure = now;
   const std::uint32_t doublings = std::min<std::uint32_t>(entry->failures - 1, 8);
-  entry->avoided_until = now + std::min(kLongestAvoidance, kFirstAvoidance * (1U << doublings));
+  entry->avoided_until = now + std::min(kMaxAvoidance, kInitialAvoidance * (1U << doublings));
 }
 
-void FleetView::onSilent(const std::string& id, TimePoint since, TimePoint now) {
+void FleetView::onUnresponsive(const std::string& id, TimePoint since, TimePoint now) {
   const auto place = entries_.find(id);
   if (place == entries_.end()) return;
   Entry& entry = place->second;
-  if (now >= entry.silent_until) entry.silent_since = since;
-  entry.silent_until = now + kSilenceLifetime;
+  if (now >= entry.unresponsive_until) entry.unresponsive_since = since;
+  entry.unresponsive_until = now + kUnresponsiveLifetime;
 }
 
-bool FleetView::onHeard(const std::string& id, TimePoint now) {
+bool FleetView::onResponsive(const std::string& id, TimePoint now) {
   const auto place = entries_.find(id);
-  if (place == entries_.end() || now >= place->second.silent_until) return false;
-  place->second.silent_until = now;
+  if (place == entries_.end() || now >= place->second.unresponsive_until) return false;
+  place->second.unresponsive_until = now;
   return true;
 }
 
 void FleetView::onWeights(const std::string& id, const std::string& model, const std::string& version,
-                          TimePoint now, BeliefSource source) {
+                          TimePoint now, StateSource source) {
   const auto place = entries_.find(id);
   if (place == entries_.end()) return;
   raiseWeights(place->second, model, version, source);
@@ -172,7 +174,7 @@
   Entry* entry = findSlot(slot, incarnation);
   if (entry == nullptr || entry->backend.view.models.size() != 1) return;
   const std::string model = entry->backend.view.models.front().model;
-  onWeights(entry->backend.view.name, model, version, now, BeliefSource::own_traffic);
+  onWeights(entry->backend.view.name, model, version, now, StateSource::own_traffic);
 }
 
 void FleetView::onLoading(const std::string& id, TimePoint until) {
@@ -183,11 +185,11 @@
 void FleetView::onLoadReport(const std::string& id, const LoadReport& load, TimePoint now) {
   const auto place = entries_.find(id);
   if (place == entries_.end()) return;
-  LoadReport& held = place->second.backend.view.load;
-  const std::uint32_t limit = held.batch_limit;
-  held = load;
-  held.batch_limit = limit;
-  held.measured_at = now;
+  LoadReport& current = place->second.backend.view.load;
+  const std::uint32_t limit = current.batch_limit;
+  current = load;
+  current.batch_limit = limit;
+  current.measured_at = now;
 }
 
 FleetView::Entry* FleetView::findSlot(EngineSlot slot, std::uint64_t incarnation) {
@@ -203,39 +205,39 @@
   return place != newest_at_address_.end() && place->second != entry.backend.view.name;
 }
 
-FleetView::JudgedState FleetView::judge(const Entry& entry, TimePoint now) const {
-  if (superseded(entry)) return {EngineState::Dead, "address_taken_over", BeliefSource::list};
-  if (entry.draining) return {EngineState::Leaving, "draining", BeliefSource::list};
-  if (!entry.listed && now >= entry.gone_from) return {EngineState::Leaving, "unlisted", BeliefSource::list};
+FleetView::EvaluatedState FleetView::evaluate(const Entry& entry, TimePoint now) const {
+  if (superseded(entry)) return {EngineState::Dead, "address_taken_over", StateSource::list};
+  if (entry.draining) return {EngineState::Leaving, "draining", StateSource::list};
+  if (!entry.listed && now >= entry.leaving_from)
+    return {EngineState::Leaving, "unlisted", StateSource::list};
   if (now < entry.loading_until && entry.backend.is_kv_store) {
-    return {EngineState::Ejected, "silent", BeliefSource::report};
+    return {EngineState::Ejected, "silent", StateSource::report};
   }
-  if (now < entry.loading_until) return {EngineState::Ejected, "loading_weights", BeliefSource::order};
-  if (now < entry.avoided_until) return {EngineState::Ejected, "unreachable", BeliefSource::own_traffic};
+  if (now < entry.loading_until) return {EngineState::Ejected, "loading_weights", StateSource::order};
+  if (now < entry.avoided_until) return {EngineState::Ejected, "unreachable", StateSource::own_traffic};
   if (entry.last_state == EngineState::Ejected) {
-    return {EngineState::Live, "tried_again", BeliefSource::elapsed_time};
+    return {EngineState::Live, "tried_again", StateSource::elapsed_time};
   }
-  return {EngineState::Live, "listed", BeliefSource::list};
+  return {EngineState::Live, "listed", StateSource::list};
 }
 
 std::vector<Backend> FleetView::backends(TimePoint now) {
   std::erase_if(entries_, [this, now](const auto& item) {
     const Entry& entry = item.second;
-    const bool forgotten =
-        !entry.listed && now - std::max(entry.gone_from, entry.unlisted_at) >= kForgetAfter;
-    if (forgotten) slots_.free(entry.backend.view.slot, now);
-    return forgotten;
+    const bool expired = !entry.listed && now - std::max(entry.leaving_from, entry.unlisted_at) >= kRetention;
+    if (expired) slots_.free(entry.backend.view.slot, now);
+    return expired;
   });
   std::vector<Backend> backends;
   backends.reserve(entries_.size());
   for (auto& [id, entry] : entries_) {
-    const auto [state, cause, source] = judge(entry, now);
+    const auto [state, cause, source] = evaluate(entry, now);
     if (state != entry.last_state) {
       changes_.push_back({id, entry.backend.view.pool, entry.last_state, state, cause, source});
       entry.last_state = state;
     }
     entry.backend.view.state = state;
-    entry.backend.silent_since = now < entry.silent_until ? entry.silent_since : TimePoint{};
+    entry.backend.silent_since = now < entry.unresponsive_until ? entry.unresponsive_since : TimePoint{};
     backends.push_back(entry.backend);
   }
   std::sort(backends.begin(), backends.end(),
@@ -246,10 +248,10 @@
 TimePoint FleetView::nextChange(TimePoint now) const {
   TimePoint next = TimePoint::max();
   for (const auto& [id, entry] : entries_) {
-    for (const TimePoint at : {entry.avoided_until, entry.loading_until, entry.silent_until}) {
+    for (const TimePoint at : {entry.avoided_until, entry.loading_until, entry.unresponsive_until}) {
       if (at > now) next = std::min(next, at);
     }
-    if (!entry.listed && entry.gone_from > now) next = std::min(next, entry.gone_from);
+    if (!entry.listed && entry.leaving_from > now) next = std::min(next, entry.leaving_from);
   }
   return next;
 }
--- a/src/gateway_control/gateway_control.cc
+++ b/src/gateway_control/gateway_control.cc
@@ -15,17 +15,17 @@
 
 namespace {
 
-/// Changes within this time are published together: a publication copies the list of back ends, so that the
-/// time grows with the list.
-constexpr Duration kLeastPublishDelay = std::chrono::milliseconds(5);
+/// Changes within the publish delay are published together. A publication copies the list of back ends, so
+/// the delay grows with its length.
+constexpr Duration kMinPublishDelay = std::chrono::milliseconds(5);
 constexpr Duration kPublishDelayPerBackend = std::chrono::microseconds(300);
-/// A back end that got an order takes no new request for about as long as a load lasts.
+/// A back end that received an order takes no new request for this time, about the duration of a load.
 constexpr Duration kLoadingTime = std::chrono::milliseconds(1'500);
-/// Weights found at the start have to be in use this much later at the latest.
+/// Deadline, counted from their discovery, for weights that were already named when this process started.
 constexpr Duration kWeightsFoundMargin = std::chrono::milliseconds(4'500);
-/// Longest time between two publications that check what time alone changes.
-constexpr Duration kLongestPause = std::chrono::seconds(5);
-constexpr Duration kPauseUntilKnown = std::chrono::milliseconds(100);
+/// Maximum interval between two publications; picks up state that changes with time alone.
+constexpr Duration kMaxPublishInterval = std::chrono::seconds(5);
+constexpr Duration kPublishIntervalAtStart = std::chrono::milliseconds(100);
 
 std::uint32_t milliseconds(Duration duration) {
   return static_cast<std::uint32_t>(std::chrono::duration_cast<std::chrono::milliseconds>(duration).count());
@@ -39,24 +39,25 @@
   return addresses;
 }
 
-/// Processor time that a request takes, seconds: half of what 69 gateways spent a request on a standard day
-/// of voltpath-bc-grown when each of them followed caches and told its work (162 s for 40,166 requests).
-constexpr double kProcessorPerRequest = 0.002;
-/// Bits that a request moves over a machine's link in the heavier direction: its body of 10 KB goes in and
-/// out, its answer of some KB too.
+/// Processor time per request in seconds. It is half of what 69 gateways took per request while each of them
+/// followed caches and broadcast its load (162 s for 40,166 requests).
+constexpr double kProcessorSecondsPerRequest = 0.002;
+/// Bits that a request transfers over a machine's link in the busier direction: a body of 10 KB and a
+/// response of a few KB each pass in and out.
 constexpr double kLinkBitsPerRequest = 200'000;
 
-/// @return requests a second that the machine can carry by its processor and its link.
+/// @return requests per second that the machine can handle, limited by its processor and its link.
 std::uint32_t capacityOf(const NodeSettings& settings) {
-  const double by_processor = settings.processor_share * settings.processor_speed / kProcessorPerRequest;
+  const double by_processor =
+      settings.processor_share * settings.processor_speed / kProcessorSecondsPerRequest;
   const double by_link = settings.link_megabits_per_second * 1e6 / kLinkBitsPerRequest;
   return static_cast<std::uint32_t>(std::max(1.0, std::min(by_processor, by_link)));
 }
 
 ServingOptions servingOptions(const NodeSettings& settings) {
   ServingOptions options;
-  options.least_in_zone = settings.serving_least_in_zone;
-  options.everyone_up_to = settings.serving_all_up_to;
+  options.min_per_zone = settings.serving_least_in_zone;
+  options.all_serve_up_to = settings.serving_all_up_to;
   return options;
 }
 
@@ -98,9 +99,9 @@
       crashes_(combineHashes(hashBytes(settings.name, 4), incarnation), clock_.now()),
       publish_timer_(executor),
       change_timer_(executor),
-      tell_timer_(executor),
-      told_timer_(executor),
-      peer_work_timer_(executor),
+      cache_send_timer_(executor),
+      received_cache_timer_(executor),
+      peer_load_timer_(executor),
       serving_timer_(executor),
       crash_timer_(executor),
       suspension_timer_(executor) {}
@@ -109,54 +110,54 @@
   contact_->confirm(now());
   member_added_at_ = now();
   if (const std::error_code error = gossip_.start()) return error;
-  platform_.start(platformNews());
-  lookAtServing();
+  platform_.start(platformCallbacks());
+  refreshServing();
   crashes_.onTimer({}, now());
   pumpCrashes();
   watchForSuspension();
   return {};
 }
 
-PlatformNews GatewayControl::platformNews() {
-  PlatformNews news;
-  news.on_configuration = [this](std::shared_ptr<const Configuration> configuration) {
+PlatformCallbacks GatewayControl::platformCallbacks() {
+  PlatformCallbacks callbacks;
+  callbacks.on_configuration = [this](std::shared_ptr<const Configuration> configuration) {
     onConfiguration(std::move(configuration));
   };
-  news.on_weights = [this](NamedWeights named) {
+  callbacks.on_weights = [this](NamedWeights named) {
     named.named_at = now();
-    // What was found at the start was named an unknown time before.
-    if (!told_once_) named.named_at -= settings_.weights_limit - kWeightsFoundMargin;
+    // Weights found at startup were named at an unknown earlier time.
+    if (!initial_state_received_) named.named_at -= settings_.weights_limit - kWeightsFoundMargin;
     if (!orders_.onNamed(named)) return;
     log_.write(EventId::WeightsNamed, {{"model", named.model},
                                        {"version", named.version},
                                        {"age_ms", milliseconds(now() - named.named_at)}});
-    publishSoon();
+    schedulePublish();
   };
-  news.on_backend = [this](const ListedBackend& listed) {
+  callbacks.on_backend = [this](const ListedBackend& listed) {
     fleet_.onListed(listed, now());
-    publishSoon();
+    schedulePublish();
   };
-  news.on_backend_gone = [this](const std::string& id) {
-    fleet_.onGone(id, now());
-    publishSoon();
+  callbacks.on_backend_removed = [this](const std::string& id) {
+    fleet_.onRemoved(id, now());
+    schedulePublish();
   };
-  news.on_whole_list = [this](const std::vector<std::string>& ids) {
-    fleet_.onWholeList(ids, now());
-    publishSoon();
+  callbacks.on_full_list = [this](const std::vector<std::string>& ids) {
+    fleet_.onFullList(ids, now());
+    schedulePublish();
   };
-  news.on_contact = [this](TimePoint as_of) { onContact(as_of); };
-  news.on_trouble = [this] { onTrouble(); };
-  news.on_connections_silent = [this] { onConnectionsSilent(); };
-  return news;
+  callbacks.on_contact = [this](TimePoint as_of) { onContact(as_of); };
+  callbacks.on_trouble = [this] { onPlatformFailure(); };
+  callbacks.on_connections_silent = [this] { onConnectionsSilent(); };
+  return callbacks;
 }
 
 RolloutCoordinatorCallbacks GatewayControl::orderCallbacks() {
   RolloutCoordinatorCallbacks callbacks;
   callbacks.backends = [this] { return backends_; };
   callbacks.rank = [this] { return rank(); };
-  callbacks.holder_is_live = [this](const std::string& holder) { return memberLives(holder); };
+  callbacks.holder_is_live = [this](const std::string& holder) { return isMemberLive(holder); };
   callbacks.on_report = [this](const std::string& backend, const WeightsReport& report, bool loading) {
-    onReport(backend, report, loading);
+    onWeightsReport(backend, report, loading);
   };
   callbacks.on_loading = [this](const std::string& backend) { onLoading(backend); };
   return callbacks;
@@ -173,7 +174,7 @@
 void GatewayControl::onBackendNote(const BackendNote& note) {
   if (note.silent_milliseconds > 0 || note.heard) return onUnresponsiveNote(note);
   orders_.onOthersActive();
-  onNote(note);
+  applyBackendNote(note);
 }
 
 void GatewayControl::onMembersChanged() {
@@ -196,9 +197,9 @@
     if (!present.contains(name)) logMember(member, memberStateName(member.state), "dead");
   }
   members_ = std::move(present);
-  noteServing(serving_.onMembers(gossip_.members(), now()));
-  nameReaders();
-  publishSoon();
+  onServingRefreshed(serving_.onMembers(gossip_.members(), now()));
+  updateReaders();
+  schedulePublish();
 }
 
 void GatewayControl::logMember(const MemberRecord& member, std::string_view from, std::string_view to) {
@@ -218,24 +219,24 @@
   configuration_ = std::move(configuration);
   listKvStores();
   gossip_.setConfigurationVersion(configuration_->version);
-  // At once: every bound of a configuration counts from its acceptance.
+  // Without the publish delay: time limits for a configuration count from its acceptance.
   publish();
 }
 
 void GatewayControl::onContact(TimePoint as_of) {
   contact_->confirm(as_of);
-  told_once_ = true;
-  if (!std::exchange(reachable_, true)) {
+  initial_state_received_ = true;
+  if (!std::exchange(platform_reachable_, true)) {
     log_.write(EventId::PlatformReachable,
-               {{"service", "store"}, {"unreachable_ms", milliseconds(now() - lost_at_)}});
+               {{"service", "store"}, {"unreachable_ms", milliseconds(now() - unreachable_since_)}});
   }
   if (keysCurrent() != keys_current_) publish();
 }
 
-void GatewayControl::onTrouble() {
-  fleet_.onPlatformTrouble(now());
-  if (std::exchange(reachable_, false)) {
-    lost_at_ = now();
+void GatewayControl::onPlatformFailure() {
+  fleet_.onPlatformFailure(now());
+  if (std::exchange(platform_reachable_, false)) {
+    unreachable_since_ = now();
     log_.write(EventId::PlatformUnreachable,
                {{"service", "store"},
                 {"reason", "no answer"},
@@ -255,42 +256,43 @@
   gossip_.broadcast({{BackendNote{backend, milliseconds(kLoadingTime), "", "", 0, false}}});
 }
 
-void GatewayControl::onReport(const std::string& backend, const WeightsReport& report, bool is_loading) {
+void GatewayControl::onWeightsReport(const std::string& backend, const WeightsReport& report,
+                                     bool is_loading) {
   const Duration loading = is_loading ? kLoadingTime : Duration(0);
   BackendNotes notes;
   for (const LoadedModel& loaded : report.models) {
     const BackendNote note{backend, milliseconds(loading), loaded.model, loaded.weights_version, 0, false};
-    onNote(note);
+    applyBackendNote(note);
     notes.notes.push_back(note);
   }
-  tellPeers(notes);
+  sendToPeers(notes);
 }
 
-void GatewayControl::onNote(const BackendNote& note) {
+void GatewayControl::applyBackendNote(const BackendNote& note) {
   const Duration loading = std::chrono::milliseconds(note.loading_milliseconds);
   fleet_.onLoading(note.name, now() + std::min(loading, kLoadingTime));
   if (!note.model.empty()) fleet_.onWeights(note.name, note.model, note.weights_version, now());
-  publishSoon();
+  schedulePublish();
 }
 
 void GatewayControl::onUnreachable(EngineSlot slot, std::uint64_t incarnation) {
   fleet_.onUnreachable(slot, incarnation, now());
-  publishSoon();
+  schedulePublish();
 }
 
 void GatewayControl::onWrongBackend(EngineSlot slot, std::uint64_t incarnation,
                                     std::optional<std::uint64_t> weights_version) {
   if (!weights_version) return;
   fleet_.onWeightsOfSlot(slot, incarnation, std::to_string(*weights_version), now());
-  publishSoon();
+  schedulePublish();
 }
 
-/// Those that serve go first: they hear what the giver of orders tells.
+/// Serving gateways rank first because they receive what the rollout coordinator reports.
 std::size_t GatewayControl::rank() const {
   const std::vector<MemberRecord> members = gossip_.members();
   const auto key = [this](const MemberRecord& member) {
-    const bool stands_by = !serving_.serves(member.name);
-    return std::tuple(stands_by, member.incarnation, member.name);
+    const bool on_standby = !serving_.serves(member.name);
+    return std::tuple(on_standby, member.incarnation, member.name);
   };
   const auto self = std::find_if(members.begin(), members.end(), [this](const MemberRecord& member) {
     return member.name == gossip_.ownName();
@@ -303,7 +305,7 @@
       }));
 }
 
-bool GatewayControl::memberLives(const std::string& name) const {
+bool GatewayControl::isMemberLive(const std::string& name) const {
   const std::vector<MemberRecord> members = gossip_.members();
   return std::any_of(members.begin(), members.end(), [&name](const MemberRecord& member) {
     return member.name == name && member.state == MemberState::Alive;
@@ -314,12 +316,12 @@
   ControlStatus status;
   status.configuration_version = configuration_ == nullptr ? 0 : configuration_->version;
   status.knowledge_age = now() - contact_->confirmedAt();
-  status.platform_reachable = reachable_;
+  status.platform_reachable = platform_reachable_;
   status.leaving = leaving_;
   status.holds_order_lease = orders_.holding();
   status.orders_sent = orders_.ordersSent();
   status.members = gossip_.members();
-  if (serving_.everyoneServes()) {
+  if (serving_.allServe()) {
     for (const MemberRecord& member : status.members) status.serving.push_back(member.name);
   } else {
     status.serving = serving_.serving();
@@ -337,7 +339,7 @@
   settings_.key_validity = settings.key_validity;
   settings_.seeds = settings.seeds;
   gossip_.seed(gossipAddresses(settings_));
-  publishSoon();
+  schedulePublish();
 }
 
 void GatewayControl::leave() {
@@ -347,35 +349,35 @@
   serving_.leave();
   ServingNotice notice;
   notice.leaving = true;
-  if (!serving_.everyoneServes()) tellNotice(notice, true);
+  if (!serving_.allServe()) broadcastNotice(notice, true);
 }
 
-void GatewayControl::publishSoon() {
-  if (std::exchange(publish_waiting_, true)) return;
+void GatewayControl::schedulePublish() {
+  if (std::exchange(publish_scheduled_, true)) return;
   const Duration wanted = kPublishDelayPerBackend * static_cast<Duration::rep>(backends_.size());
-  publish_timer_.expires_after(std::max(kLeastPublishDelay, wanted));
+  publish_timer_.expires_after(std::max(kMinPublishDelay, wanted));
   publish_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) publish();
   });
 }
 
 void GatewayControl::publish() {
-  publish_waiting_ = false;
+  publish_scheduled_ = false;
   backends_ = fleet_.backends(now());
-  logFleet();
+  logFleetChanges();
   if (std::exchange(keys_current_, keysCurrent()) != keysCurrent()) {
     log_.write(EventId::GatewayKeysOutdated,
                {{"current", keys_current_}, {"age_ms", milliseconds(now() - contact_->confirmedAt())}});
   }
   auto snapshot = std::make_shared<GatewaySnapshot>();
-  // Until the record of quarantined requests is known nothing is served: such a request may be the first that
-  // comes.
+  // Without a configuration nothing is served. It is withheld until the record of quarantined requests is
+  // known, since the first request to arrive may be one of them.
   if (crashes_.isReady(now())) snapshot->configuration = configuration_;
   snapshot->backends = backends_;
   snapshot->weights = orders_.named();
   snapshot->own_zone = settings_.zone;
   snapshot->own_region = settings_.region;
-  shareOut(*snapshot);
+  assignShares(*snapshot);
   snapshot->contact = contact_;
   snapshot->key_validity = settings_.key_validity;
   outputs_.publish(std::move(snapshot));
@@ -385,8 +387,9 @@
 }
 
 void GatewayControl::armPublishTimer() {
-  TimePoint next = std::min(now() + (settled_ ? kLongestPause : kPauseUntilKnown), fleet_.nextChange(now()));
-  if (!crashes_.isReady(now())) next = std::min(next, now() + kPauseUntilKnown);
+  TimePoint next = std::min(now() + (fleet_stable_ ? kMaxPublishInterval : kPublishIntervalAtStart),
+                            fleet_.nextChange(now()));
+  if (!crashes_.isReady(now())) next = std::min(next, now() + kPublishIntervalAtStart);
   if (settings_.key_validity && keys_current_) {
     next = std::min(next, contact_->confirmedAt() + *settings_.key_validity);
   }
@@ -396,7 +399,7 @@
   });
 }
 
-void GatewayControl::logFleet() {
+void GatewayControl::logFleetChanges() {
   for (const FleetChange& change : fleet_.takeChanges()) {
     log_.write(EventId::BackendStateChanged, {{"backend", change.id},
                                               {"pool", change.pool},
--- a/src/gateway_control/gateway_control_caches.cc
+++ b/src/gateway_control/gateway_control_caches.cc
@@ -28,7 +28,7 @@
 }  // namespace
 
 std::vector<std::string> GatewayControl::sharingGateways() const {
-  if (!serving_.everyoneServes()) return serving_.serving();
+  if (!serving_.allServe()) return serving_.serving();
   std::vector<std::string> names;
   for (const MemberRecord& member : gossip_.members()) {
     const bool own = member.name == gossip_.ownName();
@@ -42,9 +42,9 @@
 /// cache: hundreds of gateways that each read every cache would saturate their links and take up all slots
 /// that the engines have for such calls. In a small fleet each gateway follows caches from the start.
 bool GatewayControl::fleetIsKnown() {
-  if (serving_.everyoneServes()) return true;
-  if (!settled_) settled_ = now() - member_added_at_ >= kFleetStableTime;
-  return settled_;
+  if (serving_.allServe()) return true;
+  if (!fleet_stable_) fleet_stable_ = now() - member_added_at_ >= kFleetStableTime;
+  return fleet_stable_;
 }
 
 void GatewayControl::updateCacheWatch() {
@@ -97,16 +97,16 @@
 }
 
 void GatewayControl::scheduleCacheBroadcast() {
-  if (!caches_.hasNotes() || std::exchange(tell_waiting_, true)) return;
+  if (!caches_.hasNotes() || std::exchange(cache_send_scheduled_, true)) return;
   const Duration wanted = kBatchTimePerGateway * static_cast<Duration::rep>(sharing_.size());
-  tell_timer_.expires_after(std::clamp(wanted, kMinBatchTime, kMaxBatchTime));
-  tell_timer_.async_wait([this](boost::system::error_code error) {
+  cache_send_timer_.expires_after(std::clamp(wanted, kMinBatchTime, kMaxBatchTime));
+  cache_send_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) broadcastCacheNotes();
   });
 }
 
 void GatewayControl::broadcastCacheNotes() {
-  tell_waiting_ = false;
+  cache_send_scheduled_ = false;
   for (const CacheNotes& notes : caches_.takeNotes()) {
     for (const std::string& member : sharing_) {
       if (member != gossip_.ownName()) gossip_.sendTo(member, notes);
@@ -125,11 +125,11 @@
     update.incarnation = backend->view.incarnation;
     update.complete = received_update.complete;
     update.parts = std::move(received_update.parts);
-    const bool waiting = !told_.empty();
-    told_.push_back(std::move(update));
+    const bool waiting = !received_cache_updates_.empty();
+    received_cache_updates_.push_back(std::move(update));
     if (waiting) continue;
-    told_timer_.expires_after(kForwardInterval);
-    told_timer_.async_wait([this](boost::system::error_code error) {
+    received_cache_timer_.expires_after(kForwardInterval);
+    received_cache_timer_.async_wait([this](boost::system::error_code error) {
       if (!error) forwardReceivedUpdates();
     });
   }
@@ -137,7 +137,8 @@
 
 /// Forwards all updates together, since each hand-over wakes the traffic thread.
 void GatewayControl::forwardReceivedUpdates() {
-  for (CachedPartsUpdate& update : std::exchange(told_, {})) outputs_.on_cached_parts(std::move(update));
+  for (CachedPartsUpdate& update : std::exchange(received_cache_updates_, {}))
+    outputs_.on_cached_parts(std::move(update));
 }
 
 void GatewayControl::onCacheWanted(const std::string& requester, const CacheWanted& wanted) {
--- a/src/gateway_control/gateway_control_crashes.cc
+++ b/src/gateway_control/gateway_control_crashes.cc
@@ -54,7 +54,7 @@
   platform_.readRecord(CrashRecord::kName, [this](const std::optional<StoredRecord>& record) {
     crashes_.onRecordRead(record, now());
     pumpCrashes();
-    publishSoon();  // Nothing is served before the record is known.
+    schedulePublish();  // Nothing is served before the record is known.
   });
 }
 
--- a/src/gateway_control/gateway_control_kv_stores.cc
+++ b/src/gateway_control/gateway_control_kv_stores.cc
@@ -29,7 +29,7 @@
     fleet_.onListed(store, now());
   }
   for (const std::string& id : std::exchange(kv_stores_, named)) {
-    if (!named.contains(id)) fleet_.onGone(id, now());
+    if (!named.contains(id)) fleet_.onRemoved(id, now());
   }
 }
 
@@ -40,7 +40,7 @@
   const auto delay = std::chrono::duration_cast<std::chrono::milliseconds>(kUnresponsiveDelay);
   if (!sharing_.empty())
     gossip_.broadcast({{BackendNote{id, static_cast<std::uint32_t>(delay.count()), "", "", 0, false}}});
-  publishSoon();
+  schedulePublish();
 }
 
 }  // namespace crankspur::gateway
--- a/src/gateway_control/gateway_control_load.cc
+++ b/src/gateway_control/gateway_control_load.cc
@@ -18,20 +18,20 @@
 }
 
 void GatewayControl::onLoadDigest(const std::string& sender, const LoadDigest& digest) {
-  const bool waiting = !peer_work_.empty();
-  LoadDigest& latest = peer_work_[sender];
+  const bool waiting = !peer_loads_.empty();
+  LoadDigest& latest = peer_loads_[sender];
   latest = digest;
   latest.sender = sender;
   if (waiting) return;
-  peer_work_timer_.expires_after(kForwardInterval);
-  peer_work_timer_.async_wait([this](boost::system::error_code error) {
+  peer_load_timer_.expires_after(kForwardInterval);
+  peer_load_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) forwardPeerLoad();
   });
 }
 
 void GatewayControl::forwardPeerLoad() {
   std::vector<LoadDigest> digests;
-  for (auto& [sender, digest] : std::exchange(peer_work_, {})) digests.push_back(std::move(digest));
+  for (auto& [sender, digest] : std::exchange(peer_loads_, {})) digests.push_back(std::move(digest));
   if (outputs_.on_peer_load) outputs_.on_peer_load(std::move(digests));
 }
 
--- a/src/gateway_control/gateway_control_unresponsive.cc
+++ b/src/gateway_control/gateway_control_unresponsive.cc
@@ -26,33 +26,33 @@
   const bool known = backend->silent_since != TimePoint{};
   const Duration time = now() - cache.since;
   if (!known) logUnresponsive(backend->view.name, true, time);
-  fleet_.onSilent(backend->view.name, cache.since, now());
+  fleet_.onUnresponsive(backend->view.name, cache.since, now());
   BackendNote note;
   note.name = backend->view.name;
   note.silent_milliseconds = wholeMilliseconds(time);
   sendToSharingGateways(note);
-  publishSoon();
+  schedulePublish();
 }
 
 void GatewayControl::onCacheResponsive(EngineSlot slot, std::uint64_t incarnation) {
   const Backend* backend = findBackend(slot, incarnation);
-  if (backend == nullptr || !fleet_.onHeard(backend->view.name, now())) return;
+  if (backend == nullptr || !fleet_.onResponsive(backend->view.name, now())) return;
   logUnresponsive(backend->view.name, false, now() - backend->silent_since);
   BackendNote note;
   note.name = backend->view.name;
   note.heard = true;
   sendToSharingGateways(note);
-  publishSoon();
+  schedulePublish();
 }
 
 void GatewayControl::onUnresponsiveNote(const BackendNote& note) {
   if (findBackend(note.name) == nullptr) return;
   if (note.heard) {
-    if (fleet_.onHeard(note.name, now())) publishSoon();
+    if (fleet_.onResponsive(note.name, now())) schedulePublish();
     return;
   }
-  fleet_.onSilent(note.name, now() - std::chrono::milliseconds(note.silent_milliseconds), now());
-  publishSoon();
+  fleet_.onUnresponsive(note.name, now() - std::chrono::milliseconds(note.silent_milliseconds), now());
+  schedulePublish();
 }
 
 void GatewayControl::sendToSharingGateways(const BackendNote& note) {
--- a/src/gateway_control/weight_rollout.cc
+++ b/src/gateway_control/weight_rollout.cc
@@ -18,7 +18,7 @@
 constexpr Duration kOrderTimeout = std::chrono::seconds(8);
 /// A back end that failed gets no calls for this long.
 constexpr Duration kFailureBackoff = std::chrono::milliseconds(400);
-/// Share of the limit that loads are planned for; the rest is left for the last back ends.
+/// Share of the limit that loads are planned for; the backoff is left for the last back ends.
 constexpr double kUsableShare = 0.75;
 /// When time is short, at most this many times the usual number load concurrently.
 constexpr std::uint32_t kMaxParallelFactor = 3;
@@ -30,7 +30,7 @@
   for (const LoadedModel& loaded : backend.view.models) {
     const auto place = named.find(loaded.model);
     if (place == named.end()) continue;
-    if (weightsNumber(loaded.weights_version) < place->second.version) return &loaded;
+    if (weightsVersionNumber(loaded.weights_version) < place->second.version) return &loaded;
   }
   return nullptr;
 }
@@ -133,7 +133,7 @@
   }
   // Those furthest behind come first; otherwise a new version every few seconds would starve the last ones.
   const auto version = [](const EngineView& engine) {
-    return engine.models.empty() ? 0 : weightsNumber(engine.models.front().weights_version);
+    return engine.models.empty() ? 0 : weightsVersionNumber(engine.models.front().weights_version);
   };
   std::stable_sort(engines.begin(), engines.end(), [&](const EngineView& left, const EngineView& right) {
     return version(left) < version(right);
@@ -167,7 +167,7 @@
     if (run.step == Step::ToSend) {
       action.kind = RolloutAction::Kind::Order;
       action.model = run.order.model;
-      action.version = weightsNumber(run.order.weights_version);
+      action.version = weightsVersionNumber(run.order.weights_version);
       action.expected_orders_taken = run.orders_taken;
       run.step = Step::Sending;
       run.sent_at = now;
@@ -192,7 +192,8 @@
     return;
   }
   for (const LoadedModel& loaded : report->models) {
-    const bool reached = weightsNumber(loaded.weights_version) >= weightsNumber(run.order.weights_version);
+    const bool reached =
+        weightsVersionNumber(loaded.weights_version) >= weightsVersionNumber(run.order.weights_version);
     if (loaded.model != run.order.model || !reached) continue;
     if (run.step == Step::Watching) {
       load_seconds_ += 0.3 * (toSeconds(now - run.began_at) - load_seconds_);
@@ -208,7 +209,7 @@
   run.step = Step::ToSend;
 }
 
-void WeightRollout::onOrderResponse(const std::string& backend, OrderAnswer answer, TimePoint now) {
+void WeightRollout::onOrderResponse(const std::string& backend, OrderResponse answer, TimePoint now) {
   const auto place = runs_.find(backend);
   if (place == runs_.end()) return;
   Run& run = place->second;
@@ -216,18 +217,18 @@
   run.step = Step::Watching;
   run.next_report_at = now + kReportInterval;
   switch (answer) {
-    case OrderAnswer::Begun:
-    case OrderAnswer::Unknown:
+    case OrderResponse::Begun:
+    case OrderResponse::Unknown:
       return;
-    case OrderAnswer::InEffect:
+    case OrderResponse::InEffect:
       orders_.onFailed(run.order);
       runs_.erase(place);
       return;
-    case OrderAnswer::Conflict:
+    case OrderResponse::Conflict:
       run.step = Step::AwaitingReport;
       return;
-    case OrderAnswer::Fenced:
-    case OrderAnswer::Refused:
+    case OrderResponse::Fenced:
+    case OrderResponse::Refused:
       fail(backend, now);
       return;
   }
--- a/tests/unit/gateway_control/cache_watch_test.cc
+++ b/tests/unit/gateway_control/cache_watch_test.cc
@@ -35,7 +35,7 @@
   }
   void respondEmpty(const std::string& address) {
     CachedPartsPage page;
-    page.answered = true;
+    page.responded = true;
     page.epoch = 1;
     respond(address, std::move(page));
   }
@@ -106,7 +106,7 @@
   WatchedCaches caches;
   caches.respondEmpty("a2");
   CachedPartsPage page;
-  page.turned_away = true;
+  page.rejected = true;
   caches.respond("a1", page);
   CHECK(caches.unresponsive.empty());
 }
@@ -114,7 +114,7 @@
 TEST_CASE("the first events of a cache are reported as the parts that remain after them", "[cache_watch]") {
   WatchedCaches watched;
   CachedPartsPage page;
-  page.answered = true;
+  page.responded = true;
   page.epoch = 1;
   page.position = 5;
   page.parts = {
--- a/tests/unit/gateway_control/gateway_admin_test.cc
+++ b/tests/unit/gateway_control/gateway_admin_test.cc
@@ -164,7 +164,7 @@
 TEST_CASE("a gateway's status reports its members, back ends and configuration", "[gateway][admin]") {
   AdminFixture fixture;
   CHECK(fixture.get("/healthz").status == 503);
-  fixture.platform.news.on_configuration([] {
+  fixture.platform.platform_callbacks.on_configuration([] {
     auto configuration = std::make_shared<Configuration>();
     configuration->version = 12;
     return configuration;
@@ -173,8 +173,8 @@
   listed.id = "b1";
   listed.pool = "lm";
   listed.address = "127.0.0.1:9";
-  fixture.platform.news.on_backend(listed);
-  fixture.platform.news.on_contact(SteadyClock().now());
+  fixture.platform.platform_callbacks.on_backend(listed);
+  fixture.platform.platform_callbacks.on_contact(SteadyClock().now());
   while (!fixture.process.ready() || fixture.control.status().backends.empty()) {
     fixture.context.run_one_for(std::chrono::milliseconds(10));
   }
@@ -195,6 +195,6 @@
 
 TEST_CASE("the control side notifies traffic of silent connections", "[gateway][silent_connections]") {
   AdminFixture fixture;
-  fixture.platform.news.on_connections_silent();
+  fixture.platform.platform_callbacks.on_connections_silent();
   CHECK(fixture.silent_connection_notices == 1);
 }
--- a/tests/unit/gateway_control/rollout_coordinator_test.cc
+++ b/tests/unit/gateway_control/rollout_coordinator_test.cc
@@ -31,14 +31,14 @@
   void readWeights(const std::string&, std::function<void(std::optional<WeightsReport>)> done) override {
     reports.push_back(std::move(done));
   }
-  void sendOrder(const WeightsOrder& order, std::function<void(OrderAnswer)> done) override {
+  void sendOrder(const WeightsOrder& order, std::function<void(OrderResponse)> done) override {
     orders.push_back(order);
     order_callbacks.push_back(std::move(done));
   }
 
   std::vector<std::function<void(std::optional<WeightsReport>)>> reports;
   std::vector<WeightsOrder> orders;
-  std::vector<std::function<void(OrderAnswer)>> order_callbacks;
+  std::vector<std::function<void(OrderResponse)>> order_callbacks;
 
 private:
   boost::asio::io_context& context_;
--- a/tests/unit/gateway_control/weight_rollout_test.cc
+++ b/tests/unit/gateway_control/weight_rollout_test.cc
@@ -94,8 +94,8 @@
       runner.loading = action.version;
       runner.loaded_at = now + 600ms;
     }
-    const OrderAnswer response = taken ? OrderAnswer::Begun : OrderAnswer::Conflict;
-    rollout.onOrderResponse(runner.id, lost ? OrderAnswer::Unknown : response, now);
+    const OrderResponse response = taken ? OrderResponse::Begun : OrderResponse::Conflict;
+    rollout.onOrderResponse(runner.id, lost ? OrderResponse::Unknown : response, now);
   }
 
   double lost_;
