--- a/src/admission/admission.cc
+++ b/src/admission/admission.cc
@@ -155,8 +155,7 @@
   decision.admitted = true;
   decision.priority = request.priority;
   if (request.fleet_utilization >= kBackgroundUtilization && request.priority >= kBackgroundPriority) {
-    return refuse(ErrorCode::Overloaded, kSlotRetryAfter,
-                  "background requests are refused while the fleet is full");
+    return refuse(ErrorCode::Overloaded, kSlotRetryAfter, "background work waits while the fleet is full");
   }
   if (request.fleet_utilization < kDemoteUtilization) return decision;
   updateFairLevel(request.fleet_utilization, now);
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -49,7 +49,7 @@
   Gateway& operator=(const Gateway&) = delete;
 
   void onSnapshot(std::shared_ptr<const GatewaySnapshot> snapshot, TimePoint now);
-  void onCachedParts(const CachedPartsUpdate& news, TimePoint now) { choice_.onCachedParts(news, now); }
+  void onCachedParts(const CachedPartsUpdate& update, TimePoint now) { choice_.onCachedParts(update, now); }
 
   /// Another gateway reported the requests that it has at each engine.
   void onPeerLoad(const std::string& sender, const LoadDigest& digest, TimePoint now) {
@@ -198,7 +198,7 @@
   void cancelExchange(Entry& entry, DispatchOutcome outcome, TimePoint now, bool unanswered = false);
   void discardResponse(Entry& entry, DispatchOutcome outcome, TimePoint now);
   bool mayRepeat(const Entry& entry) const;
-  bool consumeRepeatBudget(Entry& entry, TimePoint now);
+  bool consumeRetryBudget(Entry& entry, TimePoint now);
   void retryOrGiveUp(Entry& entry, const ActiveExchange& failed, int status, TimePoint now);
   void retryElsewhere(Entry& entry, const ActiveExchange& failed, int status, TimePoint now);
   void giveUp(Entry& entry, TimePoint now);
--- a/src/gateway/gateway_answers.cc
+++ b/src/gateway/gateway_answers.cc
@@ -164,7 +164,7 @@
   entry.may_have_arrived = true;
   entry.cause = RequestCause::error_answer;
   entry.failed.push_back(entry.active.slot);
-  const bool repeats = isServerError(status) && mayRepeat(entry) && consumeRepeatBudget(entry, now);
+  const bool repeats = isServerError(status) && mayRepeat(entry) && consumeRetryBudget(entry, now);
   if (repeats) {
     discardResponse(entry, DispatchOutcome::ErrorResponse, now);
     return retryElsewhere(entry, active, status, now);
@@ -253,7 +253,7 @@
   if (now < due) return scheduleTimer(entry, std::min(entry.deadline, due));
   entry.may_have_arrived = true;
   entry.may_have_run = true;
-  if (!has_alternative || !mayRepeat(entry) || !consumeRepeatBudget(entry, now))
+  if (!has_alternative || !mayRepeat(entry) || !consumeRetryBudget(entry, now))
     return scheduleTimer(entry, entry.deadline);
   entry.cause = RequestCause::silence;
   // A silent connection says nothing of the back end, which may have the prompt in its cache: it stays
@@ -296,13 +296,13 @@
 
 /// Takes a repeat from the retry budget, unless no back end can have received the request.
 /// @return whether the request may be repeated; false if the budget is exhausted.
-bool Gateway::consumeRepeatBudget(Entry& entry, TimePoint now) {
+bool Gateway::consumeRetryBudget(Entry& entry, TimePoint now) {
   if (!entry.may_have_arrived) return true;
   return budgetOf(entry.pool->name).tryRetry(snapshot_->share_divisor, now);
 }
 
 void Gateway::retryOrGiveUp(Entry& entry, const ActiveExchange& failed, int status, TimePoint now) {
-  if (mayRepeat(entry) && consumeRepeatBudget(entry, now)) return retryElsewhere(entry, failed, status, now);
+  if (mayRepeat(entry) && consumeRetryBudget(entry, now)) return retryElsewhere(entry, failed, status, now);
   reportMoved(entry, failed, status, false, now);
   giveUp(entry, now);
 }
--- a/src/gateway/gateway_snapshot.h
+++ b/src/gateway/gateway_snapshot.h
@@ -121,12 +121,12 @@
   /// Everything that the operator had accepted by `as_of` is known. Times before the last confirmed one are
   /// ignored.
   void confirm(TimePoint as_of) {
-    vouched_at_ = std::max(vouched_at_.load(), as_of.time_since_epoch().count());
+    confirmed_at_ = std::max(confirmed_at_.load(), as_of.time_since_epoch().count());
   }
-  TimePoint confirmedAt() const { return TimePoint(Duration(vouched_at_.load())); }
+  TimePoint confirmedAt() const { return TimePoint(Duration(confirmed_at_.load())); }
 
 private:
-  std::atomic<Duration::rep> vouched_at_ = 0;
+  std::atomic<Duration::rep> confirmed_at_ = 0;
 };
 
 /// All state on which a traffic shard decides.
--- a/src/gateway/request_observer.h
+++ b/src/gateway/request_observer.h
@@ -147,7 +147,7 @@
 struct BackendDistrusted {
   std::string_view backend;
   RequestCause cause = RequestCause::none;  ///< Of the last failure.
-  Duration distrusted_for{0};               ///< It is eligible again after this time.
+  Duration ejected_for{0};                  ///< It is eligible again after this time.
 };
 
 /// The connection to a back end broke while it ran the request, which may have crashed it.
--- a/src/gateway_control/gateway_admin.cc
+++ b/src/gateway_control/gateway_admin.cc
@@ -96,7 +96,7 @@
   }
   if (lines.empty()) {
     return http::errorResponse(kNotFound, errorName(ErrorCode::InvalidRequest),
-                               "no recent log line names this request", "not_run");
+                               "no line of late names this request", "not_run");
   }
   const json::object body = {
       {"request_id", request_id}, {"gateway", settings_.name}, {"lines", std::move(lines)}};
--- a/src/gateway_control/gateway_control.cc
+++ b/src/gateway_control/gateway_control.cc
@@ -165,7 +165,7 @@
 
 CacheWatchCallbacks GatewayControl::cacheCallbacks() {
   CacheWatchCallbacks callbacks;
-  callbacks.on_update = [this](CachedPartsUpdate news) { onOwnCacheUpdate(std::move(news)); };
+  callbacks.on_update = [this](CachedPartsUpdate update) { onOwnCacheUpdate(std::move(update)); };
   callbacks.on_unresponsive = [this](const UnresponsiveCache& silence) { onCacheUnresponsive(silence); };
   callbacks.on_responsive = [this](EngineSlot slot, std::uint64_t cache) { onCacheResponsive(slot, cache); };
   return callbacks;
--- a/src/gateway_process/request_log.cc
+++ b/src/gateway_process/request_log.cc
@@ -120,7 +120,7 @@
 void RequestLog::onDistrusted(const BackendDistrusted& record) {
   log_.write(EventId::GatewayBackendDistrusted, {{"backend", record.backend},
                                                  {"cause", nameOf(record.cause)},
-                                                 {"for_ms", milliseconds(record.distrusted_for)}});
+                                                 {"for_ms", milliseconds(record.ejected_for)}});
 }
 
 void RequestLog::onSuspected(const RequestSuspected& record) {
--- a/tests/unit/gateway/gateway_stream_test.cc
+++ b/tests/unit/gateway/gateway_stream_test.cc
@@ -95,11 +95,11 @@
   for (const EngineSlot holder : {EngineSlot{3}, EngineSlot{4}}) {
     GatewayFixture fixture;
     fixture.publish();
-    CachedPartsUpdate news;
-    news.slot = holder;
-    news.incarnation = 1000U + holder;
-    news.parts = {{cacheScope("1", ""), "m", 11, 1600}};
-    fixture.gateway.onCachedParts(news, fixture.now);
+    CachedPartsUpdate update;
+    update.slot = holder;
+    update.incarnation = 1000U + holder;
+    update.parts = {{cacheScope("1", ""), "m", 11, 1600}};
+    fixture.gateway.onCachedParts(update, fixture.now);
     fixture.send("review");
     CHECK(fixture.only<Dispatch>().terms.expected_backend == "b" + std::to_string(holder));
   }
