--- a/tools/soak/soak.py
+++ b/tools/soak/soak.py
@@ -35,6 +35,7 @@
 ENGINES_THAT_END = 9  # Where requests that end engines are played alone.
 ENDING_REQUESTS = 2  # At most so many at once.
 APPLICATION_RUNNERS = 2
+RUNNER_HOST = "127.0.0.2"  # Differs from the proxy's address, whose ports the kernel chooses.
 REQUESTS_PER_S = 40
 REVOKED_SHARE = 0.15  # Of the requests, with keys that were taken away.
 DEADLINE_S = 3.0
@@ -64,6 +65,11 @@
     return ports
 
 
+def choose_runner_endpoints(count):
+    """Returns host and port of each runner, before any of them listens."""
+    return [(RUNNER_HOST, port) for port in free_ports(count)]
+
+
 class Gateway:
     """One gateway process."""
 
@@ -224,15 +230,15 @@
         ending = (self.ending_parts, self.ends)
         self.engines = [Runner(self.store, "engines", MODEL, 16, self.runs, generator, *ending) for _ in range(engines)]
         self.runners = [Runner(self.store, "app", "", 12, self.runs, generator) for _ in range(APPLICATION_RUNNERS)]
-        inner = free_ports(engines + APPLICATION_RUNNERS)
+        endpoints = choose_runner_endpoints(engines + APPLICATION_RUNNERS)
         targets = {"store": f"127.0.0.1:{store_port}"}
-        targets |= {f"runner{index}": f"127.0.0.1:{port}" for index, port in enumerate(inner)}
+        targets |= {f"runner{index}": f"{host}:{port}" for index, (host, port) in enumerate(endpoints)}
         await self.proxy.start(build / "fault_proxy", targets, self.folder)
         self.configure(self.random)
         self.store.put("op", f"version/{MODEL}", json.dumps({"model": MODEL, "version": 1}).encode())
         for index, runner in enumerate(self.engines + self.runners):
             runner.route = f"runner{index}"
-            await runner.start("127.0.0.1", inner[index], f"127.0.0.1:{self.proxy.ports[runner.route]}")
+            await runner.start(*endpoints[index], f"127.0.0.1:{self.proxy.ports[runner.route]}")
         names = ["front", "readiness", "directory", "metrics", "gossip"]
         ports = dict(zip(names, free_ports(len(names))))
         address = f"127.0.0.1:{self.proxy.ports['store']}"
@@ -346,7 +352,7 @@
         self.note(f"crash of {runner.id} ({runner.route})")
         await runner.crash()
         await asyncio.sleep(generator.uniform(0.3, 2.0))
-        await runner.start("127.0.0.1", runner.port, runner.listed_address)
+        await runner.start(RUNNER_HOST, runner.port, runner.listed_address)
 
     async def trouble_runner(self, generator):
         runner = generator.choice(self.engines + self.runners)
