--- a/sim/world/bundle_maker.cc
+++ b/sim/world/bundle_maker.cc
@@ -38,7 +38,8 @@
 }  // namespace
 
 TrustedKeys trustedKeys() {
-  static const TrustedKeys keys = {{publicKeyOf(kAuthorKey).value()}, {publicKeyOf(kApproverKey).value()}};
+  static const TrustedKeys keys = {{derivePublicKey(kAuthorKey).value()},
+                                   {derivePublicKey(kApproverKey).value()}};
   return keys;
 }
 
--- a/src/base/bounded_event_log.cc
+++ b/src/base/bounded_event_log.cc
@@ -12,18 +12,19 @@
 namespace crankspur {
 namespace {
 
-/// A pipe that is writable takes so many bytes without blocking.
+/// A writable pipe accepts this many bytes without blocking.
 constexpr std::size_t kAtomicPipeBytes = 4096;
-/// How long one look for a reader lasts.
+/// Timeout of one poll for writability.
 constexpr int kPollMilliseconds = 100;
-/// Parts of the queue, in quarters, up to which routine lines are all taken, sampled, and not taken.
-constexpr std::size_t kAllRoutineQuarters = 2;
+/// Fill levels of the queue, in quarters: up to the first all routine lines are accepted, up to the second
+/// they are sampled, beyond it they are dropped.
+constexpr std::size_t kUnsampledRoutineQuarters = 2;
 constexpr std::size_t kSampledRoutineQuarters = 3;
 constexpr std::size_t kQuarters = 4;
-/// While sampled, one routine line in so many is taken.
-constexpr std::uint64_t kRoutineSample = 8;
+/// While sampling, one in this many routine lines is accepted.
+constexpr std::uint64_t kRoutineSampleInterval = 8;
 
-/// A reader that is gone must not end the process.
+/// A closed pipe must not terminate the process.
 void blockBrokenPipeSignal() {
   sigset_t signals;
   sigemptyset(&signals);
@@ -65,32 +66,32 @@
       formatLogLine(settings_.format, currentLogTime(), settings_.process, description, fields) + "\n";
   const std::lock_guard lock(mutex_);
   enqueue(event, line);
-  keepRecent(line);
+  addRecent(line);
 }
 
 void BoundedEventLog::enqueue(EventId event, const std::string& line) {
   const LineImportance importance = importanceOf(event);
-  if (!hasRoom(importance, line.size())) {
+  if (!hasCapacity(importance, line.size())) {
     ++(importance == LineImportance::routine ? dropped_.routine : dropped_.notable);
     return;
   }
   ++accepted_;
-  const bool was_empty = waiting_.empty();
-  waiting_ += line;
+  const bool was_empty = queued_.empty();
+  queued_ += line;
   if (was_empty) wake_.notify_one();
 }
 
-bool BoundedEventLog::hasRoom(LineImportance importance, std::size_t bytes) const {
-  const std::size_t filled = waiting_.size() + bytes;
+bool BoundedEventLog::hasCapacity(LineImportance importance, std::size_t bytes) const {
+  const std::size_t filled = queued_.size() + bytes;
   const auto within = [&](std::size_t quarters) {
     return filled <= settings_.queue_bytes / kQuarters * quarters;
   };
   if (importance == LineImportance::notable) return within(kQuarters);
-  if (within(kAllRoutineQuarters)) return true;
-  return within(kSampledRoutineQuarters) && (accepted_ + dropped_.routine) % kRoutineSample == 0;
+  if (within(kUnsampledRoutineQuarters)) return true;
+  return within(kSampledRoutineQuarters) && (accepted_ + dropped_.routine) % kRoutineSampleInterval == 0;
 }
 
-void BoundedEventLog::keepRecent(const std::string& line) {
+void BoundedEventLog::addRecent(const std::string& line) {
   recent_size_ += line.size();
   recent_.push_back(line);
   while (recent_size_ > settings_.recent_bytes) {
@@ -101,10 +102,10 @@
 
 std::vector<std::string> BoundedEventLog::recentLines(std::string_view text) const {
   const std::lock_guard lock(mutex_);
-  std::vector<std::string> found;
-  std::copy_if(recent_.begin(), recent_.end(), std::back_inserter(found),
+  std::vector<std::string> matches;
+  std::copy_if(recent_.begin(), recent_.end(), std::back_inserter(matches),
                [text](const std::string& line) { return line.find(text) != std::string::npos; });
-  return found;
+  return matches;
 }
 
 DroppedLines BoundedEventLog::dropped() const {
@@ -117,43 +118,43 @@
   return accepted_;
 }
 
-// The writing thread.
+// The writer thread.
 
 void BoundedEventLog::run() {
   blockBrokenPipeSignal();
   std::unique_lock lock(mutex_);
   while (true) {
-    wake_.wait(lock, [this] { return stopping_ || !waiting_.empty(); });
-    wake_.wait_for(lock, settings_.batching, [this] { return stopping_; });
-    noteDropped();
-    const std::string batch = std::exchange(waiting_, {});
+    wake_.wait(lock, [this] { return stopping_ || !queued_.empty(); });
+    wake_.wait_for(lock, settings_.batch_interval, [this] { return stopping_; });
+    appendDroppedCount();
+    const std::string batch = std::exchange(queued_, {});
     lock.unlock();
-    const bool written = writeOut(batch);
+    const bool written = writeToDescriptor(batch);
     lock.lock();
-    if (!written || (stopping_ && waiting_.empty())) return;
+    if (!written || (stopping_ && queued_.empty())) return;
   }
 }
 
-/// Adds the line that counts what was dropped since the last such line.
-void BoundedEventLog::noteDropped() {
-  const std::uint64_t routine = dropped_.routine - dropped_told_.routine;
-  const std::uint64_t notable = dropped_.notable - dropped_told_.notable;
+/// Appends a line with the number of lines dropped since the last such line.
+void BoundedEventLog::appendDroppedCount() {
+  const std::uint64_t routine = dropped_.routine - dropped_reported_.routine;
+  const std::uint64_t notable = dropped_.notable - dropped_reported_.notable;
   if (routine == 0 && notable == 0) return;
-  dropped_told_ = dropped_;
+  dropped_reported_ = dropped_;
   const std::vector<LogField> fields = {{"routine", routine}, {"notable", notable}};
-  waiting_ += formatLogLine(settings_.format, currentLogTime(), settings_.process,
-                            describeEvent(EventId::LogLinesDropped), fields) +
-              "\n";
+  queued_ += formatLogLine(settings_.format, currentLogTime(), settings_.process,
+                           describeEvent(EventId::LogLinesDropped), fields) +
+             "\n";
 }
 
-/// Waits for the reader before each write, so that only this thread ever waits.
-/// @return false when the descriptor can be written no more, or the process ends and nobody reads.
-bool BoundedEventLog::writeOut(std::string_view text) {
+/// Polls for writability before each write, so that only this thread ever blocks.
+/// @return false when the descriptor failed, or when the flush at shutdown timed out.
+bool BoundedEventLog::writeToDescriptor(std::string_view text) {
   while (!text.empty()) {
     pollfd poll_entry{settings_.descriptor, POLLOUT, 0};
     const int ready = ::poll(&poll_entry, 1, kPollMilliseconds);
     if (ready <= 0) {
-      if (gaveUp(clock_.now())) return false;
+      if (flushTimedOut(clock_.now())) return false;
       continue;
     }
     const ssize_t written =
@@ -164,9 +165,9 @@
   return true;
 }
 
-bool BoundedEventLog::gaveUp(TimePoint now) const {
+bool BoundedEventLog::flushTimedOut(TimePoint now) const {
   const std::lock_guard lock(mutex_);
-  return stopping_ && now - stopping_since_ >= settings_.last_flush;
+  return stopping_ && now - stopping_since_ >= settings_.final_flush_timeout;
 }
 
 }  // namespace crankspur
--- a/src/base/bounded_event_log.h
+++ b/src/base/bounded_event_log.h
@@ -1,7 +1,7 @@
 #pragma once
-/// @file A log of numbered events that never blocks its callers: lines wait in a bounded queue that a thread
-/// of its own writes out. When the queue fills, routine lines go first, and a line tells how many were
-/// dropped.
+/// @file Event log that never blocks its callers: lines are queued in a bounded buffer that a dedicated
+/// thread writes. When the queue fills up, routine lines are dropped first, and a log line reports how many
+/// lines were dropped.
 
 #include <condition_variable>
 #include <cstdint>
@@ -17,69 +17,70 @@
 
 namespace crankspur {
 
-/// How much a line matters when not all can be kept.
+/// Priority of a line when the queue is full.
 enum class LineImportance {
-  routine,  ///< Told of every request that goes well.
-  notable,  ///< A failure, a refusal, or a change of what the process believes.
+  routine,  ///< Written for every successful request.
+  notable,  ///< A failure, a rejection or a state change.
 };
 
-/// @return the importance of an event's lines.
+/// @return the importance of the lines of an event.
 LineImportance importanceOf(EventId event);
 
-/// Settings of the log.
+/// Settings of a BoundedEventLog.
 struct BoundedLogSettings {
   std::string process;
   LogFormat format = LogFormat::KeyValue;
   LogLevel minimum = LogLevel::Info;
-  int descriptor = 1;                                  ///< Standard output.
-  std::size_t queue_bytes = std::size_t{192} * 1024;   ///< Of lines that wait to be written.
-  std::size_t recent_bytes = std::size_t{96} * 1024;   ///< Of lines kept for recentLines().
-  Duration batching = std::chrono::milliseconds(100);  ///< Lines written together come within this time.
-  Duration last_flush =
-      std::chrono::milliseconds(300);  ///< Longest time that the destructor waits for the reader.
+  int descriptor = 1;                                 ///< Standard output.
+  std::size_t queue_bytes = std::size_t{192} * 1024;  ///< Bound of the lines queued for writing.
+  std::size_t recent_bytes = std::size_t{96} * 1024;  ///< Bound of the lines kept for recentLines().
+  /// Lines queued within this time are written together.
+  Duration batch_interval = std::chrono::milliseconds(100);
+  /// Maximum time that the destructor waits for the reader.
+  Duration final_flush_timeout = std::chrono::milliseconds(300);
 };
 
-/// Lines that were not written, since the start.
+/// Number of lines that were dropped since the start.
 struct DroppedLines {
   std::uint64_t routine = 0;
   std::uint64_t notable = 0;
 };
 
-/// See the file comment. A line waits at most `batching` unless nobody reads the descriptor; what waits when
-/// the process is killed is lost.
+/// See the file comment. A line is queued for at most `batch_interval` while the descriptor has a reader.
+/// Queued lines are lost when the process is killed.
 class BoundedEventLog : public EventLog {
 public:
   explicit BoundedEventLog(BoundedLogSettings settings);
-  /// Writes what waits, as far as the reader takes it within `last_flush`.
+  /// Flushes the queue for at most `final_flush_timeout`.
   ~BoundedEventLog() override;
   BoundedEventLog(const BoundedEventLog&) = delete;
   BoundedEventLog& operator=(const BoundedEventLog&) = delete;
 
   void write(EventId event, const std::vector<LogField>& fields) override;
-  /// @return lines of late, written or waiting or dropped, that hold `text`; the oldest first.
+  /// @return recent lines that contain `text`, whether written, queued or dropped; oldest first.
   std::vector<std::string> recentLines(std::string_view text) const;
   DroppedLines dropped() const;
-  /// @return lines that were accepted for writing, since the start.
+  /// @return the number of lines accepted for writing since the start.
   std::uint64_t linesAccepted() const;
 
 private:
-  bool hasRoom(LineImportance importance, std::size_t bytes) const;
-  void keepRecent(const std::string& line);
+  bool hasCapacity(LineImportance importance, std::size_t bytes) const;
+  void addRecent(const std::string& line);
   void enqueue(EventId event, const std::string& line);
   void run();
-  void noteDropped();
-  bool writeOut(std::string_view text);
-  bool gaveUp(TimePoint now) const;
+  void appendDroppedCount();
+  bool writeToDescriptor(std::string_view text);
+  bool flushTimedOut(TimePoint now) const;
 
   BoundedLogSettings settings_;
   SteadyClock clock_;
   mutable std::mutex mutex_;
   std::condition_variable wake_;
-  std::string waiting_;
+  std::string queued_;
   std::deque<std::string> recent_;
   std::size_t recent_size_ = 0;
   DroppedLines dropped_;
-  DroppedLines dropped_told_;
+  DroppedLines dropped_reported_;
   std::uint64_t accepted_ = 0;
   bool stopping_ = false;
   TimePoint stopping_since_{};
--- a/src/base/endpoint.h
+++ b/src/base/endpoint.h
@@ -7,16 +7,16 @@
 
 namespace crankspur {
 
-/// @return the endpoint; `error` is set when the text is no such address.
+/// @return the endpoint; `error` is set when `address` is not of this form.
 boost::asio::ip::tcp::endpoint parseEndpoint(std::string_view address, boost::system::error_code& error);
 
 /// @return "IP:port".
 std::string formatEndpoint(const boost::asio::ip::tcp::endpoint& endpoint);
 
-/// @return "IP" of "IP:port".
+/// @return the IP part of "IP:port".
 std::string hostOf(std::string_view address);
 
-/// @return "port" of "IP:port".
+/// @return the port part of "IP:port".
 std::string portOf(std::string_view address);
 
 }  // namespace crankspur
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file Error codes of the project as std::error_code values.
-/// Outcomes are values; only a broken invariant stops a process.
+/// Failures are returned as values; only a violated invariant terminates a process.
 
 #include <optional>
 #include <string>
@@ -9,43 +9,43 @@
 
 namespace crankspur {
 
-/// Stable error codes. The snake_case name that callers see is `errorName(code)`; docs/API.md lists them.
+/// Stable error codes. Callers receive the snake_case name that errorName() returns; docs/API.md lists them.
 enum class ErrorCode {
   Ok = 0,
-  InvalidRequest,       ///< The request is malformed; nothing ran.
+  InvalidRequest,       ///< The request is malformed; nothing was executed.
   Unauthorized,         ///< Unknown API key.
-  UnknownModel,         ///< The bundle serves no such model or adapter to this tenant.
-  TooLarge,             ///< A message exceeds its stated size limit.
+  UnknownModel,         ///< The bundle has no such model or adapter for this tenant.
+  TooLarge,             ///< A message exceeds its size limit.
   Overloaded,           ///< No engine could start the request in time.
-  RateLimited,          ///< The tenant's own limit is used up.
+  RateLimited,          ///< The tenant's limit is exhausted.
   DeadlineExceeded,     ///< The deadline passed.
   EngineUnavailable,    ///< No live engine serves the model.
-  EngineLost,           ///< The engine failed while it ran the request.
-  RouterUnavailable,    ///< No router could be reached.
-  IncarnationMismatch,  ///< The engine restarted since the decision; nothing ran.
-  WeightsMismatch,      ///< The engine holds other weights than the decision assumed; nothing ran.
+  EngineLost,           ///< The engine failed while it executed the request.
+  RouterUnavailable,    ///< No router is reachable.
+  IncarnationMismatch,  ///< The engine restarted after the decision; nothing was executed.
+  WeightsMismatch,      ///< The engine holds different weights than assumed; nothing was executed.
   DuplicateRequest,     ///< The idempotency key is claimed by another attempt.
-  ClaimUnavailable,     ///< At-most-once could not be secured; nothing ran.
+  ClaimUnavailable,     ///< At-most-once execution could not be guaranteed; nothing was executed.
   StaleBundle,          ///< The router's bundle is older than the caller's.
   NotReady,             ///< The process holds no bundle yet.
-  Stopping,             ///< The process takes no new work.
-  Cancelled,            ///< The caller gave up.
-  VersionMismatch,      ///< The peers share no protocol version.
-  Malformed,            ///< Bytes that do not decode.
+  Stopping,             ///< The process is stopping and accepts no new work.
+  Cancelled,            ///< The caller cancelled the request.
+  VersionMismatch,      ///< The peers have no common protocol version.
+  Malformed,            ///< The received bytes cannot be decoded.
   SignatureInvalid,     ///< A signature does not verify.
-  Conflict,             ///< A compare-and-set lost.
-  Unavailable,          ///< An outside service did not answer.
+  Conflict,             ///< A compare-and-set failed because of a concurrent write.
+  Unavailable,          ///< An external service did not respond.
   Stale,                ///< A fencing token or version is lower than one already seen.
-  Internal,             ///< A broken assumption inside the project.
+  Internal,             ///< An internal invariant was violated.
 };
 
-/// The last code; a number beyond it is none.
+/// The last code; higher numbers are invalid.
 inline constexpr ErrorCode kLastErrorCode = ErrorCode::Internal;
 
 /// @return the stable snake_case name of a code, for example "engine_lost".
 const char* errorName(ErrorCode code);
 
-/// @return the code with that name, or empty.
+/// @return the code with the given name, or empty.
 std::optional<ErrorCode> errorFromName(std::string_view name);
 
 /// @return the project's error category.
--- a/src/base/event_log.cc
+++ b/src/base/event_log.cc
@@ -24,7 +24,7 @@
   return "error";
 }
 
-/// Quotes a value by JSON's rules, which also keeps it on one line.
+/// Quotes a value as a JSON string, which also keeps it on one line.
 std::string quote(std::string_view value) {
   std::string text = "\"";
   for (const char character : value) {
--- a/src/base/event_log.h
+++ b/src/base/event_log.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Structured log of numbered events: one line each on standard error.
+/// @file Structured log of numbered events, one line per event.
 
 #include <fmt/format.h>
 
@@ -12,14 +12,14 @@
 /// Severity of a log event.
 enum class LogLevel { Debug, Info, Warning, Error };
 
-/// The numbered events of events.def.
+/// The events of events.def.
 enum class EventId {
 #define CRANKSPUR_EVENT(number, name, level, meaning) name = (number),
 #include "base/events.def"
 #undef CRANKSPUR_EVENT
 };
 
-/// What events.def says of one event.
+/// One entry of events.def.
 struct EventDescription {
   int number;
   const char* name;
@@ -27,10 +27,10 @@
   const char* meaning;
 };
 
-/// @return every event of events.def in the order of the file.
+/// @return all entries of events.def in the order of the file.
 const std::vector<EventDescription>& eventCatalogue();
 
-/// One named value of a log line.
+/// One key-value pair of a log line.
 struct LogField {
   template <typename Value>
   LogField(std::string_view field_name, const Value& field_value)
@@ -39,21 +39,21 @@
   std::string value;
 };
 
-/// Form of a log line.
+/// Format of a log line.
 enum class LogFormat { KeyValue, Json };
 
-/// Receiver of log events. Implementations are thread-safe.
+/// Sink of log events. Implementations are thread-safe.
 class EventLog {
 public:
   virtual ~EventLog() = default;
-  /// Writes one event. Values are escaped, so that no value can forge a line or a field.
+  /// Writes one event. Values are escaped, so that a value cannot inject lines or fields.
   virtual void write(EventId event, const std::vector<LogField>& fields) = 0;
 };
 
-/// Writes to standard error with a UTC time stamp, the process name, number, name, level and fields.
+/// Writes to standard error: UTC time stamp, process name, event number, event name, level and fields.
 class StderrEventLog : public EventLog {
 public:
-  /// @param process the name that every line carries.
+  /// @param process name of the process in every line.
   /// @param minimum events below this level are dropped.
   StderrEventLog(std::string process, LogFormat format, LogLevel minimum);
   void write(EventId event, const std::vector<LogField>& fields) override;
@@ -64,19 +64,19 @@
   LogLevel minimum_;
 };
 
-/// Drops every event; for tests and benchmarks.
+/// Discards all events; for tests and benchmarks.
 class NullEventLog : public EventLog {
 public:
   void write(EventId, const std::vector<LogField>&) override {}
 };
 
-/// @return what events.def says of the event.
+/// @return the entry of the event in events.def.
 const EventDescription& describeEvent(EventId event);
 
-/// @return the time of day as log lines state it: UTC, ISO 8601, milliseconds.
+/// @return the current time in the format of log lines: UTC, ISO 8601, milliseconds.
 std::string currentLogTime();
 
-/// @return one log line without its line end.
+/// @return one log line without a trailing line feed.
 std::string formatLogLine(LogFormat format, std::string_view time, std::string_view process,
                           const EventDescription& event, const std::vector<LogField>& fields);
 
--- a/src/base/hash.h
+++ b/src/base/hash.h
@@ -11,7 +11,7 @@
 /// @return the 64-bit XXH3 hash of `bytes` with `seed`. Not for security.
 std::uint64_t hashBytes(std::string_view bytes, std::uint64_t seed = 0);
 
-/// @return `value` with its bits mixed so that sums of mixed values tell sets apart; one to one. Source:
+/// Mixes the bits of `value` bijectively, so that sums of mixed values can serve as digests of sets. Source:
 /// finalizer of SplitMix64.
 constexpr std::uint64_t mixBits(std::uint64_t value) {
   value += 0x9e3779b97f4a7c15ULL;
@@ -20,7 +20,7 @@
   return value ^ (value >> 31);
 }
 
-/// @return a hash of an ordered pair of hashes.
+/// @return the hash of an ordered pair of hashes.
 std::uint64_t combineHashes(std::uint64_t first, std::uint64_t second);
 
 /// @return the SHA-256 digest of `bytes` as 64 lower-case hexadecimal digits.
@@ -32,8 +32,8 @@
   std::uint64_t low = 0;
 };
 
-/// @return the first 128 bits of the SHA-256 digest of `fields`, each preceded by its length, so that no two
-/// lists of fields make the same bytes.
+/// @return the first 128 bits of the SHA-256 digest of `fields`. Each field is preceded by its length, so
+/// that different lists of fields never hash the same bytes.
 Digest128 sha256Digest128(std::initializer_list<std::string_view> fields);
 
 /// @return `value` as 16 lower-case hexadecimal digits.
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Seeded random numbers. Boost.Random's distributions give the same values on every platform,
-/// unlike the standard library's, so a simulation seed means the same run everywhere.
+/// @file Seeded random numbers. Unlike those of the standard library, Boost.Random's distributions return the
+/// same values on every platform, so that a simulation seed reproduces the same run everywhere.
 
 #include <boost/random/bernoulli_distribution.hpp>
 #include <boost/random/exponential_distribution.hpp>
@@ -11,7 +11,7 @@
 
 namespace crankspur {
 
-/// A seeded generator. Not thread-safe: each thread and each decision object owns one.
+/// A seeded generator. Not thread-safe: each thread and each decision object has its own.
 class RandomSource {
 public:
   explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
--- a/src/base/suspension_watch.h
+++ b/src/base/suspension_watch.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Notices that the machine was suspended: two clocks, one of which counts that time, drift apart. Pure
-/// decision code.
+/// @file Detects that the machine was suspended by comparing two clocks of which only one counts suspended
+/// time. Decision logic only, without I/O.
 
 #include <optional>
 
@@ -8,25 +8,25 @@
 
 namespace crankspur {
 
-/// Asked some times a second. Not thread-safe.
+/// Must be polled several times per second. Not thread-safe.
 class SuspensionWatch {
 public:
-  /// Shorter suspensions change nothing that a busy moment does not.
-  static constexpr Duration kLeast = std::chrono::milliseconds(100);
+  /// Shorter suspensions have no more effect than a short delay by load.
+  static constexpr Duration kMinSuspension = std::chrono::milliseconds(100);
 
-  /// @param counting a clock that counts the time of a suspension.
-  /// @param not_counting one that does not.
-  /// @return how long the machine was suspended since the last call; empty: it was not.
-  std::optional<Duration> onTick(Duration counting, Duration not_counting) {
-    const Duration ahead = counting - not_counting;
-    const Duration before = ahead_.value_or(ahead);
-    ahead_ = ahead;
-    if (ahead - before < kLeast) return std::nullopt;
-    return ahead - before;
+  /// @param boot_clock a clock that includes suspended time.
+  /// @param monotonic_clock a clock that excludes suspended time.
+  /// @return how long the machine was suspended since the last call, or empty if it was not.
+  std::optional<Duration> onTick(Duration boot_clock, Duration monotonic_clock) {
+    const Duration offset = boot_clock - monotonic_clock;
+    const Duration previous_offset = last_offset_.value_or(offset);
+    last_offset_ = offset;
+    if (offset - previous_offset < kMinSuspension) return std::nullopt;
+    return offset - previous_offset;
   }
 
 private:
-  std::optional<Duration> ahead_;  ///< Of the counting clock, at the last call.
+  std::optional<Duration> last_offset_;  ///< Offset between the clocks at the last call.
 };
 
 }  // namespace crankspur
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -1,28 +1,28 @@
 #pragma once
-/// @file Time types shared by processes and the simulation.
-/// Decision code never reads a clock: every call that depends on time takes `now`.
+/// @file Time types shared by the processes and the simulation.
+/// Decision logic never reads a clock: every function that depends on time has a parameter `now`.
 
 #include <chrono>
 #include <ctime>
 
 namespace crankspur {
 
-/// Resolution of every duration in the project: one microsecond.
+/// Duration type used throughout the project, in microseconds.
 using Duration = std::chrono::microseconds;
 
-/// A monotonic instant. Its epoch is arbitrary; instants of different processes are not comparable.
+/// A monotonic time point. Its epoch is arbitrary; time points of different processes are not comparable.
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
-/// Source of the current instant: the machine's clock in processes, a virtual one in the simulation.
+/// Source of the current time: the machine's clock in processes, a virtual clock in the simulation.
 class Clock {
 public:
   virtual ~Clock() = default;
-  /// @return the current monotonic instant.
+  /// @return the current monotonic time.
   virtual TimePoint now() const = 0;
 };
 
-/// The machine's monotonic clock. It counts the time for which the machine was suspended, so that what has
-/// run out meanwhile (a lease, keys, a deadline) has run out for the process that wakes, too.
+/// The machine's monotonic clock, including suspended time, so that whatever expired during a suspension (a
+/// lease, keys, a deadline) is also expired for the process that resumes.
 class SteadyClock : public Clock {
 public:
   TimePoint now() const override {
--- a/src/base/timer.h
+++ b/src/base/timer.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Arms Asio's timers for instants of the product's clock.
+/// @file Sets Asio timers to time points of SteadyClock.
 
 #include <algorithm>
 
@@ -7,15 +7,15 @@
 
 namespace crankspur {
 
-/// Asio's timers do not count time for which the machine was suspended, and the product's clock does: their
-/// instants are not comparable, so that a timer is armed by the time left. After a suspension it fires late;
-/// whoever acts on it looks at the clock again.
-/// @param due TimePoint::max() and other far instants: a day from now.
+/// Sets a timer to expire at `due`. Asio's timers do not count suspended time and SteadyClock does, so their
+/// time points are not comparable and the timer is set by the remaining time. After a suspension it fires
+/// late; the handler must check the clock again.
+/// @param due a time point more than a day ahead, such as TimePoint::max(), is replaced by a day from now.
 template <typename Timer>
 void expireAt(Timer& timer, TimePoint due, TimePoint now) {
-  constexpr Duration kLongest = std::chrono::hours(24);
-  const bool far = due > now + kLongest;
-  timer.expires_after(far ? kLongest : std::max(Duration(0), due - now));
+  constexpr Duration kMaxDelay = std::chrono::hours(24);
+  const bool beyond_max = due > now + kMaxDelay;
+  timer.expires_after(beyond_max ? kMaxDelay : std::max(Duration(0), due - now));
 }
 
 }  // namespace crankspur
--- a/src/bundle/bundle.cc
+++ b/src/bundle/bundle.cc
@@ -16,7 +16,7 @@
   return found == positions.end() ? nullptr : &entries[found->second];
 }
 
-/// @return the entry by the index, or by a scan when the index was never built.
+/// Looks up an entry in the index, or by a scan when the index has not been built.
 template <typename Entry>
 const Entry* findByName(const std::vector<Entry>& entries, const BundleIndex::Positions& positions,
                         std::string_view name) {
@@ -47,7 +47,7 @@
   return positions;
 }
 
-/// @return the trusted key that made the signature, or nullptr.
+/// @return the trusted key other than `excluded` that verifies the signature, or nullptr.
 const std::string* findSigner(const std::vector<std::string>& trusted, std::string_view statement,
                               const std::string& signature, const std::string& excluded) {
   for (const std::string& key : trusted) {
@@ -59,13 +59,14 @@
 }
 
 bool signaturesVerify(const BundleBody& body, const TrustedKeys& keys) {
-  const std::string authored = signedStatement(SignatureRole::Author, body.version, body.document);
-  const std::string* author = findSigner(keys.authors, authored, body.author_signature, "");
+  const std::string author_statement = signedStatement(SignatureRole::Author, body.version, body.document);
+  const std::string* author = findSigner(keys.authors, author_statement, body.author_signature, "");
   if (author == nullptr) {
     return false;
   }
-  const std::string approved = signedStatement(SignatureRole::Approver, body.version, body.document);
-  return findSigner(keys.approvers, approved, body.approver_signature, *author) != nullptr;
+  const std::string approver_statement =
+      signedStatement(SignatureRole::Approver, body.version, body.document);
+  return findSigner(keys.approvers, approver_statement, body.approver_signature, *author) != nullptr;
 }
 
 }  // namespace
@@ -105,7 +106,7 @@
 
 std::shared_ptr<const SignedBundle> verifyBundle(const BundleBody& body, const TrustedKeys& keys,
                                                  std::error_code& error) {
-  if (body.document.size() > kMaximumBundleBytes) {
+  if (body.document.size() > kMaxBundleBytes) {
     error = ErrorCode::InvalidRequest;
     return nullptr;
   }
--- a/src/bundle/bundle_delta.cc
+++ b/src/bundle/bundle_delta.cc
@@ -11,38 +11,38 @@
 namespace {
 
 constexpr unsigned kVarintBits = 7;
-constexpr unsigned kVarintMore = 0x80;
+constexpr unsigned kVarintContinuation = 0x80;
 constexpr unsigned kHashBytes = 8;
 
-void appendNumber(std::string& bytes, std::uint64_t number) {
-  while (number >= kVarintMore) {
-    bytes += static_cast<char>((number & (kVarintMore - 1)) | kVarintMore);
+void appendVarint(std::string& bytes, std::uint64_t number) {
+  while (number >= kVarintContinuation) {
+    bytes += static_cast<char>((number & (kVarintContinuation - 1)) | kVarintContinuation);
     number >>= kVarintBits;
   }
   bytes += static_cast<char>(number);
 }
 
-/// The hash of the document that a delta applies to leads the delta.
+/// Appends the hash of the base document, with which each delta starts; little-endian.
 void appendHash(std::string& bytes, std::uint64_t hash) {
   for (unsigned index = 0; index < kHashBytes; ++index) {
     bytes += static_cast<char>(hash >> (8 * index));
   }
 }
 
-/// Reads a delta from its beginning. A failed read makes the reader unusable.
+/// Sequential reader of a delta. After a failed read the reader must not be used.
 class DeltaReader {
 public:
   explicit DeltaReader(std::string_view bytes) : bytes_(bytes) {}
 
   bool atEnd() const { return bytes_.empty(); }
 
-  std::optional<std::uint64_t> readNumber() {
+  std::optional<std::uint64_t> readVarint() {
     std::uint64_t number = 0;
     for (unsigned shift = 0; shift < 64 && !bytes_.empty(); shift += kVarintBits) {
       const auto byte = static_cast<unsigned char>(bytes_.front());
       bytes_.remove_prefix(1);
-      number |= static_cast<std::uint64_t>(byte & (kVarintMore - 1)) << shift;
-      if ((byte & kVarintMore) == 0) {
+      number |= static_cast<std::uint64_t>(byte & (kVarintContinuation - 1)) << shift;
+      if ((byte & kVarintContinuation) == 0) {
         return number;
       }
     }
@@ -63,7 +63,7 @@
 };
 
 /// @return the text of lines [begin, begin + count).
-std::string_view textOf(const Lines& lines, std::size_t begin, std::size_t count) {
+std::string_view textOfLines(const Lines& lines, std::size_t begin, std::size_t count) {
   if (count == 0) {
     return {};
   }
@@ -72,45 +72,45 @@
   return {first, static_cast<std::size_t>(last.data() + last.size() - first)};
 }
 
-/// Applies the stretches of a delta one after the other.
-class DeltaApplication {
+/// Applies the hunks of a delta in order.
+class DeltaApplier {
 public:
-  DeltaApplication(const Lines& before, DeltaReader reader) : before_(before), reader_(reader) {}
+  DeltaApplier(const Lines& before, DeltaReader reader) : before_(before), reader_(reader) {}
 
   std::optional<std::string> run() {
     while (!reader_.atEnd()) {
-      if (!applyStretch()) {
+      if (!applyHunk()) {
         return std::nullopt;
       }
     }
-    if (line_ != before_.size()) {
+    if (next_line_ != before_.size()) {
       return std::nullopt;
     }
     return std::move(after_);
   }
 
 private:
-  bool applyStretch() {
-    const auto keep = reader_.readNumber();
-    const auto drop = reader_.readNumber();
-    const auto insert = reader_.readNumber();
-    if (!keep || !drop || !insert || *keep > before_.size() - line_ ||
-        *drop > before_.size() - line_ - *keep) {
+  bool applyHunk() {
+    const auto keep = reader_.readVarint();
+    const auto drop = reader_.readVarint();
+    const auto insert = reader_.readVarint();
+    if (!keep || !drop || !insert || *keep > before_.size() - next_line_ ||
+        *drop > before_.size() - next_line_ - *keep) {
       return false;
     }
     const auto inserted = reader_.readBytes(*insert);
     if (!inserted) {
       return false;
     }
-    after_ += textOf(before_, line_, *keep);
+    after_ += textOfLines(before_, next_line_, *keep);
     after_ += *inserted;
-    line_ += *keep + *drop;
-    return after_.size() <= kMaximumBundleBytes;
+    next_line_ += *keep + *drop;
+    return after_.size() <= kMaxBundleBytes;
   }
 
   const Lines& before_;
   DeltaReader reader_;
-  std::size_t line_ = 0;
+  std::size_t next_line_ = 0;
   std::string after_;
 };
 
@@ -119,7 +119,7 @@
 std::optional<std::string> makeDocumentDelta(std::string_view before, std::string_view after) {
   const Lines old_lines = splitLines(before);
   const Lines new_lines = splitLines(after);
-  const auto edits = diffLines(old_lines, new_lines, kMaximumDeltaEdits);
+  const auto edits = diffLines(old_lines, new_lines, kMaxDeltaEdits);
   if (!edits) {
     return std::nullopt;
   }
@@ -128,11 +128,11 @@
   std::size_t new_line = 0;
   for (const LineEdit& edit : *edits) {
     new_line += edit.keep;
-    const std::string_view inserted = textOf(new_lines, new_line, edit.insert);
+    const std::string_view inserted = textOfLines(new_lines, new_line, edit.insert);
     new_line += edit.insert;
-    appendNumber(delta, edit.keep);
-    appendNumber(delta, edit.drop);
-    appendNumber(delta, inserted.size());
+    appendVarint(delta, edit.keep);
+    appendVarint(delta, edit.drop);
+    appendVarint(delta, inserted.size());
     delta += inserted;
   }
   return delta;
@@ -146,7 +146,7 @@
     return std::nullopt;
   }
   const Lines lines = splitLines(before);
-  return DeltaApplication(lines, reader).run();
+  return DeltaApplier(lines, reader).run();
 }
 
 }  // namespace crankspur
--- a/src/bundle/bundle_delta.h
+++ b/src/bundle/bundle_delta.h
@@ -1,7 +1,7 @@
 #pragma once
-/// @file Line-based deltas between bundle documents. A delta carries no trust: signatures must verify over
-/// the document that it yields. Source of the algorithm: E. Myers, "An O(ND) Difference Algorithm and Its
-/// Variations", 1986.
+/// @file Line-based deltas between bundle documents. A delta is not authenticated: the signatures must verify
+/// over the resulting document. Algorithm: E. Myers, "An O(ND) Difference Algorithm and Its Variations",
+/// 1986.
 
 #include <cstddef>
 #include <optional>
@@ -10,14 +10,14 @@
 
 namespace crankspur {
 
-/// Line insertions and deletions beyond which no delta is made; bounds time and memory.
-constexpr std::size_t kMaximumDeltaEdits = 1000;
+/// Maximum number of line insertions and deletions in a delta; bounds time and memory.
+constexpr std::size_t kMaxDeltaEdits = 1000;
 
-/// @return the delta that turns `before` into `after`, or empty when they differ too much for one.
+/// @return the delta from `before` to `after`, or empty when it exceeds kMaxDeltaEdits.
 std::optional<std::string> makeDocumentDelta(std::string_view before, std::string_view after);
 
-/// @return what the delta yields from `before`, or empty when the delta is malformed, was made from another
-/// document, or yields more than kMaximumBundleBytes.
+/// @return the result of applying the delta to `before`, or empty when the delta is malformed, was made from
+/// a different document, or results in more than kMaxBundleBytes.
 std::optional<std::string> applyDocumentDelta(std::string_view before, std::string_view delta);
 
 }  // namespace crankspur
--- a/src/bundle/bundle_history.cc
+++ b/src/bundle/bundle_history.cc
@@ -27,10 +27,10 @@
 
 std::optional<BundleUpdate> BundleHistory::updateFrom(std::uint64_t held_version,
                                                       const BundleBody& current) const {
-  const auto starts_there = [held_version](const BundleStep& step) {
+  const auto starts_at_held = [held_version](const BundleStep& step) {
     return step.from_version == held_version;
   };
-  const auto first = std::find_if(steps_.begin(), steps_.end(), starts_there);
+  const auto first = std::find_if(steps_.begin(), steps_.end(), starts_at_held);
   if (first == steps_.end() || steps_.back().to_version != current.version) {
     return std::nullopt;
   }
--- a/src/bundle/bundle_parser.cc
+++ b/src/bundle/bundle_parser.cc
@@ -1,4 +1,4 @@
-/// @file Parsing and checking of the bundle document.
+/// @file Parser and validator of the bundle document.
 
 #include <fmt/format.h>
 
@@ -20,8 +20,9 @@
 constexpr Range<std::int64_t> kLifetimeSecondsRange{60, std::int64_t{30} * 24 * 3600};
 constexpr Range<std::int64_t> kSmallCountRange{1, 64};
 constexpr Range<std::int64_t> kClaimGroupSizeRange{0, 9};
-/// Members of a claim group tell how far their memory reaches; longer times do not fit into a message.
-constexpr Duration kLongestGroupLifetime = std::chrono::hours(24 * 14);
+/// Members of a claim group report the period for which they know all claims; longer periods do not fit into
+/// a message.
+constexpr Duration kMaxGroupClaimLifetime = std::chrono::hours(24 * 14);
 constexpr Range<double> kWeightRange{0.001, 1000.0};
 constexpr Range<double> kRetryBudgetRange{0.0, 10.0};
 constexpr Range<double> kCachedValueRange{0.0, 1000.0};
@@ -34,9 +35,9 @@
   return letter || digit || character == '.' || character == '_' || character == '-';
 }
 
-/// Names become parts of table keys and of log lines.
+/// Names are restricted because they become parts of table keys and log lines.
 bool isName(const std::string& text) {
-  return !text.empty() && text.size() <= kMaximumBundleNameBytes &&
+  return !text.empty() && text.size() <= kMaxBundleNameBytes &&
          std::all_of(text.begin(), text.end(), isNameCharacter);
 }
 
@@ -48,7 +49,7 @@
 }
 
 const std::string kNameRule =
-    fmt::format("must be 1 to {} letters, digits, '.', '_' or '-'", kMaximumBundleNameBytes);
+    fmt::format("must be 1 to {} letters, digits, '.', '_' or '-'", kMaxBundleNameBytes);
 
 std::string requireName(TomlTable& table, const std::string& key) {
   const bool present = table.has(key);
@@ -95,7 +96,7 @@
   return std::chrono::seconds(table.getInteger(key, count, kLifetimeSecondsRange));
 }
 
-/// Reads one document into a bundle.
+/// Converts one parsed document into a bundle; problems are reported to the tables.
 class BundleParser {
 public:
   explicit BundleParser(TomlTable& root) : root_(root) {}
@@ -220,7 +221,7 @@
     knobs.claim_lifetime = getSeconds(*table, "claim_lifetime_s", knobs.claim_lifetime);
     knobs.claim_group_size =
         getCount(*table, "claim_group_size", knobs.claim_group_size, kClaimGroupSizeRange);
-    if (knobs.claim_group_size > 0 && knobs.claim_lifetime > kLongestGroupLifetime) {
+    if (knobs.claim_group_size > 0 && knobs.claim_lifetime > kMaxGroupClaimLifetime) {
       table->report("claim_group_size", "needs a claim_lifetime_s of at most 1209600");
     }
   }
@@ -237,17 +238,17 @@
 
 std::shared_ptr<const Bundle> parseBundle(std::string_view document, const std::string& file,
                                           std::vector<SettingsProblem>& problems) {
-  if (document.size() > kMaximumBundleBytes) {
-    problems.push_back({file, 0, 0, "", fmt::format("is larger than {} bytes", kMaximumBundleBytes)});
+  if (document.size() > kMaxBundleBytes) {
+    problems.push_back({file, 0, 0, "", fmt::format("is larger than {} bytes", kMaxBundleBytes)});
     return nullptr;
   }
-  const std::size_t earlier_problems = problems.size();
+  const std::size_t problems_before = problems.size();
   const std::shared_ptr<TomlTable> root = parseToml(document, file, problems);
   if (root == nullptr) {
     return nullptr;
   }
   auto bundle = std::make_shared<Bundle>(BundleParser(*root).parse());
-  if (problems.size() > earlier_problems) {
+  if (problems.size() > problems_before) {
     return nullptr;
   }
   bundle->buildIndex();
--- a/src/bundle/bundle_row.h
+++ b/src/bundle/bundle_row.h
@@ -1,5 +1,6 @@
 #pragma once
-/// @file The table row that names the accepted bundle, and the key of the object that holds its document.
+/// @file The table row that references the accepted bundle, and the key of the object that stores its
+/// document.
 
 #include <cstdint>
 #include <optional>
@@ -10,14 +11,14 @@
 
 namespace crankspur {
 
-/// Content of the row. A compare-and-set on it is the acceptance of a bundle.
+/// Content of the row. A bundle is accepted by a compare-and-set on the row.
 struct BundleRow {
   std::uint64_t version = 0;
   std::string document_sha256;
   std::string author_signature;
   std::string approver_signature;
-  std::string rolled_by;   ///< The operator, as told to others.
-  std::string roll_token;  ///< Random; tells one's own lost answer from another's roll.
+  std::string rolled_by;   ///< Name of the operator that rolled out the bundle.
+  std::string roll_token;  ///< Random; identifies the own write when its response was lost.
 };
 
 /// @return the table key of the row.
@@ -26,13 +27,13 @@
 /// @return the object key of a document.
 std::string bundleObjectKey(std::uint64_t version, std::string_view document_sha256);
 
-/// @return the text of the row.
+/// @return the row serialised as JSON.
 std::string encodeBundleRow(const BundleRow& row);
 
-/// @return the row, or empty when the text is no bundle row.
+/// @return the row, or empty when `text` is not a valid bundle row.
 std::optional<BundleRow> parseBundleRow(std::string_view text);
 
-/// @return the signed body, or empty when the document is not the one the row names.
+/// @return the signed body, or empty when the document's digest differs from the one in the row.
 std::optional<BundleBody> bundleBodyFromRow(const BundleRow& row, std::string document);
 
 }  // namespace crankspur
--- a/src/bundle/bundle_sharing.cc
+++ b/src/bundle/bundle_sharing.cc
@@ -9,10 +9,10 @@
     history_.add(bundle_->body, bundle->body);
   }
   bundle_ = std::move(bundle);
-  whole_only_ = false;
+  full_body_required_ = false;
 }
 
-std::optional<Message> BundleSharing::answer(const BundleRequest& request) const {
+std::optional<Message> BundleSharing::response(const BundleRequest& request) const {
   if (version() <= request.held_version) {
     return std::nullopt;
   }
@@ -22,36 +22,36 @@
   return bundle_->body;
 }
 
-bool BundleSharing::wants(std::uint64_t peer_version, TimePoint now) const {
+bool BundleSharing::shouldRequest(std::uint64_t peer_version, TimePoint now) const {
   if (peer_version <= version()) return false;
-  // Only the very version counts: a peer that offers a forged high one must not keep out those below.
-  return std::none_of(refused_.begin(), refused_.end(), [&](const Refused& refused) {
-    return refused.version == peer_version && now < refused.until;
+  // Only the exact version is blocked: a forged high version of one peer must not block lower versions.
+  return std::none_of(rejected_.begin(), rejected_.end(), [&](const RejectedVersion& rejected) {
+    return rejected.version == peer_version && now < rejected.until;
   });
 }
 
 BundleRequest BundleSharing::request() const {
-  return {whole_only_ ? 0 : version()};
+  return {full_body_required_ ? 0 : version()};
 }
 
-std::optional<BundleBody> BundleSharing::take(const BundleUpdate& update) {
-  const bool late = update.steps.empty() || update.steps.front().from_version != version();
-  if (late || bundle_ == nullptr) {
+std::optional<BundleBody> BundleSharing::apply(const BundleUpdate& update) {
+  const bool outdated = update.steps.empty() || update.steps.front().from_version != version();
+  if (outdated || bundle_ == nullptr) {
     return std::nullopt;
   }
   std::optional<BundleBody> body = applyBundleUpdate(bundle_->body, update);
   if (!body) {
-    whole_only_ = true;
+    full_body_required_ = true;
   }
   return body;
 }
 
-void BundleSharing::onRefused(std::uint64_t refused_version, TimePoint now) {
-  if (whole_only_) {
-    refused_.push_back({refused_version, now + kRefusedPause});
-    if (refused_.size() > kRefusedVersions) refused_.pop_front();
+void BundleSharing::onRejected(std::uint64_t rejected_version, TimePoint now) {
+  if (full_body_required_) {
+    rejected_.push_back({rejected_version, now + kRejectedVersionBackoff});
+    if (rejected_.size() > kMaxRejectedVersions) rejected_.pop_front();
   }
-  whole_only_ = true;
+  full_body_required_ = true;
 }
 
 }  // namespace crankspur
--- a/src/bundle/bundle_sharing.h
+++ b/src/bundle/bundle_sharing.h
@@ -1,7 +1,7 @@
 #pragma once
-/// @file How a node brings peers up to date and is brought up to date by them: by deltas where both sides
-/// can, by whole bodies otherwise. Pure decision code. Bodies that come out of it are not verified: they must
-/// be offered to a BundleHolder, and refusals told to onRefused().
+/// @file Synchronisation of bundles between a node and its peers: by deltas where possible, by full bodies
+/// otherwise. Decision logic only, without I/O. Resulting bodies are not verified: they must be offered to a
+/// BundleHolder, and rejections reported to onRejected().
 
 #include <cstdint>
 #include <deque>
@@ -15,45 +15,46 @@
 
 namespace crankspur {
 
-/// The exchange of one node with all its peers.
+/// Synchronisation state of one node with all its peers.
 class BundleSharing {
 public:
-  /// Bytes of deltas that a node keeps.
+  /// Bytes of deltas kept in the history.
   static constexpr std::size_t kHistoryBytes = std::size_t{256} * 1024;
-  /// Time for which a version whose whole body was refused is not asked for again.
-  static constexpr Duration kRefusedPause = std::chrono::seconds(30);
-  /// Refused versions that are remembered; beyond, the one refused first is forgotten.
-  static constexpr std::size_t kRefusedVersions = 64;
+  /// Delay before a version is requested again after its full body was rejected.
+  static constexpr Duration kRejectedVersionBackoff = std::chrono::seconds(30);
+  /// Rejected versions to remember; beyond this the oldest is evicted.
+  static constexpr std::size_t kMaxRejectedVersions = 64;
 
-  /// The node has a newer bundle in force.
+  /// Sets the bundle that the node has accepted and applied.
   void setBundle(std::shared_ptr<const SignedBundle> bundle);
-  /// @return the version in force; 0 when none is.
+  /// @return the applied version; 0: none.
   std::uint64_t version() const { return bundle_ ? bundle_->body.version : 0; }
 
-  /// @return what answers a peer's request: an update, a body, or nothing when the peer holds as much.
-  std::optional<Message> answer(const BundleRequest& request) const;
+  /// @return the response to a peer's request: an update or a full body; empty when the peer is up to date.
+  std::optional<Message> response(const BundleRequest& request) const;
 
-  /// @return whether a version that a peer holds should be asked for.
-  bool wants(std::uint64_t peer_version, TimePoint now) const;
-  /// @return the request to send; it asks for a whole body after an update that was of no use.
+  /// @return whether a version that a peer holds should be requested from it.
+  bool shouldRequest(std::uint64_t peer_version, TimePoint now) const;
+  /// @return the request to send; it requests a full body after an update that could not be used.
   BundleRequest request() const;
-  /// @return the body that an update yields; empty when it yields none. If needsWholeBody() is then true, the
-  /// peer must be asked again.
-  std::optional<BundleBody> take(const BundleUpdate& update);
-  /// A body that came from peers did not verify.
-  void onRefused(std::uint64_t refused_version, TimePoint now);
-  bool needsWholeBody() const { return whole_only_; }
+  /// Applies an update to the held body.
+  /// @return the resulting body, or empty on failure. If needsFullBody() is then true, a new request must be
+  /// sent to the peer.
+  std::optional<BundleBody> apply(const BundleUpdate& update);
+  /// A body that was received from peers did not verify.
+  void onRejected(std::uint64_t rejected_version, TimePoint now);
+  bool needsFullBody() const { return full_body_required_; }
 
 private:
   std::shared_ptr<const SignedBundle> bundle_;
   BundleHistory history_{kHistoryBytes};
-  bool whole_only_ = false;
-  /// A version that was refused, and until when it is not asked for.
-  struct Refused {
+  bool full_body_required_ = false;
+  /// A rejected version and the time until which it is not requested.
+  struct RejectedVersion {
     std::uint64_t version = 0;
     TimePoint until{};
   };
-  std::deque<Refused> refused_;  ///< In the order of their times.
+  std::deque<RejectedVersion> rejected_;  ///< In order of `until`.
 };
 
 }  // namespace crankspur
--- a/src/bundle/line_diff.cc
+++ b/src/bundle/line_diff.cc
@@ -20,14 +20,14 @@
   return hashes;
 }
 
-/// The part of both sequences between their common beginning and their common end.
-struct Middle {
+/// The range of both sequences between their common prefix and their common suffix.
+struct DifferingRange {
   std::size_t begin = 0;
   std::size_t before_end = 0;
   std::size_t after_end = 0;
 };
 
-Middle findMiddle(const Lines& before, const Lines& after) {
+DifferingRange findDifferingRange(const Lines& before, const Lines& after) {
   const auto first = std::mismatch(before.begin(), before.end(), after.begin(), after.end());
   const auto begin = static_cast<std::size_t>(first.first - before.begin());
   const auto last = std::mismatch(before.rbegin(), before.rend() - static_cast<std::ptrdiff_t>(begin),
@@ -36,7 +36,7 @@
   return {begin, before.size() - common_end, after.size() - common_end};
 }
 
-/// Collects keeps, drops and inserts in order into stretches.
+/// Merges consecutive keep, drop and insert operations into LineEdits.
 class ScriptBuilder {
 public:
   void keep(std::size_t count) {
@@ -48,12 +48,12 @@
     }
     edits_.back().keep += count;
   }
-  void drop(std::size_t count) { last().drop += count; }
-  void insert(std::size_t count) { last().insert += count; }
-  std::vector<LineEdit> take() { return std::move(edits_); }
+  void drop(std::size_t count) { lastEdit().drop += count; }
+  void insert(std::size_t count) { lastEdit().insert += count; }
+  std::vector<LineEdit> build() { return std::move(edits_); }
 
 private:
-  LineEdit& last() {
+  LineEdit& lastEdit() {
     if (edits_.empty()) {
       edits_.emplace_back();
     }
@@ -63,15 +63,16 @@
   std::vector<LineEdit> edits_;
 };
 
-/// Myers' greedy algorithm. x lines of the old and y lines of the new text are used up at a point; the point
-/// lies on the diagonal x - y. After each number of edits the furthest x on each diagonal is kept.
+/// Myers' greedy algorithm. A point (x, y) means that x lines of the old and y lines of the new text have
+/// been consumed; it lies on diagonal x - y. For each number of edits the furthest x on each diagonal is
+/// stored.
 class MyersDiff {
 public:
   MyersDiff(const LineHashes& before, const LineHashes& after) : before_(before), after_(after) {}
 
-  /// @return whether the end was reached within the bound.
-  bool search(std::size_t maximum_edits) {
-    for (std::size_t edits = 0; edits <= maximum_edits; ++edits) {
+  /// @return whether the end was reached with at most the given number of edits.
+  bool search(std::size_t max_edits) {
+    for (std::size_t edits = 0; edits <= max_edits; ++edits) {
       if (advance(static_cast<Position>(edits))) {
         return true;
       }
@@ -79,13 +80,13 @@
     return false;
   }
 
-  /// Adds the script that the search found.
-  void writeScript(ScriptBuilder& script) const {
+  /// Appends the edit script that search() found.
+  void appendScript(ScriptBuilder& script) const {
     std::vector<Step> steps;
     Position x = oldSize();
     Position y = newSize();
     for (Position edits = static_cast<Position>(furthest_.size()) - 1; edits > 0; --edits) {
-      const Entry entry = enter(x - y, edits);
+      const Entry entry = bestEntry(x - y, edits);
       steps.push_back({entry.inserts, x - entry.x});
       const Position diagonal = x - y + (entry.inserts ? 1 : -1);
       x = entry.inserts ? entry.x : entry.x - 1;
@@ -102,12 +103,12 @@
   using Position = std::int64_t;
   static constexpr Position kUnreachable = -1;
 
-  /// How a diagonal is entered by one more edit: by an insert or a drop, at `x`.
+  /// The edit by which a diagonal is entered (insert or drop) and the x it is entered at.
   struct Entry {
     bool inserts = false;
     Position x = kUnreachable;
   };
-  /// An edit and the lines kept after it.
+  /// An edit and the number of lines kept after it.
   struct Step {
     bool inserts = false;
     Position kept = 0;
@@ -116,7 +117,7 @@
   Position oldSize() const { return static_cast<Position>(before_.size()); }
   Position newSize() const { return static_cast<Position>(after_.size()); }
 
-  /// @return the furthest x on a diagonal after so many edits.
+  /// @return the furthest x on a diagonal after the given number of edits.
   Position furthest(Position diagonal, Position edits) const {
     if (edits < 0 || diagonal < -edits || diagonal > edits) {
       return kUnreachable;
@@ -124,7 +125,7 @@
     return furthest_[static_cast<std::size_t>(edits)][static_cast<std::size_t>((diagonal + edits) / 2)];
   }
 
-  Entry enter(Position diagonal, Position edits) const {
+  Entry bestEntry(Position diagonal, Position edits) const {
     Position by_insert = furthest(diagonal + 1, edits - 1);
     if (by_insert != kUnreachable && by_insert - diagonal > newSize()) {
       by_insert = kUnreachable;
@@ -136,8 +137,9 @@
     return by_insert >= by_drop ? Entry{true, by_insert} : Entry{false, by_drop};
   }
 
-  /// Follows equal lines from a point.
-  Position followEqual(Position x, Position diagonal) const {
+  /// Advances along a diagonal while the lines are equal.
+  /// @return the x at the first difference.
+  Position skipEqualLines(Position x, Position diagonal) const {
     while (x < oldSize() && x - diagonal < newSize() &&
            before_[static_cast<std::size_t>(x)] == after_[static_cast<std::size_t>(x - diagonal)]) {
       ++x;
@@ -145,16 +147,16 @@
     return x;
   }
 
-  /// Computes the furthest points after one more edit.
-  /// @return whether the end is among them.
+  /// Computes the furthest points for the given number of edits.
+  /// @return whether the end was reached.
   bool advance(Position edits) {
-    std::vector<Position> row;
-    row.reserve(static_cast<std::size_t>(edits + 1));
+    std::vector<Position> frontier;
+    frontier.reserve(static_cast<std::size_t>(edits + 1));
     for (Position diagonal = -edits; diagonal <= edits; diagonal += 2) {
-      const Position start = edits == 0 ? 0 : enter(diagonal, edits).x;
-      row.push_back(start == kUnreachable ? kUnreachable : followEqual(start, diagonal));
+      const Position start = edits == 0 ? 0 : bestEntry(diagonal, edits).x;
+      frontier.push_back(start == kUnreachable ? kUnreachable : skipEqualLines(start, diagonal));
     }
-    furthest_.push_back(std::move(row));
+    furthest_.push_back(std::move(frontier));
     return furthest(oldSize() - newSize(), edits) == oldSize();
   }
 
@@ -173,8 +175,8 @@
 Lines splitLines(std::string_view text) {
   Lines lines;
   while (!text.empty()) {
-    const std::size_t feed = text.find('\n');
-    const std::size_t size = feed == std::string_view::npos ? text.size() : feed + 1;
+    const std::size_t line_feed = text.find('\n');
+    const std::size_t size = line_feed == std::string_view::npos ? text.size() : line_feed + 1;
     lines.push_back(text.substr(0, size));
     text.remove_prefix(size);
   }
@@ -182,24 +184,24 @@
 }
 
 std::optional<std::vector<LineEdit>> diffLines(const Lines& before, const Lines& after,
-                                               std::size_t maximum_edits) {
-  const Middle middle = findMiddle(before, after);
-  const LineHashes old_middle = hashLines(slice(before, middle.begin, middle.before_end));
-  const LineHashes new_middle = hashLines(slice(after, middle.begin, middle.after_end));
+                                               std::size_t max_edits) {
+  const DifferingRange range = findDifferingRange(before, after);
+  const LineHashes old_hashes = hashLines(slice(before, range.begin, range.before_end));
+  const LineHashes new_hashes = hashLines(slice(after, range.begin, range.after_end));
   ScriptBuilder script;
-  script.keep(middle.begin);
-  if (old_middle.empty() || new_middle.empty()) {
-    script.drop(old_middle.size());
-    script.insert(new_middle.size());
+  script.keep(range.begin);
+  if (old_hashes.empty() || new_hashes.empty()) {
+    script.drop(old_hashes.size());
+    script.insert(new_hashes.size());
   } else {
-    MyersDiff diff(old_middle, new_middle);
-    if (!diff.search(maximum_edits)) {
+    MyersDiff diff(old_hashes, new_hashes);
+    if (!diff.search(max_edits)) {
       return std::nullopt;
     }
-    diff.writeScript(script);
+    diff.appendScript(script);
   }
-  script.keep(before.size() - middle.before_end);
-  return script.take();
+  script.keep(before.size() - range.before_end);
+  return script.build();
 }
 
 }  // namespace crankspur
--- a/src/bundle/signing.cc
+++ b/src/bundle/signing.cc
@@ -27,11 +27,11 @@
 };
 using DigestContext = std::unique_ptr<EVP_MD_CTX, DigestContextDeleter>;
 
-const unsigned char* bytesOf(std::string_view text) {
+const unsigned char* asBytes(std::string_view text) {
   return reinterpret_cast<const unsigned char*>(text.data());
 }
 
-unsigned char* bytesOf(std::string& text) {
+unsigned char* asBytes(std::string& text) {
   return reinterpret_cast<unsigned char*>(text.data());
 }
 
@@ -49,7 +49,7 @@
   if (!raw) {
     return nullptr;
   }
-  return Key(EVP_PKEY_new_raw_private_key(EVP_PKEY_ED25519, nullptr, bytesOf(*raw), raw->size()));
+  return Key(EVP_PKEY_new_raw_private_key(EVP_PKEY_ED25519, nullptr, asBytes(*raw), raw->size()));
 }
 
 Key loadPublicKey(const std::string& text) {
@@ -57,10 +57,10 @@
   if (!raw) {
     return nullptr;
   }
-  return Key(EVP_PKEY_new_raw_public_key(EVP_PKEY_ED25519, nullptr, bytesOf(*raw), raw->size()));
+  return Key(EVP_PKEY_new_raw_public_key(EVP_PKEY_ED25519, nullptr, asBytes(*raw), raw->size()));
 }
 
-/// The library failed at something that only a broken installation fails at.
+/// Aborts when a call failed that can only fail with a broken OpenSSL installation.
 void requireSuccess(bool success) {
   if (!success) {
     std::abort();
@@ -70,7 +70,7 @@
 std::string exportPublicKey(EVP_PKEY* key) {
   std::string raw(kKeyBytes, '\0');
   std::size_t size = raw.size();
-  requireSuccess(EVP_PKEY_get_raw_public_key(key, bytesOf(raw), &size) == 1);
+  requireSuccess(EVP_PKEY_get_raw_public_key(key, asBytes(raw), &size) == 1);
   return encodeBase64(raw);
 }
 
@@ -81,8 +81,8 @@
 }  // namespace
 
 std::string encodeBase64(std::string_view bytes) {
-  std::string text((bytes.size() + 2) / 3 * 4 + 1, '\0');  // One more for the terminator that is written.
-  const int size = EVP_EncodeBlock(bytesOf(text), bytesOf(bytes), static_cast<int>(bytes.size()));
+  std::string text((bytes.size() + 2) / 3 * 4 + 1, '\0');  // EVP_EncodeBlock writes a terminator.
+  const int size = EVP_EncodeBlock(asBytes(text), asBytes(bytes), static_cast<int>(bytes.size()));
   text.resize(static_cast<std::size_t>(size));
   return text;
 }
@@ -92,7 +92,7 @@
     return std::nullopt;
   }
   std::string bytes(text.size() / 4 * 3, '\0');
-  const int size = EVP_DecodeBlock(bytesOf(bytes), bytesOf(text), static_cast<int>(text.size()));
+  const int size = EVP_DecodeBlock(asBytes(bytes), asBytes(text), static_cast<int>(text.size()));
   if (size < 0) {
     return std::nullopt;
   }
@@ -112,13 +112,13 @@
   requireSuccess(key != nullptr);
   std::string raw(kKeyBytes, '\0');
   std::size_t size = raw.size();
-  requireSuccess(EVP_PKEY_get_raw_private_key(key.get(), bytesOf(raw), &size) == 1);
+  requireSuccess(EVP_PKEY_get_raw_private_key(key.get(), asBytes(raw), &size) == 1);
   SigningKeyPair pair{encodeBase64(raw), exportPublicKey(key.get())};
   OPENSSL_cleanse(raw.data(), raw.size());
   return pair;
 }
 
-std::optional<std::string> publicKeyOf(const std::string& private_key) {
+std::optional<std::string> derivePublicKey(const std::string& private_key) {
   const Key key = loadPrivateKey(private_key);
   if (key == nullptr) {
     return std::nullopt;
@@ -143,7 +143,7 @@
   std::string signature(kSignatureBytes, '\0');
   std::size_t size = signature.size();
   requireSuccess(
-      EVP_DigestSign(context.get(), bytesOf(signature), &size, bytesOf(statement), statement.size()) == 1);
+      EVP_DigestSign(context.get(), asBytes(signature), &size, asBytes(statement), statement.size()) == 1);
   return encodeBase64(signature);
 }
 
@@ -156,7 +156,7 @@
   }
   const DigestContext context(EVP_MD_CTX_new());
   requireSuccess(EVP_DigestVerifyInit(context.get(), nullptr, nullptr, nullptr, key.get()) == 1);
-  return EVP_DigestVerify(context.get(), bytesOf(*raw), raw->size(), bytesOf(statement), statement.size()) ==
+  return EVP_DigestVerify(context.get(), asBytes(*raw), raw->size(), asBytes(statement), statement.size()) ==
          1;
 }
 
--- a/src/internal_protocol/codec.cc
+++ b/src/internal_protocol/codec.cc
@@ -11,7 +11,7 @@
 
 constexpr std::size_t kLengthBytes = 4;
 constexpr std::size_t kHeaderBytes = kLengthBytes + 1;
-constexpr std::size_t kKinds = std::variant_size_v<Message>;
+constexpr std::size_t kMessageKinds = std::variant_size_v<Message>;
 
 bool appendBytes(pb_ostream_t* stream, const pb_byte_t* bytes, std::size_t count) {
   static_cast<std::string*>(stream->state)->append(reinterpret_cast<const char*>(bytes), count);
@@ -44,11 +44,12 @@
 }
 
 template <std::size_t... Indexes>
-constexpr std::array<BodyDecoder, kKinds> makeDecoders(std::index_sequence<Indexes...>) {
+constexpr std::array<BodyDecoder, kMessageKinds> makeBodyDecoders(std::index_sequence<Indexes...>) {
   return {&decodeAlternative<Indexes>...};
 }
 
-constexpr std::array<BodyDecoder, kKinds> kDecoders = makeDecoders(std::make_index_sequence<kKinds>());
+constexpr std::array<BodyDecoder, kMessageKinds> kBodyDecoders =
+    makeBodyDecoders(std::make_index_sequence<kMessageKinds>());
 
 }  // namespace
 
@@ -73,14 +74,14 @@
   }
   if (bytes.size() < kHeaderBytes) return decoded;
   const std::size_t kind = static_cast<unsigned char>(bytes[kLengthBytes]);
-  if (kind == 0 || kind > kKinds) {
+  if (kind == 0 || kind > kMessageKinds) {
     decoded.error = ErrorCode::Malformed;
     return decoded;
   }
   if (bytes.size() < kHeaderBytes + length) return decoded;
   const auto* body = reinterpret_cast<const pb_byte_t*>(bytes.data() + kHeaderBytes);
   pb_istream_t stream = pb_istream_from_buffer(body, length);
-  if (kDecoders[kind - 1](&stream, decoded.message)) {
+  if (kBodyDecoders[kind - 1](&stream, decoded.message)) {
     decoded.consumed = kHeaderBytes + length;
   } else {
     decoded.message.reset();
--- a/src/internal_protocol/codec.h
+++ b/src/internal_protocol/codec.h
@@ -11,20 +11,20 @@
 
 namespace crankspur {
 
-/// Upper bound of a frame body in bytes; a longer one ends the connection with ErrorCode::TooLarge.
+/// Maximum size of a frame body in bytes; a longer body closes the connection with ErrorCode::TooLarge.
 inline constexpr std::uint32_t kMaxFrameBytes = 8 * 1024 * 1024;
 
-/// @return the whole frame, header included.
+/// @return the complete frame, including its header.
 std::string encodeFrame(const Message& message);
 
 /// Outcome of decodeFrame.
 struct DecodedFrame {
   ErrorCode error = ErrorCode::Ok;  ///< Malformed or TooLarge: close the connection.
   std::optional<Message> message;   ///< Empty when more bytes are needed or on error.
-  std::size_t consumed = 0;         ///< Bytes of the input that the frame took; 0 when more are needed.
+  std::size_t consumed = 0;         ///< Input bytes that the frame occupies; 0 when more are needed.
 };
 
-/// Decodes the first frame of `bytes`, which are untrusted.
+/// Decodes the first frame of `bytes`, which is untrusted input.
 DecodedFrame decodeFrame(std::string_view bytes);
 
 }  // namespace crankspur
--- a/src/internal_protocol/connection.cc
+++ b/src/internal_protocol/connection.cc
@@ -19,7 +19,8 @@
 namespace {
 
 constexpr std::size_t kReadBytes = std::size_t{64} * 1024;
-constexpr int kUnacknowledgedMilliseconds = 10'000;  ///< A vanished machine is noticed after this time.
+/// After this time without an acknowledgement the peer is considered lost.
+constexpr int kTcpUserTimeoutMilliseconds = 10'000;
 
 }  // namespace
 
@@ -34,7 +35,7 @@
   return std::static_pointer_cast<TcpFrameConnection>(shared_from_this());
 }
 
-bool TcpFrameConnection::isEnding() const {
+bool TcpFrameConnection::isClosing() const {
   return phase_ == Phase::Closing || phase_ == Phase::Closed;
 }
 
@@ -50,18 +51,18 @@
   remote_address_ = address;
   boost::system::error_code error;
   const auto endpoint = parseEndpoint(address, error);
-  if (error) return end(error);
+  if (error) return finish(error);
   setTimer(limits_.connect_timeout);
   socket_.async_connect(endpoint, [self = self()](boost::system::error_code failure) {
     if (self->phase_ == Phase::Closed) return;
-    if (failure) return self->end(failure);
+    if (failure) return self->finish(failure);
     self->start();
   });
 }
 
 void TcpFrameConnection::start() {
   setSocketOptions();
-  if (phase_ == Phase::Connecting) phase_ = Phase::Greeting;
+  if (phase_ == Phase::Connecting) phase_ = Phase::AwaitingHello;
   setTimer(limits_.hello_timeout);
   read();
   scheduleWrite();
@@ -71,15 +72,15 @@
   boost::system::error_code ignored;
   socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
   socket_.set_option(asio::socket_base::keep_alive(true), ignored);
-  ::setsockopt(socket_.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &kUnacknowledgedMilliseconds,
-               sizeof(kUnacknowledgedMilliseconds));
+  ::setsockopt(socket_.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &kTcpUserTimeoutMilliseconds,
+               sizeof(kTcpUserTimeoutMilliseconds));
   const auto remote = socket_.remote_endpoint(ignored);
   if (!ignored) remote_address_ = formatEndpoint(remote);
 }
 
 // Reading.
 
-void TcpFrameConnection::makeRoom() {
+void TcpFrameConnection::reserveReadSpace() {
   if (begin_ > 0) {
     std::memmove(buffer_.data(), buffer_.data() + begin_, end_ - begin_);
     end_ -= begin_;
@@ -89,7 +90,7 @@
 }
 
 void TcpFrameConnection::read() {
-  makeRoom();
+  reserveReadSpace();
   socket_.async_read_some(
       asio::buffer(buffer_.data() + end_, buffer_.size() - end_),
       [self = self()](boost::system::error_code error, std::size_t bytes) { self->onRead(error, bytes); });
@@ -97,51 +98,51 @@
 
 void TcpFrameConnection::onRead(boost::system::error_code error, std::size_t bytes) {
   if (phase_ == Phase::Closed) return;
-  if (error) return end(phase_ == Phase::Closing ? close_reason_ : std::error_code(error));
+  if (error) return finish(phase_ == Phase::Closing ? close_reason_ : std::error_code(error));
   end_ += bytes;
   if (phase_ == Phase::Closing) {
-    begin_ = end_;  // Nothing more is delivered; the read notices a peer that closes.
+    begin_ = end_;  // Input is discarded; the read only detects that the peer closes.
   } else {
-    takeFrames();
+    decodeFrames();
   }
   if (phase_ != Phase::Closed) read();
 }
 
-void TcpFrameConnection::takeFrames() {
-  while (!isEnding()) {
+void TcpFrameConnection::decodeFrames() {
+  while (!isClosing()) {
     DecodedFrame frame = decodeFrame(std::string_view(buffer_).substr(begin_, end_ - begin_));
     if (frame.error != ErrorCode::Ok) {
-      return refuse(frame.error, "undecodable frame");
+      return closeWithProtocolError(frame.error, "undecodable frame");
     }
     if (!frame.message) return;
     begin_ += frame.consumed;
-    take(std::move(*frame.message));
+    handleMessage(std::move(*frame.message));
   }
 }
 
-void TcpFrameConnection::take(Message message) {
-  if (phase_ == Phase::Greeting) return takeHello(message);
+void TcpFrameConnection::handleMessage(Message message) {
+  if (phase_ == Phase::AwaitingHello) return handleHello(message);
   if (std::holds_alternative<Hello>(message)) {
-    return refuse(ErrorCode::Malformed, "a second Hello");
+    return closeWithProtocolError(ErrorCode::Malformed, "a second Hello");
   }
   if (callbacks_.on_message) callbacks_.on_message(std::move(message));
 }
 
-void TcpFrameConnection::takeHello(const Message& message) {
+void TcpFrameConnection::handleHello(const Message& message) {
   const Hello* const peer = std::get_if<Hello>(&message);
   if (peer == nullptr) {
-    return refuse(ErrorCode::Malformed, "a message before Hello");
+    return closeWithProtocolError(ErrorCode::Malformed, "a message before Hello");
   }
   const std::uint32_t agreed = std::min(hello_.highest_version, peer->highest_version);
   if (agreed < std::max(hello_.lowest_version, peer->lowest_version)) {
-    return refuse(ErrorCode::VersionMismatch, "no common protocol version");
+    return closeWithProtocolError(ErrorCode::VersionMismatch, "no common protocol version");
   }
   phase_ = Phase::Open;
   timer_.cancel();
   if (callbacks_.on_hello) callbacks_.on_hello(*peer);
 }
 
-void TcpFrameConnection::refuse(ErrorCode code, const std::string& reason) {
+void TcpFrameConnection::closeWithProtocolError(ErrorCode code, const std::string& reason) {
   send(ProtocolError{code, reason});
   close_reason_ = code;
   close(true);
@@ -150,16 +151,16 @@
 // Writing.
 
 void TcpFrameConnection::send(const Message& message) {
-  if (isEnding()) return;
+  if (isClosing()) return;
   const std::string frame = encodeFrame(message);
   const std::size_t queued = pending_.size() + writing_.size() + frame.size();
   const bool too_large = frame.size() > kMaxFrameBytes || queued > limits_.write_queue_bytes;
-  if (too_large) return end(ErrorCode::TooLarge);
+  if (too_large) return finish(ErrorCode::TooLarge);
   pending_ += frame;
   scheduleWrite();
 }
 
-/// Posts the write, so that all frames queued in one turn of the event loop leave in one system call.
+/// Posts the write, so that all frames queued in one iteration of the event loop are sent in one system call.
 void TcpFrameConnection::scheduleWrite() {
   if (phase_ == Phase::Connecting || write_scheduled_ || !writing_.empty()) return;
   write_scheduled_ = true;
@@ -172,7 +173,7 @@
 void TcpFrameConnection::write() {
   if (phase_ == Phase::Closed || !writing_.empty()) return;
   if (pending_.empty()) {
-    if (phase_ == Phase::Closing) finishSending();
+    if (phase_ == Phase::Closing) shutdownSend();
     return;
   }
   std::swap(writing_, pending_);
@@ -181,25 +182,25 @@
       [self = self()](boost::system::error_code error, std::size_t) { self->onWritten(error); });
 }
 
-/// Leaves the socket open for the peer to read the last frames; its end of stream, or the timer, ends it. An
-/// immediate close with unread input would reset the connection and lose them.
-void TcpFrameConnection::finishSending() {
+/// Keeps the socket open until the peer has read the last frames: the peer's end of stream or the timer
+/// closes it. An immediate close with unread input would reset the connection and lose these frames.
+void TcpFrameConnection::shutdownSend() {
   boost::system::error_code ignored;
   socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
 }
 
 void TcpFrameConnection::onWritten(boost::system::error_code error) {
   if (phase_ == Phase::Closed) return;
-  if (error) return end(phase_ == Phase::Closing ? close_reason_ : std::error_code(error));
+  if (error) return finish(phase_ == Phase::Closing ? close_reason_ : std::error_code(error));
   writing_.clear();
   write();
 }
 
-// Ends.
+// Closing.
 
 void TcpFrameConnection::close(bool flush) {
-  if (isEnding()) return;
-  if (!flush || phase_ == Phase::Connecting) return end(close_reason_);
+  if (isClosing()) return;
+  if (!flush || phase_ == Phase::Connecting) return finish(close_reason_);
   phase_ = Phase::Closing;
   setTimer(limits_.hello_timeout);
   scheduleWrite();
@@ -210,24 +211,23 @@
   timer_.async_wait([self = self()](boost::system::error_code error) {
     if (error || self->timer_.expiry() > std::chrono::steady_clock::now()) return;
     if (self->phase_ == Phase::Open) return;
-    self->end(self->phase_ == Phase::Closing ? self->close_reason_
-                                             : make_error_code(ErrorCode::DeadlineExceeded));
+    self->finish(self->phase_ == Phase::Closing ? self->close_reason_
+                                                : make_error_code(ErrorCode::DeadlineExceeded));
   });
 }
 
-/// Ends the connection. The report is posted, so that no caller of send() or close() is called back inside
-/// it.
-void TcpFrameConnection::end(std::error_code error) {
+/// Closes the socket. The notification is posted, so that callbacks never run inside send() or close().
+void TcpFrameConnection::finish(std::error_code error) {
   if (phase_ == Phase::Closed) return;
   phase_ = Phase::Closed;
   timer_.cancel();
   boost::system::error_code ignored;
   socket_.shutdown(asio::ip::tcp::socket::shutdown_both, ignored);
   socket_.close(ignored);
-  asio::post(socket_.get_executor(), [self = self(), error] { self->reportEnd(error); });
+  asio::post(socket_.get_executor(), [self = self(), error] { self->notifyClosed(error); });
 }
 
-void TcpFrameConnection::reportEnd(std::error_code error) {
+void TcpFrameConnection::notifyClosed(std::error_code error) {
   const Callbacks callbacks = std::exchange(callbacks_, {});
   if (callbacks.on_closed) callbacks.on_closed(error);
 }
--- a/src/internal_protocol/connection_listener.cc
+++ b/src/internal_protocol/connection_listener.cc
@@ -11,15 +11,16 @@
 
 namespace {
 
-constexpr Duration kAcceptRetry = std::chrono::milliseconds(100);
+constexpr Duration kAcceptRetryDelay = std::chrono::milliseconds(100);
 
-/// Accepts connections; shared with the pending accept, so that the listener may be destroyed at any time.
+/// Accepts connections. Shared with the pending accept operation, so that the listener may be destroyed at
+/// any time.
 class FrameAcceptor : public std::enable_shared_from_this<FrameAcceptor> {
 public:
   FrameAcceptor(const asio::any_io_executor& executor, std::function<Hello()> hello,
                 FrameListener::AcceptHandler on_accept, ConnectionLimits limits)
       : acceptor_(executor),
-        retry_(executor),
+        retry_timer_(executor),
         hello_(std::move(hello)),
         on_accept_(std::move(on_accept)),
         limits_(limits) {}
@@ -37,34 +38,34 @@
   void close() {
     boost::system::error_code ignored;
     acceptor_.close(ignored);
-    retry_.cancel();
+    retry_timer_.cancel();
   }
 
   void accept() {
     acceptor_.async_accept([self = shared_from_this()](boost::system::error_code error, tcp::socket socket) {
       if (!self->acceptor_.is_open()) return;
-      if (error) return self->acceptLater();
-      self->take(std::move(socket));
+      if (error) return self->scheduleAcceptRetry();
+      self->startConnection(std::move(socket));
       if (self->acceptor_.is_open()) self->accept();
     });
   }
 
 private:
-  void acceptLater() {
-    retry_.expires_after(kAcceptRetry);
-    retry_.async_wait([self = shared_from_this()](boost::system::error_code error) {
+  void scheduleAcceptRetry() {
+    retry_timer_.expires_after(kAcceptRetryDelay);
+    retry_timer_.async_wait([self = shared_from_this()](boost::system::error_code error) {
       if (!error && self->acceptor_.is_open()) self->accept();
     });
   }
 
-  void take(tcp::socket socket) {
+  void startConnection(tcp::socket socket) {
     const auto connection = std::make_shared<TcpFrameConnection>(std::move(socket), hello_(), limits_);
     connection->setCallbacks(on_accept_(connection));
     connection->start();
   }
 
   tcp::acceptor acceptor_;
-  asio::steady_timer retry_;
+  asio::steady_timer retry_timer_;
   std::function<Hello()> hello_;
   FrameListener::AcceptHandler on_accept_;
   ConnectionLimits limits_;
--- a/src/internal_protocol/field_archive.h
+++ b/src/internal_protocol/field_archive.h
@@ -1,7 +1,7 @@
 #pragma once
-/// @file Internal to this package: carries the fields of a message between its plain structure and nanopb's.
-/// A mapping function names each pair of fields once; three archives walk it: StoreArchive before encoding,
-/// BindArchive before decoding, LoadArchive after decoding.
+/// @file Internal to this package: copies the fields of a message between its plain struct and nanopb's
+/// struct. A mapping function lists each pair of fields once and is applied with three archives: StoreArchive
+/// before encoding, BindArchive before decoding, LoadArchive after decoding.
 
 #include <pb.h>
 #include <pb_decode.h>
@@ -16,16 +16,17 @@
 
 namespace crankspur::wire {
 
-/// Records of one repeated field, such as members of a Ping; a frame with more is malformed.
+/// Maximum number of records in a repeated field, such as the members of a Ping; a frame with more is
+/// malformed.
 inline constexpr std::size_t kMaxRecords = 8192;
-/// Hashes of one repeated field.
+/// Maximum number of hashes in a repeated field.
 inline constexpr std::size_t kMaxHashes = 262144;
-/// A longer time on the wire is malformed; it keeps sums of times far from overflow.
+/// A longer duration on the wire is malformed; the bound keeps sums of durations far from overflow.
 inline constexpr Duration kMaxDuration = std::chrono::hours(24 * 30);
 
-/// Names the nanopb structure and descriptor of a plain message type.
+/// Maps a plain message type to its nanopb struct and descriptor.
 template <typename Plain>
-struct WireForm;
+struct WireTraits;
 
 bool encodeText(pb_ostream_t* stream, const pb_field_t* field, void* const* argument);
 bool decodeText(pb_istream_t* stream, const pb_field_t* field, void** argument);
@@ -42,7 +43,7 @@
 template <typename Record>
 bool decodeRecords(pb_istream_t* stream, const pb_field_t* field, void** argument);
 
-/// Copies values into the nanopb structure and points its callbacks to the plain message.
+/// Copies values into the nanopb struct and binds its encode callbacks to the plain message.
 class StoreArchive {
 public:
   void text(pb_callback_t& wire, const std::string& plain) { set(wire, &encodeText, &plain); }
@@ -69,11 +70,12 @@
   using Encoder = bool (*)(pb_ostream_t*, const pb_field_t*, void* const*);
   static void set(pb_callback_t& wire, Encoder encoder, const void* plain) {
     wire.funcs.encode = encoder;
-    wire.arg = const_cast<void*>(plain);  // nanopb's argument is not const; encoders only read it.
+    wire.arg = const_cast<void*>(plain);  // nanopb's argument is not const; the encoders only read from it.
   }
 };
 
-/// Points the callbacks of the nanopb structure to the plain message that receives text and records.
+/// Binds the decode callbacks of the nanopb struct to the plain message that receives texts, hashes and
+/// records.
 class BindArchive {
 public:
   void text(pb_callback_t& wire, std::string& plain) { set(wire, &decodeText, &plain); }
@@ -96,7 +98,7 @@
   }
 };
 
-/// Copies values out of the decoded nanopb structure and checks their range.
+/// Copies values from the decoded nanopb struct into the plain message and validates their ranges.
 class LoadArchive {
 public:
   void text(pb_callback_t&, std::string&) {}
@@ -117,7 +119,7 @@
     if (wire > static_cast<std::uint64_t>(kMaxDuration.count())) valid_ = false;
     if (valid_) plain = Duration(static_cast<Duration::rep>(wire));
   }
-  /// @return false when a value was out of range.
+  /// @return whether all values were in range.
   bool valid() const { return valid_; }
 
 private:
@@ -126,18 +128,18 @@
 
 template <typename Plain>
 bool encodeBody(pb_ostream_t* stream, const Plain& plain) {
-  typename WireForm<Plain>::Type wire{};
+  typename WireTraits<Plain>::Type wire{};
   StoreArchive archive;
   mapFields(archive, wire, plain);
-  return pb_encode(stream, WireForm<Plain>::descriptor(), &wire);
+  return pb_encode(stream, WireTraits<Plain>::descriptor(), &wire);
 }
 
 template <typename Plain>
 bool decodeBody(pb_istream_t* stream, Plain& plain) {
-  typename WireForm<Plain>::Type wire{};
+  typename WireTraits<Plain>::Type wire{};
   BindArchive bind;
   mapFields(bind, wire, plain);
-  if (!pb_decode_ex(stream, WireForm<Plain>::descriptor(), &wire, PB_DECODE_NOINIT)) return false;
+  if (!pb_decode_ex(stream, WireTraits<Plain>::descriptor(), &wire, PB_DECODE_NOINIT)) return false;
   LoadArchive load;
   mapFields(load, wire, plain);
   return load.valid();
--- a/src/internal_protocol/field_mapping.h
+++ b/src/internal_protocol/field_mapping.h
@@ -1,5 +1,6 @@
 #pragma once
-/// @file Internal to this package: which field of each plain message is which field of proto/crankspur.proto.
+/// @file Internal to this package: mapping of the fields of each plain message to those of
+/// proto/crankspur.proto.
 
 #include <crankspur.pb.h>
 
@@ -8,61 +9,61 @@
 
 namespace crankspur::wire {
 
-#define CRANKSPUR_WIRE_FORM(name)                                                      \
+#define CRANKSPUR_WIRE_TRAITS(name)                                                    \
   template <>                                                                          \
-  struct WireForm<name> {                                                              \
+  struct WireTraits<name> {                                                            \
     using Type = crankspur_wire_##name;                                                \
     static const pb_msgdesc_t* descriptor() { return crankspur_wire_##name##_fields; } \
   };
 
-CRANKSPUR_WIRE_FORM(Hello)
-CRANKSPUR_WIRE_FORM(SubmitRequest)
-CRANKSPUR_WIRE_FORM(Accepted)
-CRANKSPUR_WIRE_FORM(StreamPiece)
-CRANKSPUR_WIRE_FORM(StreamEnd)
-CRANKSPUR_WIRE_FORM(Refusal)
-CRANKSPUR_WIRE_FORM(Cancel)
-CRANKSPUR_WIRE_FORM(MemberRecord)
-CRANKSPUR_WIRE_FORM(EngineRecord)
-CRANKSPUR_WIRE_FORM(Ping)
-CRANKSPUR_WIRE_FORM(PingAck)
-CRANKSPUR_WIRE_FORM(BundleRequest)
-CRANKSPUR_WIRE_FORM(BundleBody)
-CRANKSPUR_WIRE_FORM(BundleStep)
-CRANKSPUR_WIRE_FORM(BundleUpdate)
-CRANKSPUR_WIRE_FORM(CacheSummary)
-CRANKSPUR_WIRE_FORM(EngineLoad)
-CRANKSPUR_WIRE_FORM(LoadDigest)
-CRANKSPUR_WIRE_FORM(ClaimPrepare)
-CRANKSPUR_WIRE_FORM(ClaimReply)
-CRANKSPUR_WIRE_FORM(ClaimGroupMember)
-CRANKSPUR_WIRE_FORM(ClaimVote)
-CRANKSPUR_WIRE_FORM(ClaimRelease)
-CRANKSPUR_WIRE_FORM(ClaimRecord)
-CRANKSPUR_WIRE_FORM(ClaimSeal)
-CRANKSPUR_WIRE_FORM(ClaimSealed)
-CRANKSPUR_WIRE_FORM(ClaimInstall)
-CRANKSPUR_WIRE_FORM(ClaimGroupRequest)
-CRANKSPUR_WIRE_FORM(ClaimGroupInfo)
-CRANKSPUR_WIRE_FORM(ProtocolError)
-CRANKSPUR_WIRE_FORM(BackendRecord)
-CRANKSPUR_WIRE_FORM(BackendListRequest)
-CRANKSPUR_WIRE_FORM(BackendList)
-CRANKSPUR_WIRE_FORM(BackendNote)
-CRANKSPUR_WIRE_FORM(BackendNotes)
-CRANKSPUR_WIRE_FORM(CacheNotePart)
-CRANKSPUR_WIRE_FORM(CacheNote)
-CRANKSPUR_WIRE_FORM(CacheNotes)
-CRANKSPUR_WIRE_FORM(CacheWanted)
-CRANKSPUR_WIRE_FORM(ServingNotice)
-CRANKSPUR_WIRE_FORM(RelayedRow)
-CRANKSPUR_WIRE_FORM(RelayedRows)
-CRANKSPUR_WIRE_FORM(CrashEvidenceRecord)
-CRANKSPUR_WIRE_FORM(ClearedRequestRecord)
-CRANKSPUR_WIRE_FORM(LivingBackendRecord)
-CRANKSPUR_WIRE_FORM(CrashNotes)
-CRANKSPUR_WIRE_FORM(CrashDigest)
-#undef CRANKSPUR_WIRE_FORM
+CRANKSPUR_WIRE_TRAITS(Hello)
+CRANKSPUR_WIRE_TRAITS(SubmitRequest)
+CRANKSPUR_WIRE_TRAITS(Accepted)
+CRANKSPUR_WIRE_TRAITS(StreamPiece)
+CRANKSPUR_WIRE_TRAITS(StreamEnd)
+CRANKSPUR_WIRE_TRAITS(Refusal)
+CRANKSPUR_WIRE_TRAITS(Cancel)
+CRANKSPUR_WIRE_TRAITS(MemberRecord)
+CRANKSPUR_WIRE_TRAITS(EngineRecord)
+CRANKSPUR_WIRE_TRAITS(Ping)
+CRANKSPUR_WIRE_TRAITS(PingAck)
+CRANKSPUR_WIRE_TRAITS(BundleRequest)
+CRANKSPUR_WIRE_TRAITS(BundleBody)
+CRANKSPUR_WIRE_TRAITS(BundleStep)
+CRANKSPUR_WIRE_TRAITS(BundleUpdate)
+CRANKSPUR_WIRE_TRAITS(CacheSummary)
+CRANKSPUR_WIRE_TRAITS(EngineLoad)
+CRANKSPUR_WIRE_TRAITS(LoadDigest)
+CRANKSPUR_WIRE_TRAITS(ClaimPrepare)
+CRANKSPUR_WIRE_TRAITS(ClaimReply)
+CRANKSPUR_WIRE_TRAITS(ClaimGroupMember)
+CRANKSPUR_WIRE_TRAITS(ClaimVote)
+CRANKSPUR_WIRE_TRAITS(ClaimRelease)
+CRANKSPUR_WIRE_TRAITS(ClaimRecord)
+CRANKSPUR_WIRE_TRAITS(ClaimSeal)
+CRANKSPUR_WIRE_TRAITS(ClaimSealed)
+CRANKSPUR_WIRE_TRAITS(ClaimInstall)
+CRANKSPUR_WIRE_TRAITS(ClaimGroupRequest)
+CRANKSPUR_WIRE_TRAITS(ClaimGroupInfo)
+CRANKSPUR_WIRE_TRAITS(ProtocolError)
+CRANKSPUR_WIRE_TRAITS(BackendRecord)
+CRANKSPUR_WIRE_TRAITS(BackendListRequest)
+CRANKSPUR_WIRE_TRAITS(BackendList)
+CRANKSPUR_WIRE_TRAITS(BackendNote)
+CRANKSPUR_WIRE_TRAITS(BackendNotes)
+CRANKSPUR_WIRE_TRAITS(CacheNotePart)
+CRANKSPUR_WIRE_TRAITS(CacheNote)
+CRANKSPUR_WIRE_TRAITS(CacheNotes)
+CRANKSPUR_WIRE_TRAITS(CacheWanted)
+CRANKSPUR_WIRE_TRAITS(ServingNotice)
+CRANKSPUR_WIRE_TRAITS(RelayedRow)
+CRANKSPUR_WIRE_TRAITS(RelayedRows)
+CRANKSPUR_WIRE_TRAITS(CrashEvidenceRecord)
+CRANKSPUR_WIRE_TRAITS(ClearedRequestRecord)
+CRANKSPUR_WIRE_TRAITS(LivingBackendRecord)
+CRANKSPUR_WIRE_TRAITS(CrashNotes)
+CRANKSPUR_WIRE_TRAITS(CrashDigest)
+#undef CRANKSPUR_WIRE_TRAITS
 
 template <typename Archive, typename Plain>
 void mapFields(Archive& archive, crankspur_wire_Hello& wire, Plain& plain) {
--- a/src/membership/engine_facts.cc
+++ b/src/membership/engine_facts.cc
@@ -19,7 +19,7 @@
   const auto found = facts_.find(key);
   if (found != facts_.end()) {
     EngineRecord& held = found->second;
-    if (news.incarnation == kWholeMachine) {
+    if (news.incarnation == kMachineIncarnation) {
       if (news.listed_at_ms <= held.listed_at_ms) return false;
       held = news;
       return true;
@@ -34,7 +34,7 @@
   if (!known && keys_by_engine_.size() >= maximum_) return false;
   facts_.emplace(key, news);
   std::deque<std::string>& keys = keys_by_engine_[news.name];
-  if (news.incarnation == kWholeMachine) return true;
+  if (news.incarnation == kMachineIncarnation) return true;
   keys.push_back(key);
   if (keys.size() > kIncarnationsPerEngine) {
     facts_.erase(keys.front());
--- a/src/operator/bundle_commands.cc
+++ b/src/operator/bundle_commands.cc
@@ -170,7 +170,7 @@
   if (!author_signature) {
     return report.fail(ExitCode::Refused, "{}: cannot be read; the author signs first", author_path);
   }
-  const std::optional<std::string> public_key = publicKeyOf(readLine(key_path).value_or(""));
+  const std::optional<std::string> public_key = derivePublicKey(readLine(key_path).value_or(""));
   if (!public_key) {
     return report.fail(ExitCode::Usage, "{}: is no private key", key_path);
   }
--- a/src/platform_service/service_caller.cc
+++ b/src/platform_service/service_caller.cc
@@ -65,7 +65,7 @@
         clock_(clock),
         options_(std::move(options)),
         limiter_(options_.limit) {
-    if (options_.starting_debt) limiter_.empty(*options_.starting_debt);
+    if (options_.starting_debt) limiter_.drain(*options_.starting_debt);
   }
 
   void call(http::Request request, Done done) {
@@ -73,7 +73,7 @@
     const Duration own_wait = limiter_.reserve(now);
     const Duration wait = std::max(own_wait, paused_until_ - now);
     if (wait > options_.longest_wait) {
-      limiter_.giveBack();
+      limiter_.returnToken();
       runLater(Duration{0}, [done = std::move(done), wait] { done(ServiceRateLimited{wait}); });
       return;
     }
--- a/src/router/engine_table.cc
+++ b/src/router/engine_table.cc
@@ -217,7 +217,7 @@
 void EngineTable::onGossip(const EngineRecord& record, TimePoint now) {
   Entry* entry = find(record.name);
   if (entry == nullptr) return;
-  if (record.incarnation == kWholeMachine) {
+  if (record.incarnation == kMachineIncarnation) {
     onMachineGossip(*entry, record);
     return;
   }
@@ -370,7 +370,8 @@
 
 void EngineTable::announceMachine(const Entry& entry) {
   if (entry.listed_at_ms == 0) return;  // Told by a peer, not read from a list.
-  announcements_.push_back({entry.view.name, kWholeMachine, entry.listed_leaving, false, entry.listed_at_ms});
+  announcements_.push_back(
+      {entry.view.name, kMachineIncarnation, entry.listed_leaving, false, entry.listed_at_ms});
 }
 
 EngineRecord EngineTable::recordOf(const Entry& entry, bool dead) {
--- a/src/router_peer/peer_front.cc
+++ b/src/router_peer/peer_front.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Routers named in one answer to a sidecar; the rest follow in later answers.
+/// Routers named in one response to a sidecar; the rest follow in later answers.
 constexpr std::size_t kRoutersPerAnswer = 16;
 /// A pull of a bundle that brought no body is given up after this.
 constexpr Duration kPullTimeout = std::chrono::seconds(1);
@@ -207,12 +207,12 @@
 }
 
 void PeerFront::answerBundleRequest(Peer& peer, const BundleRequest& request) {
-  if (const std::optional<Message> answer = bundles_.answer(request)) peer.connection->send(*answer);
+  if (const std::optional<Message> response = bundles_.response(request)) peer.connection->send(*response);
 }
 
 void PeerFront::takeBundleUpdate(Peer& peer, const BundleUpdate& update) {
-  std::optional<BundleBody> body = bundles_.take(update);
-  if (!body && bundles_.needsWholeBody()) {
+  std::optional<BundleBody> body = bundles_.apply(update);
+  if (!body && bundles_.needsFullBody()) {
     peer.connection->send(bundles_.request());
     return;
   }
@@ -222,7 +222,7 @@
 
 void PeerFront::pullIfNewer(Peer& peer, std::uint64_t version) {
   const TimePoint now = clock_.now();
-  if (!bundles_.wants(version, now)) return;
+  if (!bundles_.shouldRequest(version, now)) return;
   const bool pulling = pulling_from_ != 0 && now < pull_ends_ && version <= pulling_version_;
   if (pulling) return;
   pulling_from_ = peer.id;
--- a/src/router_peer/peer_front.h
+++ b/src/router_peer/peer_front.h
@@ -63,7 +63,7 @@
   /// Sets the bundle that requests are answered with, and tells its version to sidecars at once.
   void setBundle(std::shared_ptr<const SignedBundle> bundle);
   /// A bundle that came from peers or the platform did not verify.
-  void onBundleRefused(std::uint64_t version) { bundles_.onRefused(version, clock_.now()); }
+  void onBundleRefused(std::uint64_t version) { bundles_.onRejected(version, clock_.now()); }
   void setBackends(std::vector<BackendRecord> backends) { backends_ = std::move(backends); }
   /// Sets the routers that sidecars hear of.
   void setRouters(std::vector<MemberRecord> routers) { routers_ = std::move(routers); }
--- a/src/sidecar/caller_service.cc
+++ b/src/sidecar/caller_service.cc
@@ -78,7 +78,7 @@
   callbacks.on_bundle_version = [this](const std::string& router, std::uint64_t version) {
     refreshBackends(router);
     const TimePoint now = clock_.now();
-    if (!sharing_.wants(version, now)) return;
+    if (!sharing_.shouldRequest(version, now)) return;
     if (bundles_.onVersion(router, version, sharing_.version(), now)) {
       links_->send(router, sharing_.request());
     }
@@ -235,7 +235,7 @@
 
 void CallerService::onRouterMessage(const std::string& router, Message message) {
   if (const auto* wanted = std::get_if<BundleRequest>(&message)) {
-    if (const std::optional<Message> answer = sharing_.answer(*wanted)) links_->send(router, *answer);
+    if (const std::optional<Message> response = sharing_.response(*wanted)) links_->send(router, *response);
     return;
   }
   if (auto* body = std::get_if<BundleBody>(&message)) {
@@ -270,8 +270,8 @@
 }
 
 void CallerService::takeBundleUpdate(const std::string& router, const BundleUpdate& update) {
-  std::optional<BundleBody> body = sharing_.take(update);
-  if (!body && sharing_.needsWholeBody()) {
+  std::optional<BundleBody> body = sharing_.apply(update);
+  if (!body && sharing_.needsFullBody()) {
     links_->send(router, sharing_.request());
     return;
   }
--- a/src/sidecar/caller_service.h
+++ b/src/sidecar/caller_service.h
@@ -47,7 +47,7 @@
   /// Puts a verified bundle in force.
   void setBundle(std::shared_ptr<const SignedBundle> bundle);
   /// A bundle that came from a router did not verify.
-  void onBundleRefused(std::uint64_t version) { sharing_.onRefused(version, clock_.now()); }
+  void onBundleRefused(std::uint64_t version) { sharing_.onRejected(version, clock_.now()); }
   /// Takes routers from the machine list.
   void learnRouters(const std::vector<MemberRecord>& records);
   /// Takes no new work; `on_drained` is called once nothing is in flight.
--- a/standins/platform/platform_model.cc
+++ b/standins/platform/platform_model.cc
@@ -41,9 +41,9 @@
   if (behaviour.mode == ServiceMode::Down) {
     return {ServiceDown{}, behaviour.delay, false};
   }
-  if (!service.bucket.tryTake(now)) {
+  if (!service.bucket.tryAcquire(now)) {
     ++service.rate_limited;
-    return {TooManyCalls{service.bucket.untilNext(now)}, Duration{0}, false};
+    return {TooManyCalls{service.bucket.timeUntilNext(now)}, Duration{0}, false};
   }
   ++service.served;
   PlatformAnswer answer = std::visit([&](const auto& typed) { return perform(typed, now); }, call);
--- a/tests/unit/base/bounded_event_log_test.cc
+++ b/tests/unit/base/bounded_event_log_test.cc
@@ -18,55 +18,55 @@
     "the cause of "
     "its end, the ages of what was known, and the times that it took from its first byte to its last one";
 
-/// A pipe of which one end is the log's descriptor.
+/// A pipe whose write end is the log's descriptor.
 class LogPipe {
 public:
-  LogPipe() { REQUIRE(::pipe(ends_.data()) == 0); }
+  LogPipe() { REQUIRE(::pipe(descriptors_.data()) == 0); }
   ~LogPipe() {
     closeReader();
-    ::close(ends_[1]);
+    ::close(descriptors_[1]);
   }
-  int writer() const { return ends_[1]; }
+  int writer() const { return descriptors_[1]; }
   void closeReader() {
-    if (ends_[0] >= 0) ::close(ends_[0]);
-    ends_[0] = -1;
+    if (descriptors_[0] >= 0) ::close(descriptors_[0]);
+    descriptors_[0] = -1;
   }
-  /// @return everything that waits in the pipe.
+  /// @return all data buffered in the pipe.
   std::string readAll() {
-    ::fcntl(ends_[0], F_SETFL, O_NONBLOCK);
+    ::fcntl(descriptors_[0], F_SETFL, O_NONBLOCK);
     std::string text;
     std::array<char, 65536> buffer{};
     while (true) {
-      const ssize_t bytes = ::read(ends_[0], buffer.data(), buffer.size());
+      const ssize_t bytes = ::read(descriptors_[0], buffer.data(), buffer.size());
       if (bytes <= 0) return text;
       text.append(buffer.data(), static_cast<std::size_t>(bytes));
     }
   }
-  /// Reads until `text` has come.
+  /// Reads until `text` has been received or 20 seconds have passed.
   std::string readUntil(const std::string& text) {
-    std::string all;
+    std::string received;
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(20);
-    while (all.find(text) == std::string::npos && std::chrono::steady_clock::now() < end) {
-      all += readAll();
+    while (received.find(text) == std::string::npos && std::chrono::steady_clock::now() < end) {
+      received += readAll();
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
     }
-    return all;
+    return received;
   }
 
 private:
-  std::array<int, 2> ends_{-1, -1};
+  std::array<int, 2> descriptors_{-1, -1};
 };
 
 BoundedLogSettings settingsFor(const LogPipe& pipe) {
   BoundedLogSettings settings;
   settings.process.assign(1, 'p');
   settings.descriptor = pipe.writer();
-  settings.batching = std::chrono::milliseconds(1);
-  settings.last_flush = std::chrono::milliseconds(50);
+  settings.batch_interval = std::chrono::milliseconds(1);
+  settings.final_flush_timeout = std::chrono::milliseconds(50);
   return settings;
 }
 
-/// Fills the pipe and the queue behind it with lines of requests that went well.
+/// Fills the pipe and the log's queue with lines of successful requests.
 void flood(BoundedEventLog& log, int lines) {
   for (int line = 0; line < lines; ++line) {
     log.write(EventId::GatewayRequestAnswered, {{"request_id", line}, {"text", kLongText}});
@@ -75,7 +75,7 @@
 
 }  // namespace
 
-TEST_CASE("a bounded log writes its lines in order, all of them when somebody reads", "[base][bounded_log]") {
+TEST_CASE("a bounded log writes all lines in order while there is a reader", "[base][bounded_log]") {
   LogPipe pipe;
   {
     BoundedEventLog log(settingsFor(pipe));
@@ -90,26 +90,27 @@
   CHECK(first < second);
 }
 
-TEST_CASE("a bounded log never waits for a reader and ends without one", "[base][bounded_log]") {
+TEST_CASE("a bounded log neither blocks its callers nor its destructor without a reader",
+          "[base][bounded_log]") {
   LogPipe pipe;
-  const auto began = std::chrono::steady_clock::now();
+  const auto start = std::chrono::steady_clock::now();
   {
     BoundedEventLog log(settingsFor(pipe));
     flood(log, 20'000);
     CHECK(log.dropped().routine > 0);
   }
-  // 20,000 lines of 300 bytes; a blocked write would never return.
-  CHECK(std::chrono::steady_clock::now() - began < std::chrono::seconds(20));
+  // 20,000 lines of 300 bytes exceed pipe and queue; a blocking write would never return.
+  CHECK(std::chrono::steady_clock::now() - start < std::chrono::seconds(20));
 }
 
-TEST_CASE("a full queue drops lines of requests that went well before failures", "[base][bounded_log]") {
+TEST_CASE("a full queue drops lines of successful requests before lines of failures", "[base][bounded_log]") {
   LogPipe pipe;
   BoundedEventLog log(settingsFor(pipe));
   flood(log, 20'000);
   REQUIRE(log.dropped().routine > 0);
   for (int line = 0; line < 20; ++line) log.write(EventId::GatewayRequestFailed, {{"request_id", line}});
   CHECK(log.dropped().notable == 0);
-  // The reader comes back: the failures and the count of what is missing are there.
+  // When the reader resumes, it receives the failures and the number of dropped lines.
   const std::string last = "event=1226 name=GatewayRequestFailed level=warning request_id=19\n";
   const std::string text = pipe.readUntil(last);
   CHECK(text.find(last) != std::string::npos);
@@ -117,7 +118,7 @@
   CHECK(text.find("notable=0") != std::string::npos);
 }
 
-TEST_CASE("even failures are bounded, and counted", "[base][bounded_log]") {
+TEST_CASE("lines of failures are bounded too, and counted when dropped", "[base][bounded_log]") {
   LogPipe pipe;
   BoundedEventLog log(settingsFor(pipe));
   for (int line = 0; line < 20'000; ++line) {
@@ -126,7 +127,7 @@
   CHECK(log.dropped().notable > 0);
 }
 
-TEST_CASE("a reader that is gone ends the writing, not the process", "[base][bounded_log]") {
+TEST_CASE("a closed reader stops the writer thread, not the process", "[base][bounded_log]") {
   LogPipe pipe;
   BoundedEventLog log(settingsFor(pipe));
   pipe.closeReader();
@@ -137,7 +138,7 @@
   SUCCEED("a broken pipe raised no signal");
 }
 
-TEST_CASE("lines of late can be asked for by a request's id, within a bound", "[base][bounded_log]") {
+TEST_CASE("recent lines can be queried by request id, within a bound", "[base][bounded_log]") {
   LogPipe pipe;
   BoundedLogSettings settings = settingsFor(pipe);
   settings.recent_bytes = 4096;
--- a/tests/unit/base/event_log_test.cc
+++ b/tests/unit/base/event_log_test.cc
@@ -7,7 +7,7 @@
 
 using namespace crankspur;
 
-TEST_CASE("a log value can forge neither a line nor a field", "[base]") {
+TEST_CASE("a log value cannot inject a line or a field", "[base]") {
   const EventDescription event{1001, "ProcessStarted", LogLevel::Info, "meaning"};
   const std::string line =
       formatLogLine(LogFormat::KeyValue, "t", "p", event, {{"user", "a\nevent=9 level=error"}});
--- a/tests/unit/bundle/bundle_delta_test.cc
+++ b/tests/unit/bundle/bundle_delta_test.cc
@@ -36,8 +36,8 @@
   return random.chance(0.2) ? edited + "no line feed" : edited;
 }
 
-/// A document with comments enough that a few deltas are smaller than the whole.
-std::string documentOf(std::uint64_t version) {
+/// A document with enough comments that several deltas are smaller than the full document.
+std::string makeDocument(std::uint64_t version) {
   std::string comments;
   for (int line = 0; line < 50; ++line) {
     comments += fmt::format("# comment {}\n", line);
@@ -54,7 +54,7 @@
   SigningKeyPair approver = generateSigningKeyPair();
 
   BundleBody sign(std::uint64_t version) const {
-    const std::string document = documentOf(version);
+    const std::string document = makeDocument(version);
     return {version, document,
             signBundle(author.private_key, SignatureRole::Author, version, document).value(),
             signBundle(approver.private_key, SignatureRole::Approver, version, document).value()};
@@ -63,7 +63,7 @@
 
 }  // namespace
 
-TEST_CASE("a delta yields the exact document, whatever the change", "[bundle]") {
+TEST_CASE("applying a delta reproduces the exact document for random changes", "[bundle]") {
   RandomSource random(7);
   for (int round = 0; round < 300; ++round) {
     const std::string before = randomText(random, random.uniform(0, 60));
@@ -74,20 +74,20 @@
   }
 }
 
-TEST_CASE("the edit script is the shortest one", "[bundle]") {
+TEST_CASE("the edit script is the shortest possible", "[bundle]") {
   const std::string before = "a\nb\nc\na\nb\nb\na\n";
   const std::string after = "c\nb\na\nb\na\nc\n";
-  const auto within = [&](std::size_t edits) {
+  const auto differsByAtMost = [&](std::size_t edits) {
     return diffLines(splitLines(before), splitLines(after), edits).has_value();
   };
-  CHECK(within(5));  // The example of Myers' paper.
-  CHECK_FALSE(within(4));
+  CHECK(differsByAtMost(5));  // The example in Myers' paper.
+  CHECK_FALSE(differsByAtMost(4));
 }
 
 TEST_CASE("documents that differ too much get no delta", "[bundle]") {
   std::string before;
   std::string after;
-  for (std::size_t line = 0; line < kMaximumDeltaEdits; ++line) {
+  for (std::size_t line = 0; line < kMaxDeltaEdits; ++line) {
     before += fmt::format("old {}\n", line);
     after += fmt::format("new {}\n", line);
   }
@@ -95,25 +95,25 @@
   CHECK(makeDocumentDelta("", after));
 }
 
-TEST_CASE("a delta for another document, or damaged anywhere, never crashes and never yields by chance",
+TEST_CASE("a delta of another document or a corrupted delta never crashes and never produces the document",
           "[bundle]") {
-  const std::string before = documentOf(1);
-  const std::string after = documentOf(2);
+  const std::string before = makeDocument(1);
+  const std::string after = makeDocument(2);
   const std::string delta = makeDocumentDelta(before, after).value();
   CHECK_FALSE(applyDocumentDelta(after, delta));
   CHECK_FALSE(applyDocumentDelta(before, ""));
   RandomSource random(3);
   for (std::size_t position = 0; position < delta.size(); ++position) {
     CHECK(applyDocumentDelta(before, delta.substr(0, position)) != after);
-    std::string damaged = delta;
-    damaged[position] = static_cast<char>(damaged[position] ^ static_cast<char>(random.uniform(1, 255)));
-    CHECK(applyDocumentDelta(before, damaged) != after);
+    std::string corrupted = delta;
+    corrupted[position] = static_cast<char>(corrupted[position] ^ static_cast<char>(random.uniform(1, 255)));
+    CHECK(applyDocumentDelta(before, corrupted) != after);
   }
   const std::string endless = delta.substr(0, 8) + std::string(40, '\xff');
   CHECK_FALSE(applyDocumentDelta(before, endless));
 }
 
-TEST_CASE("a peer behind by some versions is brought up to date by verified steps", "[bundle]") {
+TEST_CASE("a peer that is several versions behind is updated by verified steps", "[bundle]") {
   const Signers signers;
   const TrustedKeys keys{{signers.author.public_key}, {signers.approver.public_key}};
   BundleHistory history(100'000);
@@ -131,17 +131,17 @@
   CHECK_FALSE(holder.offer(*body));
   CHECK(holder.version() == 6);
 
-  BundleUpdate lie = *update;
-  lie.steps.pop_back();
-  CHECK(holder.offer(applyBundleUpdate(signers.sign(2), lie).value()) == ErrorCode::Stale);
-  lie.steps.back().to_version = 7;
-  CHECK(holder.offer(applyBundleUpdate(signers.sign(2), lie).value()) == ErrorCode::SignatureInvalid);
+  BundleUpdate tampered = *update;
+  tampered.steps.pop_back();
+  CHECK(holder.offer(applyBundleUpdate(signers.sign(2), tampered).value()) == ErrorCode::Stale);
+  tampered.steps.back().to_version = 7;
+  CHECK(holder.offer(applyBundleUpdate(signers.sign(2), tampered).value()) == ErrorCode::SignatureInvalid);
   CHECK_FALSE(applyBundleUpdate(signers.sign(3), *update));
   CHECK_FALSE(history.updateFrom(0, current));
   CHECK_FALSE(history.updateFrom(2, signers.sign(7)));
 }
 
-TEST_CASE("the history is bounded and forgets a chain that broke", "[bundle]") {
+TEST_CASE("the history is bounded and is cleared when the chain of versions breaks", "[bundle]") {
   const Signers signers;
   BundleHistory history(150);
   for (std::uint64_t version = 1; version < 30; ++version) {
@@ -157,7 +157,7 @@
 
 namespace {
 
-/// A node that shares bundles with peers.
+/// A node that synchronises bundles with peers.
 struct SharingNode {
   explicit SharingNode(const Signers& signers)
       : holder({{signers.author.public_key}, {signers.approver.public_key}}) {}
@@ -176,70 +176,70 @@
 
 }  // namespace
 
-TEST_CASE("a peer that follows gets updates, a new one or one far behind whole bodies", "[bundle]") {
+TEST_CASE("a recent peer receives updates; a new peer or one far behind receives full bodies", "[bundle]") {
   const Signers signers;
   SharingNode ahead(signers);
   SharingNode behind(signers);
   const TimePoint now{};
   for (std::uint64_t version = 3; version < 7; ++version) {
     REQUIRE_FALSE(ahead.offer(signers.sign(version)));
-    REQUIRE(behind.sharing.wants(version, now));
-    const std::optional<Message> answer = ahead.sharing.answer(behind.sharing.request());
-    REQUIRE(answer);
-    const auto* update = std::get_if<BundleUpdate>(&*answer);
+    REQUIRE(behind.sharing.shouldRequest(version, now));
+    const std::optional<Message> response = ahead.sharing.response(behind.sharing.request());
+    REQUIRE(response);
+    const auto* update = std::get_if<BundleUpdate>(&*response);
     CHECK((update == nullptr) == (version == 3));
-    const BundleBody body = update == nullptr ? std::get<BundleBody>(*answer) : *behind.sharing.take(*update);
+    const BundleBody body =
+        update == nullptr ? std::get<BundleBody>(*response) : *behind.sharing.apply(*update);
     REQUIRE_FALSE(behind.offer(body));
   }
   CHECK(behind.holder.version() == 6);
-  CHECK_FALSE(ahead.sharing.answer(behind.sharing.request()));
-  CHECK(std::holds_alternative<BundleBody>(*ahead.sharing.answer(BundleRequest{1})));
+  CHECK_FALSE(ahead.sharing.response(behind.sharing.request()));
+  CHECK(std::holds_alternative<BundleBody>(*ahead.sharing.response(BundleRequest{1})));
 }
 
-TEST_CASE("an update that is of no use is followed by a request for the whole body, then by a pause",
-          "[bundle]") {
+TEST_CASE("an unusable update is followed by a request for the full body, then by a backoff", "[bundle]") {
   const Signers signers;
   SharingNode node(signers);
   REQUIRE_FALSE(node.offer(signers.sign(1)));
   const TimePoint now{};
-  CHECK_FALSE(node.sharing.take({{{9, 10, "late"}}, "", ""}));
-  CHECK_FALSE(node.sharing.needsWholeBody());
-  CHECK_FALSE(node.sharing.take({{{1, 2, "rubbish"}}, "", ""}));
-  CHECK(node.sharing.needsWholeBody());
+  CHECK_FALSE(node.sharing.apply({{{9, 10, "late"}}, "", ""}));
+  CHECK_FALSE(node.sharing.needsFullBody());
+  CHECK_FALSE(node.sharing.apply({{{1, 2, "rubbish"}}, "", ""}));
+  CHECK(node.sharing.needsFullBody());
   CHECK(node.sharing.request().held_version == 0);
 
-  node.sharing.onRefused(2, now);
-  CHECK_FALSE(node.sharing.wants(2, now));
-  CHECK(node.sharing.wants(3, now));
-  CHECK(node.sharing.wants(2, now + BundleSharing::kRefusedPause));
+  node.sharing.onRejected(2, now);
+  CHECK_FALSE(node.sharing.shouldRequest(2, now));
+  CHECK(node.sharing.shouldRequest(3, now));
+  CHECK(node.sharing.shouldRequest(2, now + BundleSharing::kRejectedVersionBackoff));
   REQUIRE_FALSE(node.offer(signers.sign(2)));
   CHECK(node.sharing.request().held_version == 2);
 
-  const std::string forged = makeDocumentDelta(documentOf(2), documentOf(4)).value();
-  const auto body = node.sharing.take({{{2, 3, forged}}, "a", "b"});
+  const std::string forged = makeDocumentDelta(makeDocument(2), makeDocument(4)).value();
+  const auto body = node.sharing.apply({{{2, 3, forged}}, "a", "b"});
   REQUIRE(body);
   CHECK(node.offer(*body) == ErrorCode::SignatureInvalid);
-  node.sharing.onRefused(3, now);
-  CHECK(node.sharing.wants(3, now));
+  node.sharing.onRejected(3, now);
+  CHECK(node.sharing.shouldRequest(3, now));
   CHECK(node.sharing.request().held_version == 0);
 }
 
-TEST_CASE("a forged high version keeps out no other", "[bundle]") {
+TEST_CASE("a forged high version does not block other versions", "[bundle]") {
   const Signers signers;
   SharingNode node(signers);
   REQUIRE_FALSE(node.offer(signers.sign(1)));
   const TimePoint now{};
-  constexpr std::uint64_t kForged = 1'000'000;
-  // The first refusal asks for the whole body, the second pauses the version.
-  node.sharing.onRefused(kForged, now);
-  node.sharing.onRefused(kForged, now);
-  CHECK_FALSE(node.sharing.wants(kForged, now));
-  CHECK(node.sharing.wants(2, now));
-  CHECK(node.sharing.wants(kForged + 1, now));
-  for (std::uint64_t more = 0; more < BundleSharing::kRefusedVersions; ++more) {
-    node.sharing.onRefused(kForged + 1 + more, now);
+  constexpr std::uint64_t kForgedVersion = 1'000'000;
+  // The first rejection requests the full body, the second blocks the version for a while.
+  node.sharing.onRejected(kForgedVersion, now);
+  node.sharing.onRejected(kForgedVersion, now);
+  CHECK_FALSE(node.sharing.shouldRequest(kForgedVersion, now));
+  CHECK(node.sharing.shouldRequest(2, now));
+  CHECK(node.sharing.shouldRequest(kForgedVersion + 1, now));
+  for (std::uint64_t extra = 0; extra < BundleSharing::kMaxRejectedVersions; ++extra) {
+    node.sharing.onRejected(kForgedVersion + 1 + extra, now);
   }
-  CHECK(node.sharing.wants(2, now));
-  CHECK(node.sharing.wants(kForged, now));
-  CHECK_FALSE(node.sharing.wants(kForged + BundleSharing::kRefusedVersions, now));
+  CHECK(node.sharing.shouldRequest(2, now));
+  CHECK(node.sharing.shouldRequest(kForgedVersion, now));
+  CHECK_FALSE(node.sharing.shouldRequest(kForgedVersion + BundleSharing::kMaxRejectedVersions, now));
 }
--- a/tests/unit/bundle/bundle_test.cc
+++ b/tests/unit/bundle/bundle_test.cc
@@ -30,9 +30,9 @@
 )";
 
 std::string replaced(std::string text, const std::string& from, const std::string& to) {
-  const std::size_t place = text.find(from);
-  REQUIRE(place != std::string::npos);
-  return text.replace(place, from.size(), to);
+  const std::size_t position = text.find(from);
+  REQUIRE(position != std::string::npos);
+  return text.replace(position, from.size(), to);
 }
 
 std::vector<std::string> problemsOf(const std::string& document) {
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-TEST_CASE("a bundle document is read with defaults and explicit values", "[bundle]") {
+TEST_CASE("a bundle document is parsed with defaults and explicit values", "[bundle]") {
   std::vector<SettingsProblem> problems;
   const auto bundle = parseBundle(kDocument, "b.toml", problems);
   REQUIRE(problems.empty());
@@ -66,7 +66,7 @@
   CHECK(bundle->findTenant("other") == nullptr);
 }
 
-TEST_CASE("each kind of bad field is refused with file, line, column, key and reason", "[bundle]") {
+TEST_CASE("each kind of invalid field is reported with file, line, column, key and reason", "[bundle]") {
   const std::vector<BadField> cases = {
       {"version = 7", "version = 0", "b.toml:1:11: version: must be from 1 to 9223372036854775807"},
       {"version = 7", "version = \"7\"", "b.toml:1:11: version: must be an integer"},
@@ -109,27 +109,27 @@
   }
 }
 
-TEST_CASE("duplicate names and API keys are refused across entries", "[bundle]") {
+TEST_CASE("duplicate names and API keys are rejected across entries", "[bundle]") {
   const std::string tenant = std::string(kDocument).substr(std::string(kDocument).find("[[tenants]]"));
-  const std::string again = tenant.substr(0, tenant.find("[knobs]"));
-  const std::vector<std::string> problems = problemsOf(replaced(kDocument, "[knobs]", again + "[knobs]"));
+  const std::string duplicate = tenant.substr(0, tenant.find("[knobs]"));
+  const std::vector<std::string> problems = problemsOf(replaced(kDocument, "[knobs]", duplicate + "[knobs]"));
   REQUIRE(problems.size() == 2);
   CHECK(problems[0] == "b.toml:17:8: tenants[1].name: 't' stands twice");
   CHECK(problems[1].find("stands twice in the bundle") != std::string::npos);
 }
 
-TEST_CASE("every problem of a document is reported in one pass, and syntax errors with their place",
+TEST_CASE("all problems of a document are reported in one pass, and syntax errors with their position",
           "[bundle]") {
-  const std::string two =
+  const std::string two_errors =
       replaced(replaced(kDocument, "site = \"site\"", "site = 3"), "name = \"m\"", "name = 4");
-  CHECK(problemsOf(two).size() >= 2);
+  CHECK(problemsOf(two_errors).size() >= 2);
   const std::vector<std::string> syntax = problemsOf("version = \n");
   REQUIRE(syntax.size() == 1);
   CHECK(syntax[0].rfind("b.toml:1:", 0) == 0);
-  CHECK(problemsOf(std::string(kMaximumBundleBytes + 1, '#')).size() == 1);
+  CHECK(problemsOf(std::string(kMaxBundleBytes + 1, '#')).size() == 1);
 }
 
-TEST_CASE("the example bundles are valid, and their API keys find their tenants", "[bundle]") {
+TEST_CASE("the example bundles are valid, and their API keys resolve to their tenants", "[bundle]") {
   for (const std::string site : {"parts_desk", "tallow_creek"}) {
     const std::string path = fmt::format("{}/examples/{}/bundle.toml", CRANKSPUR_SOURCE_DIR, site);
     const std::optional<std::string> document = readFile(path);
--- a/tests/unit/bundle/signing_test.cc
+++ b/tests/unit/bundle/signing_test.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-std::string documentOf(std::uint64_t version) {
+std::string readDocument(std::uint64_t version) {
   const std::string path = std::string(CRANKSPUR_SOURCE_DIR) + "/examples/parts_desk/bundle.toml";
   std::string document = readFile(path).value();
   const std::string first = "version = 1\n";
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-TEST_CASE("base64 decodes only its own canonical form", "[bundle]") {
+TEST_CASE("only canonical base64 is decoded", "[bundle]") {
   for (const std::string text : {"", "a", "ab", "abc", "abcd"}) {
     CHECK(decodeBase64(encodeBase64(text)) == text);
   }
@@ -44,9 +44,10 @@
   }
 }
 
-TEST_CASE("a bundle with both signatures verifies; a changed or swapped one does not", "[bundle]") {
+TEST_CASE("a bundle with both signatures verifies; a modified bundle or swapped signatures do not",
+          "[bundle]") {
   const Signers signers;
-  const BundleBody good = signers.sign(2, documentOf(2));
+  const BundleBody good = signers.sign(2, readDocument(2));
   std::error_code error;
   REQUIRE(verifyBundle(good, signers.trusted(), error) != nullptr);
   CHECK_FALSE(error);
@@ -56,7 +57,7 @@
   std::swap(forged[1].author_signature, forged[1].approver_signature);
   forged[2].author_signature.clear();
   forged[3].approver_signature = "not base64";
-  forged[4].approver_signature = signers.sign(2, documentOf(3)).approver_signature;
+  forged[4].approver_signature = signers.sign(2, readDocument(3)).approver_signature;
   forged[5].version = 3;
   for (const BundleBody& body : forged) {
     CHECK(verifyBundle(body, signers.trusted(), error) == nullptr);
@@ -66,44 +67,44 @@
   CHECK(error == ErrorCode::SignatureInvalid);
 }
 
-TEST_CASE("one key cannot be author and approver of the same bundle", "[bundle]") {
-  Signers one;
-  one.approver = one.author;
-  const Signers other;
-  const BundleBody body = one.sign(2, documentOf(2));
-  const TrustedKeys both{{one.author.public_key, other.author.public_key},
-                         {other.approver.public_key, one.author.public_key}};
+TEST_CASE("a key cannot be both author and approver of a bundle", "[bundle]") {
+  Signers shared_key_signers;
+  shared_key_signers.approver = shared_key_signers.author;
+  const Signers other_signers;
+  const BundleBody body = shared_key_signers.sign(2, readDocument(2));
+  const TrustedKeys keys{{shared_key_signers.author.public_key, other_signers.author.public_key},
+                         {other_signers.approver.public_key, shared_key_signers.author.public_key}};
   std::error_code error;
-  CHECK(verifyBundle(body, both, error) == nullptr);
+  CHECK(verifyBundle(body, keys, error) == nullptr);
   CHECK(error == ErrorCode::SignatureInvalid);
 }
 
-TEST_CASE("a signed version that the document does not state is refused", "[bundle]") {
+TEST_CASE("a signed version that differs from the document's version is rejected", "[bundle]") {
   const Signers signers;
   std::error_code error;
-  CHECK(verifyBundle(signers.sign(9, documentOf(2)), signers.trusted(), error) == nullptr);
+  CHECK(verifyBundle(signers.sign(9, readDocument(2)), signers.trusted(), error) == nullptr);
   CHECK(error == ErrorCode::InvalidRequest);
 }
 
-TEST_CASE("a holder's version never goes back and bad bodies change nothing", "[bundle]") {
+TEST_CASE("a holder's version never decreases and invalid bodies change nothing", "[bundle]") {
   const Signers signers;
   BundleHolder holder(signers.trusted());
   CHECK(holder.version() == 0);
-  CHECK_FALSE(holder.offer(signers.sign(5, documentOf(5))));
-  CHECK(holder.offer(signers.sign(4, documentOf(4))) == ErrorCode::Stale);
-  CHECK(holder.offer(signers.sign(5, documentOf(5))) == ErrorCode::Stale);
-  CHECK(holder.offer(Signers().sign(6, documentOf(6))) == ErrorCode::SignatureInvalid);
+  CHECK_FALSE(holder.offer(signers.sign(5, readDocument(5))));
+  CHECK(holder.offer(signers.sign(4, readDocument(4))) == ErrorCode::Stale);
+  CHECK(holder.offer(signers.sign(5, readDocument(5))) == ErrorCode::Stale);
+  CHECK(holder.offer(Signers().sign(6, readDocument(6))) == ErrorCode::SignatureInvalid);
   CHECK(holder.offer(signers.sign(6, "version = 6")) == ErrorCode::InvalidRequest);
   CHECK(holder.version() == 5);
-  CHECK_FALSE(holder.offer(signers.sign(8, documentOf(8))));
+  CHECK_FALSE(holder.offer(signers.sign(8, readDocument(8))));
   CHECK(holder.current()->bundle->version == 8);
 }
 
-TEST_CASE("keys that are no keys sign nothing and verify nothing", "[bundle]") {
+TEST_CASE("invalid keys neither sign nor verify", "[bundle]") {
   CHECK_FALSE(signBundle("", SignatureRole::Author, 1, "x"));
-  CHECK_FALSE(publicKeyOf("AAAA"));
+  CHECK_FALSE(derivePublicKey("AAAA"));
   const SigningKeyPair pair = generateSigningKeyPair();
-  CHECK(publicKeyOf(pair.private_key) == pair.public_key);
+  CHECK(derivePublicKey(pair.private_key) == pair.public_key);
   const std::string statement = signedStatement(SignatureRole::Author, 1, "x");
   const std::string signature = signBundle(pair.private_key, SignatureRole::Author, 1, "x").value();
   CHECK(verifySignature(pair.public_key, statement, signature));
--- a/tests/unit/internal_protocol/codec_test.cc
+++ b/tests/unit/internal_protocol/codec_test.cc
@@ -6,7 +6,7 @@
 
 using namespace crankspur;
 
-TEST_CASE("each message is the same after encoding and decoding", "[internal_protocol]") {
+TEST_CASE("every message survives encoding and decoding unchanged", "[internal_protocol]") {
   const std::vector<Message> messages = exampleMessages();
   REQUIRE(messages.size() == std::variant_size_v<Message>);
   for (std::size_t index = 0; index < messages.size(); ++index) {
@@ -21,7 +21,7 @@
   }
 }
 
-TEST_CASE("a frame that has not wholly arrived asks for more bytes", "[internal_protocol]") {
+TEST_CASE("an incomplete frame needs more bytes", "[internal_protocol]") {
   for (const Message& message : exampleMessages()) {
     const std::string frame = encodeFrame(message);
     for (std::size_t length = 0; length < frame.size(); ++length) {
@@ -33,16 +33,16 @@
   }
 }
 
-TEST_CASE("a length above the limit is refused before the body arrives", "[internal_protocol]") {
+TEST_CASE("a length above the limit is rejected before the body is received", "[internal_protocol]") {
   CHECK(decodeFrame(std::string("\x00\x80\x00\x01", 4)).error == ErrorCode::TooLarge);
   CHECK(decodeFrame(std::string("\x00\x80\x00\x00", 4)).error == ErrorCode::Ok);
 }
 
-TEST_CASE("an unknown kind, a broken body and an unknown enumeration value are malformed",
+TEST_CASE("an unknown kind, a corrupted body and an unknown enumeration value are malformed",
           "[internal_protocol]") {
   CHECK(decodeFrame(std::string("\0\0\0\0\0", 5)).error == ErrorCode::Malformed);
   CHECK(decodeFrame(std::string("\0\0\0\0\xff", 5)).error == ErrorCode::Malformed);
-  // Cancel whose text claims 127 bytes and has one.
+  // A Cancel whose text has a length of 127 and one byte of content.
   CHECK(decodeFrame(std::string("\0\0\0\3\7\x0a\x7f"
                                 "a",
                                 8))
@@ -55,7 +55,7 @@
   CHECK(decodeFrame(encodeFrame(refusal)).error == ErrorCode::Malformed);
 }
 
-TEST_CASE("more records than the bound and absurd times are malformed", "[internal_protocol]") {
+TEST_CASE("too many records and excessive durations are malformed", "[internal_protocol]") {
   Ping ping;
   ping.members.resize(8192);
   CHECK(decodeFrame(encodeFrame(ping)).error == ErrorCode::Ok);
@@ -66,14 +66,14 @@
   CHECK(decodeFrame(encodeFrame(request)).error == ErrorCode::Malformed);
 }
 
-TEST_CASE("changed bytes never decode beyond the frame", "[internal_protocol]") {
+TEST_CASE("a corrupted frame never consumes more bytes than it has", "[internal_protocol]") {
   for (const Message& message : exampleMessages()) {
     const std::string frame = encodeFrame(message);
     for (std::size_t index = 0; index < frame.size(); ++index) {
-      for (const char change : {'\x01', '\x40', '\x80', '\xff'}) {
-        std::string changed = frame;
-        changed[index] = static_cast<char>(changed[index] ^ change);
-        CHECK(decodeFrame(changed).consumed <= changed.size());
+      for (const char mask : {'\x01', '\x40', '\x80', '\xff'}) {
+        std::string corrupted = frame;
+        corrupted[index] = static_cast<char>(corrupted[index] ^ mask);
+        CHECK(decodeFrame(corrupted).consumed <= corrupted.size());
       }
     }
   }
--- a/tests/unit/internal_protocol/connection_test.cc
+++ b/tests/unit/internal_protocol/connection_test.cc
@@ -21,7 +21,7 @@
   return hello;
 }
 
-/// A peer that speaks no protocol of its own: it writes given bytes and collects what comes back.
+/// A peer that does not implement the protocol: it records the bytes that it receives.
 struct RawPeer {
   explicit RawPeer(asio::ip::tcp::socket connected) : socket(std::move(connected)) { read(); }
   void read() {
@@ -36,23 +36,23 @@
   std::string received;
 };
 
-/// What one side of a connection saw.
-struct Side {
+/// Events recorded at one end of a connection.
+struct ConnectionEnd {
   std::shared_ptr<FrameConnection> connection;
   std::optional<Hello> hello;
   std::vector<Message> messages;
-  int closes = 0;
+  int close_count = 0;
   std::error_code reason;
 
   FrameConnection::Callbacks callbacks() {
-    FrameConnection::Callbacks made;
-    made.on_hello = [this](const Hello& peer) { hello = peer; };
-    made.on_message = [this](Message message) { messages.push_back(std::move(message)); };
-    made.on_closed = [this](std::error_code error) {
-      ++closes;
+    FrameConnection::Callbacks result;
+    result.on_hello = [this](const Hello& peer) { hello = peer; };
+    result.on_message = [this](Message message) { messages.push_back(std::move(message)); };
+    result.on_closed = [this](std::error_code error) {
+      ++close_count;
       reason = error;
     };
-    return made;
+    return result;
   }
 };
 
@@ -84,14 +84,14 @@
   void runUntil(const std::function<bool()>& condition) { crankspur::runUntil(context, condition); }
 
   asio::io_context context{1};
-  Side server;
-  Side client;
+  ConnectionEnd server;
+  ConnectionEnd client;
   std::unique_ptr<FrameListener> listener;
 };
 
 }  // namespace
 
-TEST_CASE("both sides learn the peer's Hello and messages keep their order", "[internal_protocol]") {
+TEST_CASE("both sides receive the peer's Hello, and messages keep their order", "[internal_protocol]") {
   Fixture fixture;
   fixture.connect();
   for (std::uint64_t offset = 0; offset < 1000; ++offset) {
@@ -107,50 +107,52 @@
   CHECK(ordered);
 }
 
-TEST_CASE("a flushed close delivers what was queued and ends both sides once", "[internal_protocol]") {
+TEST_CASE("a flushed close delivers queued messages and closes both sides once", "[internal_protocol]") {
   Fixture fixture;
   fixture.connect();
   fixture.runUntil([&] { return fixture.client.hello && fixture.server.hello; });
   fixture.client.connection->send(Cancel{"r", 7});
   fixture.client.connection->close(true);
   fixture.client.connection->close(false);
-  CHECK(fixture.client.closes == 0);
-  fixture.runUntil([&] { return fixture.client.closes > 0 && fixture.server.closes > 0; });
+  CHECK(fixture.client.close_count == 0);
+  fixture.runUntil([&] { return fixture.client.close_count > 0 && fixture.server.close_count > 0; });
   CHECK_FALSE(fixture.client.reason);
   CHECK(fixture.server.reason);
   REQUIRE(fixture.server.messages.size() == 1);
   CHECK(std::get<Cancel>(fixture.server.messages[0]).attempt == 7);
 }
 
-TEST_CASE("peers take the highest common version, or both end with VersionMismatch", "[internal_protocol]") {
+TEST_CASE("peers with a common version connect; without one both close with VersionMismatch",
+          "[internal_protocol]") {
   Fixture fixture(makeHello("server", 2, 4));
   SECTION("common") {
     fixture.connect(makeHello("client", 1, 2));
     fixture.runUntil([&] { return fixture.client.hello && fixture.server.hello; });
-    CHECK(fixture.server.closes == 0);
+    CHECK(fixture.server.close_count == 0);
   }
   SECTION("none") {
     fixture.connect(makeHello("client", 5, 6));
-    fixture.runUntil([&] { return fixture.client.closes > 0 && fixture.server.closes > 0; });
+    fixture.runUntil([&] { return fixture.client.close_count > 0 && fixture.server.close_count > 0; });
     CHECK(fixture.client.reason == make_error_code(ErrorCode::VersionMismatch));
     CHECK(fixture.server.reason == make_error_code(ErrorCode::VersionMismatch));
     CHECK_FALSE(fixture.server.hello);
   }
 }
 
-TEST_CASE("a peer that sends garbage, or a message before Hello, ends alone", "[internal_protocol]") {
+TEST_CASE("garbage or a message before Hello closes only the connection it was received on",
+          "[internal_protocol]") {
   Fixture fixture;
   fixture.connect();
   fixture.runUntil([&] { return fixture.server.hello && fixture.client.hello; });
-  Side good = std::move(fixture.server);
+  ConnectionEnd healthy = std::move(fixture.server);
   const bool garbage = GENERATE(true, false);
   RawPeer raw(fixture.connectRaw());
   asio::write(raw.socket, asio::buffer(garbage ? std::string(64, '\xff') : encodeFrame(Cancel{"r", 1})));
-  fixture.server = Side{};
-  fixture.runUntil([&] { return fixture.server.closes > 0; });
+  fixture.server = ConnectionEnd{};
+  fixture.runUntil([&] { return fixture.server.close_count > 0; });
   CHECK(fixture.server.messages.empty());
   CHECK(fixture.server.reason == make_error_code(garbage ? ErrorCode::TooLarge : ErrorCode::Malformed));
-  CHECK(fixture.client.closes == 0);
+  CHECK(fixture.client.close_count == 0);
   const DecodedFrame first = decodeFrame(raw.received);
   const DecodedFrame second = decodeFrame(std::string_view(raw.received).substr(first.consumed));
   REQUIRE(second.message);
@@ -158,16 +160,16 @@
         (garbage ? ErrorCode::TooLarge : ErrorCode::Malformed));
 }
 
-TEST_CASE("a peer that never says Hello is given up", "[internal_protocol]") {
+TEST_CASE("a peer that never sends Hello is disconnected", "[internal_protocol]") {
   ConnectionLimits limits;
   limits.hello_timeout = std::chrono::milliseconds(50);
   Fixture fixture(makeHello("server"), limits);
   asio::ip::tcp::socket raw = fixture.connectRaw();
-  fixture.runUntil([&] { return fixture.server.closes > 0; });
+  fixture.runUntil([&] { return fixture.server.close_count > 0; });
   CHECK(fixture.server.reason == make_error_code(ErrorCode::DeadlineExceeded));
 }
 
-TEST_CASE("a peer that reads nothing fills the write queue and is dropped", "[internal_protocol]") {
+TEST_CASE("a peer that does not read is disconnected when the write queue is full", "[internal_protocol]") {
   ConnectionLimits limits;
   limits.write_queue_bytes = 1024 * 1024;
   Fixture fixture(makeHello("server"), limits);
@@ -176,8 +178,8 @@
   fixture.runUntil([&] { return fixture.server.hello.has_value(); });
   const StreamPiece piece{"r", 1, 0, 1, std::string(512 * 1024, 'x')};
   for (int count = 0; count < 3; ++count) fixture.server.connection->send(piece);
-  CHECK(fixture.server.closes == 0);
-  fixture.runUntil([&] { return fixture.server.closes > 0; });
+  CHECK(fixture.server.close_count == 0);
+  fixture.runUntil([&] { return fixture.server.close_count > 0; });
   CHECK(fixture.server.reason == make_error_code(ErrorCode::TooLarge));
 }
 
@@ -187,6 +189,6 @@
   fixture.listener.reset();
   fixture.client.connection =
       connectFrames(fixture.context.get_executor(), address, makeHello("client"), fixture.client.callbacks());
-  fixture.runUntil([&] { return fixture.client.closes > 0; });
+  fixture.runUntil([&] { return fixture.client.close_count > 0; });
   CHECK(fixture.client.reason);
 }
--- a/tests/unit/internal_protocol/example_messages.h
+++ b/tests/unit/internal_protocol/example_messages.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file One example of each message with every field set, and a text form to compare messages by.
+/// @file One example of each message with its fields set, and a text representation to compare messages.
 
 #include <string>
 #include <vector>
@@ -8,10 +8,10 @@
 
 namespace crankspur {
 
-/// @return one message of each kind, in the order of Message.
+/// @return one message of each kind, in the order of the alternatives of Message.
 std::vector<Message> exampleMessages();
 
-/// @return the values of all fields.
+/// @return the values of all fields as text.
 std::string describe(const Message& message);
 
 }  // namespace crankspur
--- a/tests/unit/membership/membership_test.cc
+++ b/tests/unit/membership/membership_test.cc
@@ -295,7 +295,7 @@
 TEST_CASE("a fact about a whole machine outlasts any number of its processes, by the newest list",
           "[membership]") {
   EngineFacts facts(2);
-  const EngineRecord mark{"engine-1", kWholeMachine, true, false, 10};
+  const EngineRecord mark{"engine-1", kMachineIncarnation, true, false, 10};
   CHECK(facts.apply(mark));
   for (std::uint64_t incarnation = 1; incarnation <= 100; ++incarnation) {
     facts.apply({"engine-1", incarnation, false, false});
@@ -303,8 +303,8 @@
   REQUIRE(facts.find(EngineFacts::keyOf(mark)) != nullptr);
   CHECK(facts.find(EngineFacts::keyOf(mark))->leaving);
   CHECK(facts.all().size() <= 5);
-  CHECK_FALSE(facts.apply({"engine-1", kWholeMachine, false, false, 10}));
-  CHECK(facts.apply({"engine-1", kWholeMachine, false, false, 11}));
+  CHECK_FALSE(facts.apply({"engine-1", kMachineIncarnation, false, false, 10}));
+  CHECK(facts.apply({"engine-1", kMachineIncarnation, false, false, 11}));
   CHECK_FALSE(facts.apply(mark));
   CHECK_FALSE(facts.find(EngineFacts::keyOf(mark))->leaving);
 }
--- a/tests/unit/router/engine_table_test.cc
+++ b/tests/unit/router/engine_table_test.cc
@@ -126,14 +126,14 @@
     REQUIRE(announcements.size() == 1);
     CHECK(announcements[0].name == "b");
     CHECK(announcements[0].leaving);
-    CHECK(announcements[0].incarnation == kWholeMachine);
+    CHECK(announcements[0].incarnation == kMachineIncarnation);
     CHECK(announcements[0].listed_at_ms == 1);
   }
 }
 
 TEST_CASE("a mark of a peer's machine list holds for each later process of the machine", "[engine_table]") {
   Fleet fleet;
-  const EngineRecord mark{"a", kWholeMachine, true, false, 10};
+  const EngineRecord mark{"a", kMachineIncarnation, true, false, 10};
   fleet.table.onGossip(mark, kStart);
   for (const std::uint64_t incarnation : {6, 7, 8}) {
     fleet.table.onReport("a", report(incarnation), kStart);
@@ -147,19 +147,19 @@
   const auto listAt = [&](std::uint64_t as_of_ms) {
     fleet.table.onMachineList({as_of_ms, {engineMachine("a"), engineMachine("b")}}, kStart);
   };
-  fleet.table.onGossip({"a", kWholeMachine, true, false, 10}, kStart);
+  fleet.table.onGossip({"a", kMachineIncarnation, true, false, 10}, kStart);
   listAt(9);
   CHECK(fleet.view("a").state == EngineState::Leaving);
-  fleet.table.onGossip({"a", kWholeMachine, false, false, 8}, kStart);
+  fleet.table.onGossip({"a", kMachineIncarnation, false, false, 8}, kStart);
   CHECK(fleet.view("a").state == EngineState::Leaving);
   SECTION("a newer list of its own takes the mark back") {
     listAt(11);
     CHECK(fleet.view("a").state == EngineState::Live);
-    fleet.table.onGossip({"a", kWholeMachine, true, false, 10}, kStart);
+    fleet.table.onGossip({"a", kMachineIncarnation, true, false, 10}, kStart);
     CHECK(fleet.view("a").state == EngineState::Live);
   }
   SECTION("a newer list of a peer takes the mark back") {
-    fleet.table.onGossip({"a", kWholeMachine, false, false, 11}, kStart);
+    fleet.table.onGossip({"a", kMachineIncarnation, false, false, 11}, kStart);
     CHECK(fleet.view("a").state == EngineState::Live);
   }
 }
@@ -172,7 +172,7 @@
   const auto announcements = fleet.table.takeAnnouncements();
   REQUIRE(announcements.size() == 1);
   CHECK_FALSE(announcements[0].leaving);
-  CHECK(announcements[0].incarnation == kWholeMachine);
+  CHECK(announcements[0].incarnation == kMachineIncarnation);
   CHECK(announcements[0].listed_at_ms == 3);
 }
 
--- a/tests/unit/table_service/table_share_test.cc
+++ b/tests/unit/table_service/table_share_test.cc
@@ -48,10 +48,10 @@
     list_arrives.push_back(kStart + std::chrono::milliseconds(random.uniform(0, 1000)));
     for (std::uint32_t caller = 0; caller < kCallers; ++caller) {
       callers.emplace_back(shares[router].callerLimit());
-      callers.back().empty(random.unit());
+      callers.back().drain(random.unit());
     }
     // The look at the accepted bundle that each router makes at its start.
-    CHECK(service.tryTake(kStart));
+    CHECK(service.tryAcquire(kStart));
   }
   std::size_t made = 0;
   std::size_t refused = 0;
@@ -62,9 +62,9 @@
       for (std::uint32_t caller = 0; caller < kCallers; ++caller) {
         CallRateLimiter& limiter = callers[router * kCallers + caller];
         if (list_known) limiter.setLimit(shares[router].callerLimit(), now);
-        if (!limiter.tryTake(now)) continue;
+        if (!limiter.tryAcquire(now)) continue;
         ++made;
-        refused += service.tryTake(now) ? 0 : 1;
+        refused += service.tryAcquire(now) ? 0 : 1;
       }
     }
   }
