--- a/sim/world/router_control.cc
+++ b/sim/world/router_control.cc
@@ -90,7 +90,7 @@
   for (const EngineRecord& record : urgent) process_->membership->announceEngineAtOnce(record, now());
   if (!urgent.empty()) pumpMembership();
   noteBackendChanges();
-  if (process_->engines->takeUrgent(now())) publish();
+  if (process_->engines->takeUrgentChange(now())) publish();
   armEngineTimer();
 }
 
@@ -232,7 +232,7 @@
     });
   }
   if (!process_->membership->takeChanges().empty()) {
-    const auto routers = aliveInRegion(process_->membership->liveMembers(), host_.place().region);
+    const auto routers = liveMembersInRegion(process_->membership->liveMembers(), host_.place().region);
     process_->engines->setRouters(host_.name(), routers, now());
   }
   for (const EngineRecord& record : process_->membership->takeEngineChanges()) {
--- a/src/gateway/backend_table.cc
+++ b/src/gateway/backend_table.cc
@@ -34,7 +34,7 @@
     state = State();
     state.in_flight = in_flight;
     state.incarnation = backend.view.incarnation;
-    state.health.onPollAnswered(now);  // The platform lists it.
+    state.health.onPollSucceeded(now);  // The platform lists it.
   }
 }
 
--- a/src/router/admission_flow.cc
+++ b/src/router/admission_flow.cc
@@ -5,7 +5,7 @@
 namespace crankspur {
 
 bool RequestRouterImpl::admit(RequestEntry& entry, const AdmissionRequest& request, TimePoint now) {
-  settleAdmission(entry, 0, now);
+  finishAdmission(entry, 0, now);
   const AdmissionDecision decision = options_.admission->admit(request, now);
   if (decision.admitted) {
     entry.admitted = request;
@@ -16,7 +16,7 @@
   return false;
 }
 
-void RequestRouterImpl::settleAdmission(RequestEntry& entry, std::uint32_t used_tokens, TimePoint now) {
+void RequestRouterImpl::finishAdmission(RequestEntry& entry, std::uint32_t used_tokens, TimePoint now) {
   if (!entry.admitted) return;
   options_.admission->finished(*entry.admitted, used_tokens, now);
   entry.admitted.reset();
--- a/src/router/claim_flow.cc
+++ b/src/router/claim_flow.cc
@@ -1,4 +1,5 @@
-/// @file Claims of operations that may not be repeated: before dispatch, and their record or release after.
+/// @file Claims of operations that must not be repeated: acquisition before the dispatch, and the record or
+/// release after it.
 
 #include <algorithm>
 #include <utility>
@@ -10,16 +11,17 @@
 
 namespace {
 
-/// Longest wait for the table's decision; a caller is better served by an early, true refusal.
-constexpr Duration kClaimWait = std::chrono::seconds(2);
-/// Claims whose record or release may wait for the table; the group's members hold those beyond.
-constexpr std::size_t kMaximumClaims = 20'000;
-/// Advice to callers while the table does not answer.
+/// Time limit of the table's decision. An early refusal that is certain to be correct serves a caller better.
+constexpr Duration kClaimTimeout = std::chrono::seconds(2);
+/// Maximum number of claims whose record or release may wait for the table. Further ones are held only by the
+/// members of the claim group.
+constexpr std::size_t kMaxClaims = 20'000;
+/// Retry delay returned to callers while the table is unavailable.
 constexpr Duration kTableRetryAfter = std::chrono::seconds(2);
-/// Advice to callers whose key another attempt holds.
+/// Retry delay returned to callers whose idempotency key is held by another attempt.
 constexpr Duration kHolderRetryAfter = std::chrono::seconds(1);
 
-/// @return the hash that tells two requests under one key apart.
+/// @return a hash that distinguishes requests with the same idempotency key.
 std::string contentHash(const SubmitRequest& request) {
   return sha256Hex(request.operation + '\n' + request.prompt);
 }
@@ -45,7 +47,7 @@
 }
 
 void RequestRouterImpl::startClaim(RequestEntry& entry, TimePoint now) {
-  if (snapshot_->claims_by_group) return askGroup(addClaim(entry), entry, now);
+  if (snapshot_->claims_by_group) return requestGroupClaim(addClaim(entry), entry, now);
   if (!table_health_.allow(now)) {
     return refuse(entry, ErrorCode::ClaimUnavailable, kTableRetryAfter, "the table service does not answer",
                   now);
@@ -57,26 +59,27 @@
 
 void RequestRouterImpl::startTableClaim(std::uint64_t id, RequestEntry& entry, TimePoint now) {
   ClaimWork& work = claims_.at(id);
-  work.claim = makeClaim(work.key, work.token, std::min(entry.deadline, now + kClaimWait), random_.bits(),
+  work.claim = makeClaim(work.key, work.token, std::min(entry.deadline, now + kClaimTimeout), random_.bits(),
                          work.body_hash);
-  pumpClaim(id, now);
+  advanceClaim(id, now);
 }
 
-void RequestRouterImpl::pumpClaim(std::uint64_t id, TimePoint now) {
+void RequestRouterImpl::advanceClaim(std::uint64_t id, TimePoint now) {
   const auto found = claims_.find(id);
   if (found == claims_.end() || !found->second.claim) return;
   ClaimWork& work = found->second;
-  if (waitsForTable(id, work, now)) return;
+  if (deferUntilTableResponds(id, work, now)) return;
   while (const auto action = work.claim->poll(now)) {
-    const bool fenced = work.group == GroupWord::None && action->kind == ClaimAction::Kind::CompareAndSet &&
+    const bool fenced = work.group == GroupClaimState::None &&
+                        action->kind == ClaimAction::Kind::CompareAndSet &&
                         action->write.phase == ClaimRow::Phase::Claimed;
     actions_.emplace_back(ClaimTableCall{id, *action, fenced});
   }
   RequestEntry* entry = findEntry(work.entry);
   const auto outcome = work.claim->outcome();
   if (entry != nullptr && entry->phase == RequestEntry::Phase::Claiming && outcome) {
-    claimDecided(*entry, *outcome, now);
-    return pumpClaim(id, now);
+    onClaimDecided(*entry, *outcome, now);
+    return advanceClaim(id, now);
   }
   if (work.entry == 0 && work.claim->settled()) {
     claim_timers_.erase({work.timer, id});
@@ -92,27 +95,28 @@
   if (work.timer != TimePoint::max()) claim_timers_.emplace(work.timer, id);
 }
 
-void RequestRouterImpl::claimGranted(RequestEntry& entry, TimePoint now) {
-  // A router that was paused wakes here: past the deadline nothing is dispatched any more.
-  if (now >= entry.deadline) return deadlinePassed(entry, now);
+void RequestRouterImpl::onClaimGranted(RequestEntry& entry, TimePoint now) {
+  // The process may have been suspended; nothing is dispatched after the deadline.
+  if (now >= entry.deadline) return onDeadline(entry, now);
   entry.claim_granted = true;
   dispatchOperation(entry, now);
 }
 
-void RequestRouterImpl::claimDecided(RequestEntry& entry, const ClaimOutcome& outcome, TimePoint now) {
+void RequestRouterImpl::onClaimDecided(RequestEntry& entry, const ClaimOutcome& outcome, TimePoint now) {
   ClaimWork& work = claims_.at(*entry.claim);
   entry.phase = RequestEntry::Phase::Running;
-  // A lookup after the group's denial: without an answer it stays a denial.
-  const bool held = work.group == GroupWord::Denies && outcome.kind == ClaimOutcome::Kind::Unavailable;
-  switch (held ? ClaimOutcome::Kind::HeldByOther : outcome.kind) {
+  // A lookup that follows the group's denial: if the table does not respond, the denial stands.
+  const bool denied =
+      work.group == GroupClaimState::Denied && outcome.kind == ClaimOutcome::Kind::Unavailable;
+  switch (denied ? ClaimOutcome::Kind::HeldByOther : outcome.kind) {
     case ClaimOutcome::Kind::Granted:
       work.in_table = true;
-      return claimGranted(entry, now);
+      return onClaimGranted(entry, now);
     case ClaimOutcome::Kind::AlreadyDone:
       work.in_table = true;
       recordAtGroup(work, true, outcome.result);
       entry.run_state = RunState::Ran;
-      return answerOperation(entry, outcome.result, {}, now);
+      return sendOperationResult(entry, outcome.result, {}, now);
     case ClaimOutcome::Kind::HeldByOther:
       releaseAtGroup(work);
       entry.run_state = RunState::Unknown;
@@ -122,50 +126,51 @@
       return refuse(entry, ErrorCode::InvalidRequest, Duration{0},
                     "the idempotency key belongs to a request with other content", now);
     case ClaimOutcome::Kind::Unavailable:
-      if (now >= entry.deadline) return deadlinePassed(entry, now);
-      if (goOnWithoutTable(entry, now)) return claimGranted(entry, now);
+      if (now >= entry.deadline) return onDeadline(entry, now);
+      if (proceedWithoutTable(entry, now)) return onClaimGranted(entry, now);
       return refuse(entry, ErrorCode::ClaimUnavailable, kTableRetryAfter, "the table service does not answer",
                     now);
   }
 }
 
 void RequestRouterImpl::onClaimRead(std::uint64_t claim, const ClaimRow& row, TimePoint now) {
-  table_health_.succeeded();
+  table_health_.onSuccess();
   const auto found = claims_.find(claim);
   if (found == claims_.end()) return;
   found->second.claim->onRead(row, now);
-  pumpClaim(claim, now);
+  advanceClaim(claim, now);
 }
 
 void RequestRouterImpl::onClaimWritten(std::uint64_t claim, bool committed, TimePoint now,
                                        std::uint64_t row_version) {
-  table_health_.succeeded();
+  table_health_.onSuccess();
   const auto found = claims_.find(claim);
   if (found == claims_.end()) return;
   ClaimWork& work = found->second;
   work.claim->onWritten(committed, now, row_version);
-  // Of a claim that was granted without the table: it holds the record now.
-  if (committed && work.group == GroupWord::Grants && work.recorded && !std::exchange(work.in_table, true)) {
+  // The table now has the record of a claim that was granted without it.
+  if (committed && work.group == GroupClaimState::Granted && work.recorded &&
+      !std::exchange(work.in_table, true)) {
     recordAtGroup(work, true, {});
   }
-  pumpClaim(claim, now);
+  advanceClaim(claim, now);
 }
 
 void RequestRouterImpl::onClaimFailed(std::uint64_t claim, TimePoint now) {
-  table_health_.failed();
+  table_health_.onFailure();
   const auto found = claims_.find(claim);
   if (found == claims_.end()) return;
   found->second.claim->onFailed(now);
-  pumpClaim(claim, now);
+  advanceClaim(claim, now);
 }
 
 void RequestRouterImpl::onClaimFenced(std::uint64_t claim, TimePoint now) {
-  table_health_.succeeded();
+  table_health_.onSuccess();
   const auto found = claims_.find(claim);
   if (found == claims_.end()) return;
-  // Tried again until its time is over; by then the router knows of the group.
+  // Retried until its time limit; by then the router has received the state of the claim group.
   found->second.claim->onFailed(now);
-  pumpClaim(claim, now);
+  advanceClaim(claim, now);
 }
 
 void RequestRouterImpl::releaseClaim(RequestEntry& entry, TimePoint now) {
@@ -186,14 +191,14 @@
   entry.claim.reset();
   work.entry = 0;
   if (work.in_table && !work.recorded) recordAtGroup(work, false, {});
-  // The group still owes its decision: what it grants is then given back.
-  if (!work.claim && work.group == GroupWord::Asked) return;
-  if (!work.claim || claims_.size() > kMaximumClaims) {
+  // The group's decision is pending; if it grants the claim, the claim is released.
+  if (!work.claim && work.group == GroupClaimState::Pending) return;
+  if (!work.claim || claims_.size() > kMaxClaims) {
     claim_timers_.erase({work.timer, id});
     claims_.erase(id);
     return;
   }
-  pumpClaim(id, now);
+  advanceClaim(id, now);
 }
 
 }  // namespace crankspur
--- a/src/router/claim_table_health.cc
+++ b/src/router/claim_table_health.cc
@@ -4,21 +4,21 @@
 
 namespace {
 
-/// Failures in a row from which the table counts as down.
+/// Consecutive failures after which the table is considered unavailable.
 constexpr unsigned kFailuresUntilDown = 3;
-/// Pause between claims tried while the table counts as down.
+/// Interval between probes while the table is unavailable.
 constexpr Duration kProbeInterval = std::chrono::seconds(1);
 
 }  // namespace
 
 bool ClaimTableHealth::allow(TimePoint now) {
-  if (!down()) return true;
+  if (!isDown()) return true;
   if (now < next_probe_) return false;
   next_probe_ = now + kProbeInterval;
   return true;
 }
 
-bool ClaimTableHealth::down() const {
+bool ClaimTableHealth::isDown() const {
   return failures_ >= kFailuresUntilDown;
 }
 
--- a/src/router/completion_failure.cc
+++ b/src/router/completion_failure.cc
@@ -1,5 +1,5 @@
-/// @file What happens to a completion when its engine refuses, fails or falls silent. A dispatch that is over
-/// is forgotten by its id, so that nothing it still sends is mixed into a later one.
+/// @file Handling of completions whose engine refuses, fails or becomes unresponsive. The id of an ended
+/// dispatch is removed, so that its late events are not attributed to a later dispatch.
 
 #include <algorithm>
 
@@ -9,25 +9,25 @@
 
 namespace {
 
-/// Advice to callers when no engine can take the request now.
+/// Retry delay returned to callers when no engine can accept the request.
 constexpr Duration kRetryAfter = std::chrono::seconds(1);
 
-/// Silence of an engine that the fleet counts as dead, after which its streams move on.
-constexpr Duration kDeadSilence = std::chrono::seconds(1);
+/// Time without events after which dispatches to an engine considered dead are moved to another engine.
+constexpr Duration kDeadEngineTimeout = std::chrono::seconds(1);
 
-/// Refusals that the engine gave for want of room; asking another engine adds load.
+/// @return whether the engine refused because it is at capacity. A retry elsewhere adds load to the fleet.
 bool isLoadRefusal(ErrorCode code) {
   return code == ErrorCode::Overloaded || code == ErrorCode::RateLimited;
 }
 
-/// @return whether the engine is surely not able to go on with the dispatch.
-bool isGone(const EngineView* engine, const CurrentDispatch& dispatch, TimePoint now) {
-  const bool silent = now - dispatch.last_heard_at >= kDeadSilence;
-  if (engine == nullptr || engine->state == EngineState::Dead) return silent;
+/// @return whether the engine certainly cannot continue the dispatch.
+bool cannotContinue(const EngineView* engine, const CurrentDispatch& dispatch, TimePoint now) {
+  const bool timed_out = now - dispatch.last_activity_at >= kDeadEngineTimeout;
+  if (engine == nullptr || engine->state == EngineState::Dead) return timed_out;
   return engine->incarnation != dispatch.incarnation;
 }
 
-/// Refusals that another engine would give as well.
+/// @return whether every other engine would refuse the request as well.
 bool isFinalRefusal(ErrorCode code) {
   return code == ErrorCode::InvalidRequest || code == ErrorCode::TooLarge ||
          code == ErrorCode::UnknownModel || code == ErrorCode::Unauthorized ||
@@ -69,24 +69,26 @@
   return true;
 }
 
-void RequestRouterImpl::completionRefused(RequestEntry& entry, const BackendRefused& refused, TimePoint now) {
+void RequestRouterImpl::onCompletionRefused(RequestEntry& entry, const BackendRefused& refused,
+                                            TimePoint now) {
   if (!entry.dispatch->attempt->apply(AttemptEvent::BackendRefusedNotRun)) {
-    return abandonDispatch(entry, EventId::BackendProtocolBroken, "refused after it had accepted", now);
+    return abandonDispatch(entry, EventId::BackendProtocolBroken,
+                           "the engine refused the request after accepting it", now);
   }
-  const bool resume = entry.dispatch->resume;
+  const bool was_resume = entry.dispatch->resume;
   entry.dispatch->costless = !isLoadRefusal(refused.code);
   entry.excluded.push_back({entry.dispatch->engine, entry.dispatch->incarnation});
   closeDispatch(entry, now);
-  if (resume) return moveCompletion(entry, now);
+  if (was_resume) return redispatchCompletion(entry, now);
   entry.last_error = refused.code;
   entry.last_retry_after = refused.retry_after;
   if (isFinalRefusal(refused.code)) {
     return refuse(entry, refused.code, refused.retry_after, "the engine refused the request", now);
   }
-  moveCompletion(entry, now);
+  redispatchCompletion(entry, now);
 }
 
-void RequestRouterImpl::completionLost(RequestEntry& entry, TimePoint now) {
+void RequestRouterImpl::onCompletionLost(RequestEntry& entry, TimePoint now) {
   CurrentDispatch& dispatch = *entry.dispatch;
   dispatch.attempt->apply(AttemptEvent::ConnectionFailed);
   const AttemptState state = dispatch.attempt->state();
@@ -95,16 +97,17 @@
   const std::string engine = dispatch.backend;
   const EngineSlot slot = dispatch.engine;
   const std::uint64_t incarnation = dispatch.incarnation;
-  // A resume call that itself was lost is repeated only if it had brought something.
+  // A lost resume call is repeated only if it had delivered output.
   const bool may_resume = !never_sent && (!dispatch.resume || state == AttemptState::LostStreaming);
   log(EventId::AttemptLost, entry,
-      {{"backend", engine}, {"reason", never_sent ? "the connect failed" : "the connection ended"}});
+      {{"backend", engine},
+       {"reason", never_sent ? "the connection could not be established" : "the connection closed early"}});
   entry.last_error = never_sent ? ErrorCode::EngineUnavailable : ErrorCode::EngineLost;
   const std::string weights = dispatch.weights_version;
   closeDispatch(entry, now);
   if (may_resume && resumeAt(entry, engine, incarnation, weights, now)) return;
   entry.excluded.push_back({slot, incarnation});
-  moveCompletion(entry, now);
+  redispatchCompletion(entry, now);
 }
 
 void RequestRouterImpl::abandonDispatch(RequestEntry& entry, EventId event, const char* reason,
@@ -116,16 +119,16 @@
   entry.last_error = dispatch.costless ? ErrorCode::EngineUnavailable : ErrorCode::EngineLost;
   entry.excluded.push_back({dispatch.engine, dispatch.incarnation});
   cancelDispatch(entry, now);
-  moveCompletion(entry, now);
+  redispatchCompletion(entry, now);
 }
 
-void RequestRouterImpl::moveCompletion(RequestEntry& entry, TimePoint now) {
-  if (now >= entry.deadline) return deadlinePassed(entry, now);
-  if (entry.dispatches >= maxAttempts()) return giveUpCompletion(entry, now);
+void RequestRouterImpl::redispatchCompletion(RequestEntry& entry, TimePoint now) {
+  if (now >= entry.deadline) return onDeadline(entry, now);
+  if (entry.dispatches >= maxAttempts()) return failCompletion(entry, now);
   placeCompletion(entry, now);
 }
 
-void RequestRouterImpl::giveUpCompletion(RequestEntry& entry, TimePoint now) {
+void RequestRouterImpl::failCompletion(RequestEntry& entry, TimePoint now) {
   const Duration retry_after = std::max(entry.last_retry_after, kRetryAfter);
   if (entry.tokens > 0 && entry.dispatches < maxAttempts()) {
     return refuse(entry, ErrorCode::WeightsMismatch, retry_after,
@@ -134,17 +137,17 @@
   refuse(entry, entry.last_error, retry_after, "no engine can take the request now", now);
 }
 
-void RequestRouterImpl::dropGoneEngines(TimePoint now) {
-  std::vector<Serial> gone;
+void RequestRouterImpl::abandonFailedEngines(TimePoint now) {
+  std::vector<Serial> affected;
   for (const auto& [serial, entry] : entries_) {
     if (!entry->dispatch || entry->request.kind != RequestKind::Completion) continue;
     const EngineView* engine = snapshot_->engine(entry->dispatch->engine);
-    if (isGone(engine, *entry->dispatch, now)) gone.push_back(serial);
+    if (cannotContinue(engine, *entry->dispatch, now)) affected.push_back(serial);
   }
-  for (const Serial serial : gone) {
-    // The driver reports bytes late; an engine that restarted meanwhile may have run what had left.
+  for (const Serial serial : affected) {
+    // The driver may report sent bytes late, and the engine may have run the request before its restart.
     findEntry(serial)->dispatch->attempt->apply(AttemptEvent::BytesSent);
-    abandonDispatch(*findEntry(serial), EventId::AttemptLost, "the engine is gone or restarted", now);
+    abandonDispatch(*findEntry(serial), EventId::AttemptLost, "the engine failed or restarted", now);
   }
 }
 
--- a/src/router/completion_flow.cc
+++ b/src/router/completion_flow.cc
@@ -1,4 +1,4 @@
-/// @file The regular course of a completion: placement, dispatch, streaming, end.
+/// @file Completions without failures: placement, dispatch, streaming and end.
 
 #include <algorithm>
 
@@ -10,11 +10,12 @@
 
 namespace {
 
-/// Tokens the engine has to read: the prompt and the part of the answer it goes on from.
+/// @return the number of input tokens: the prompt and the text that the engine continues.
 std::uint32_t inputTokens(const RequestEntry& entry) {
   return countTokens(entry.request.prompt) + countTokens(entry.text);
 }
 
+/// @return the estimated number of input tokens that the chosen engine must compute.
 std::uint32_t uncachedTokens(const RequestEntry& entry, const PlacementDecision& decision) {
   const std::uint32_t reused = std::max(decision.cached_blocks, decision.import_blocks);
   const auto cached = static_cast<std::uint32_t>(reused * kTokensPerBlock);
@@ -54,22 +55,22 @@
     entry.blocks = hashBlocks(scope.seed(), request.prompt);
     entry.blocks_weights = weights;
   }
-  PlacementRequest wanted;
-  wanted.tenant = request.tenant;
-  wanted.model = request.model;
-  wanted.adapter = request.adapter;
-  wanted.weights_version = weights;
-  wanted.blocks = entry.blocks;
-  wanted.prompt_tokens = inputTokens(entry);
-  wanted.max_tokens = request.max_tokens;
-  wanted.priority = request.priority;
-  wanted.deadline = entry.deadline - now;
+  PlacementRequest placement;
+  placement.tenant = request.tenant;
+  placement.model = request.model;
+  placement.adapter = request.adapter;
+  placement.weights_version = weights;
+  placement.blocks = entry.blocks;
+  placement.prompt_tokens = inputTokens(entry);
+  placement.max_tokens = request.max_tokens;
+  placement.priority = request.priority;
+  placement.deadline = entry.deadline - now;
   for (const ExcludedEngine& excluded : entry.excluded) {
     const EngineView* engine = snapshot_->engine(excluded.slot);
-    const bool same = engine != nullptr && engine->incarnation == excluded.incarnation;
-    if (same) wanted.excluded.push_back(excluded.slot);
+    const bool same_incarnation = engine != nullptr && engine->incarnation == excluded.incarnation;
+    if (same_incarnation) placement.excluded.push_back(excluded.slot);
   }
-  return options_.placement->choose(wanted, *snapshot_, *options_.index, sent_work_, random_, now);
+  return options_.placement->choose(placement, *snapshot_, *options_.index, outstanding_work_, random_, now);
 }
 
 void RequestRouterImpl::placeCompletion(RequestEntry& entry, TimePoint now) {
@@ -84,9 +85,9 @@
     if (decision.found) break;
   }
   entry.record.decision = decision;
-  if (!decision.found) return giveUpCompletion(entry, now);
+  if (!decision.found) return failCompletion(entry, now);
 
-  // An attempt that cost no engine anything leaves the admission standing and needs no retry budget.
+  // After an attempt without cost to any engine the admission is still valid, and no retry budget is needed.
   if (entry.admitted) return dispatchCompletion(entry, decision, now);
   AdmissionRequest admission;
   admission.tenant = request.tenant;
@@ -110,7 +111,7 @@
   dispatch.import_tokens = static_cast<std::uint32_t>(decision.import_blocks * kTokensPerBlock);
   dispatch.dispatched_at = now;
   ++entry.dispatches;
-  sent_work_.add(decision.engine, dispatch.id, uncachedTokens(entry, decision), now);
+  outstanding_work_.add(decision.engine, dispatch.id, uncachedTokens(entry, decision), now);
   options_.index->recordPlacement(decision.engine, decision.incarnation, entry.blocks, now);
   if (entry.dispatches > 1) {
     log(EventId::AttemptMoved, entry,
@@ -134,24 +135,24 @@
   actions_.emplace_back(std::move(action));
 }
 
-void RequestRouterImpl::completionEvent(RequestEntry& entry, const BackendEvent& event, TimePoint now) {
+void RequestRouterImpl::onCompletionEvent(RequestEntry& entry, const BackendEvent& event, TimePoint now) {
   if (const auto* accepted = std::get_if<BackendAccepted>(&event)) {
-    return completionAccepted(entry, *accepted, now);
+    return onCompletionAccepted(entry, *accepted, now);
   }
-  if (const auto* piece = std::get_if<BackendPiece>(&event)) return completionPiece(entry, *piece, now);
-  if (const auto* end = std::get_if<BackendEnd>(&event)) return completionEnd(entry, *end, now);
+  if (const auto* piece = std::get_if<BackendPiece>(&event)) return onCompletionPiece(entry, *piece, now);
+  if (const auto* end = std::get_if<BackendEnd>(&event)) return onCompletionEnd(entry, *end, now);
   if (const auto* refused = std::get_if<BackendRefused>(&event))
-    return completionRefused(entry, *refused, now);
-  completionLost(entry, now);
+    return onCompletionRefused(entry, *refused, now);
+  onCompletionLost(entry, now);
 }
 
-void RequestRouterImpl::completionAccepted(RequestEntry& entry, const BackendAccepted& accepted,
-                                           TimePoint now) {
+void RequestRouterImpl::onCompletionAccepted(RequestEntry& entry, const BackendAccepted& accepted,
+                                             TimePoint now) {
   CurrentDispatch& dispatch = *entry.dispatch;
   if (!dispatch.attempt->apply(AttemptEvent::BackendAccepted)) return;
   if (accepted.incarnation != dispatch.incarnation || accepted.weights_version != dispatch.weights_version) {
     return abandonDispatch(entry, EventId::BackendProtocolBroken,
-                           "accepted with another incarnation or weights version", now);
+                           "accepted with a different incarnation or weights version", now);
   }
   entry.prompt_tokens = accepted.prompt_tokens;
   entry.cached_tokens = accepted.cached_tokens;
@@ -161,9 +162,9 @@
     dispatch.computed_prompt_tokens =
         accepted.prompt_tokens - std::min(accepted.prompt_tokens, accepted.cached_tokens);
     const std::uint32_t reused = std::max(accepted.cached_tokens, dispatch.import_tokens);
-    sent_work_.correct(dispatch.engine, dispatch.id,
-                       accepted.prompt_tokens - std::min(accepted.prompt_tokens, reused));
-    // The rest counts as held when the first token tells that the prompt is computed.
+    outstanding_work_.correct(dispatch.engine, dispatch.id,
+                              accepted.prompt_tokens - std::min(accepted.prompt_tokens, reused));
+    // The remaining blocks are recorded as held once the first token shows that the prompt is computed.
     const std::size_t held =
         std::min<std::size_t>(accepted.cached_tokens / kTokensPerBlock, entry.blocks.size());
     options_.index->correct(dispatch.engine, dispatch.incarnation, std::span(entry.blocks).first(held),
@@ -173,12 +174,12 @@
   schedule(entry);
 }
 
-void RequestRouterImpl::notePrefillDone(RequestEntry& entry, TimePoint now) {
+void RequestRouterImpl::recordPrefillDone(RequestEntry& entry, TimePoint now) {
   CurrentDispatch& dispatch = *entry.dispatch;
   if (dispatch.prefill_done) return;
   dispatch.prefill_done = true;
   if (dispatch.resume) return;
-  sent_work_.prefillDone(dispatch.engine, dispatch.id, now);
+  outstanding_work_.prefillDone(dispatch.engine, dispatch.id, now);
   options_.index->correct(dispatch.engine, dispatch.incarnation, entry.blocks,
                           static_cast<std::uint32_t>(entry.cached_tokens / kTokensPerBlock), now);
   const PlacementFeedback feedback{dispatch.engine, entry.prompt_tokens, entry.cached_tokens,
@@ -186,15 +187,15 @@
   options_.placement->observe(feedback, now);
 }
 
-void RequestRouterImpl::completionPiece(RequestEntry& entry, const BackendPiece& piece, TimePoint now) {
+void RequestRouterImpl::onCompletionPiece(RequestEntry& entry, const BackendPiece& piece, TimePoint now) {
   CurrentDispatch& dispatch = *entry.dispatch;
   if (piece.offset + piece.token_count <= entry.tokens && piece.token_count > 0) return schedule(entry);
   if (piece.offset != entry.tokens || piece.token_count == 0) {
-    return abandonDispatch(entry, EventId::BackendProtocolBroken, "a piece does not follow the one before",
-                           now);
+    return abandonDispatch(entry, EventId::BackendProtocolBroken,
+                           "a piece is not contiguous with the previous one", now);
   }
   dispatch.attempt->apply(AttemptEvent::PieceArrived);
-  notePrefillDone(entry, now);
+  recordPrefillDone(entry, now);
   if (!entry.first_token_seen) {
     entry.first_token_seen = true;
     entry.record.time_to_first_token = now - entry.submitted_at;
@@ -207,10 +208,11 @@
   schedule(entry);
 }
 
-void RequestRouterImpl::completionEnd(RequestEntry& entry, const BackendEnd& end, TimePoint now) {
+void RequestRouterImpl::onCompletionEnd(RequestEntry& entry, const BackendEnd& end, TimePoint now) {
   if (end.token_count != entry.tokens || end.checksum != hashBytes(entry.text)) {
     log(EventId::BackendProtocolBroken, entry,
-        {{"backend", entry.dispatch->backend}, {"reason", "count or checksum of the answer differ"}});
+        {{"backend", entry.dispatch->backend},
+         {"reason", "token count or checksum of the response does not match"}});
     cancelDispatch(entry, now);
     return refuse(entry, ErrorCode::EngineLost, Duration{0}, "the answer's checksum does not agree", now);
   }
--- a/src/router/decision_records.h
+++ b/src/router/decision_records.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file The newest decision records of a shard, bounded in number, for `crankspurctl explain`.
+/// @file Bounded store of a shard's most recent decision records, for `crankspurctl explain`.
 
 #include <absl/container/flat_hash_map.h>
 
@@ -11,13 +11,13 @@
 
 namespace crankspur {
 
-/// Ring of records found by request id; the oldest gives way.
+/// Records by request id; the oldest is evicted at the limit.
 class DecisionRecords {
 public:
   explicit DecisionRecords(std::size_t limit) : limit_(limit) {}
-  /// Adds a record or replaces the one of the same request.
+  /// Adds a record, or replaces the record of the same request.
   void put(const DecisionRecord& record);
-  /// @return the record of the request, or empty when it is unknown or has given way.
+  /// @return the record of the request, or empty when it is unknown or was evicted.
   std::optional<DecisionRecord> find(const std::string& request_id) const;
 
 private:
--- a/src/router/ended_attempts.cc
+++ b/src/router/ended_attempts.cc
@@ -4,7 +4,7 @@
 
 namespace crankspur {
 
-void EndedAttempts::note(const std::string& request_id, std::uint32_t attempt) {
+void EndedAttempts::record(const std::string& request_id, std::uint32_t attempt) {
   const auto [entry, added] = attempts_.try_emplace(request_id, attempt);
   if (!added) {
     entry->second = std::max(entry->second, attempt);
--- a/src/router/ended_attempts.h
+++ b/src/router/ended_attempts.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file The highest attempts of requests that ended or were cancelled lately, bounded in number. A late
-/// duplicate of such an attempt must not run again.
+/// @file Bounded store of the highest attempts of recently ended or cancelled requests. A delayed duplicate
+/// of such an attempt must not run again.
 
 #include <absl/container/flat_hash_map.h>
 
@@ -10,13 +10,13 @@
 
 namespace crankspur {
 
-/// Bounded memory of (request id, highest attempt known); the oldest request gives way.
+/// Highest ended attempt by request id; the oldest request is evicted at the limit.
 class EndedAttempts {
 public:
   explicit EndedAttempts(std::size_t limit) : limit_(limit) {}
-  /// Notes that `attempt` and all lower ones of the request are over.
-  void note(const std::string& request_id, std::uint32_t attempt);
-  /// @return the highest attempt that is over; 0 when none is remembered.
+  /// Records that `attempt` and all lower attempts of the request have ended.
+  void record(const std::string& request_id, std::uint32_t attempt);
+  /// @return the highest ended attempt; 0 when none is stored.
   std::uint32_t highest(const std::string& request_id) const;
 
 private:
--- a/src/router/engine_health.h
+++ b/src/router/engine_health.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Health of one back end as this router sees it: answered and failed polls, outcomes of its traffic.
+/// @file Health of one back end as observed by this router, from its polls and the outcomes of its traffic.
 
 #include <cstdint>
 
@@ -7,56 +7,56 @@
 
 namespace crankspur {
 
-/// How a dispatch at a back end went.
+/// Outcome of a dispatch to a back end.
 enum class OutcomeKind {
-  Answered,       ///< It took the work and streamed.
-  ConnectFailed,  ///< No connection could be made.
-  Lost,           ///< The exchange broke after bytes were sent.
+  Answered,       ///< The back end accepted the request and streamed a response.
+  ConnectFailed,  ///< No connection could be established.
+  Lost,           ///< The exchange failed after bytes were sent.
 };
 
 /// Why a poll failed.
 enum class PollFailure {
-  Refused,   ///< Nobody listens at the address.
-  TimedOut,  ///< No answer in time, or a broken one.
+  Refused,   ///< The connection was refused: no process listens at the address.
+  TimedOut,  ///< No response in time, or a malformed one.
 };
 
-/// What health allows.
+/// Health of a back end.
 enum class HealthState {
-  Untried,  ///< Never answered yet.
+  Untried,  ///< Has never responded.
   Healthy,
-  Ejected,  ///< Failing or slow; comes back on probation after a while.
+  Ejected,  ///< Failing or slow; on probation once the ejection ends.
   Dead,
 };
 
 /// Health of one back end. Not thread-safe.
 class EngineHealth {
 public:
-  void onPollAnswered(TimePoint now);
+  void onPollSucceeded(TimePoint now);
   void onPollFailed(PollFailure failure, TimePoint now);
-  /// A peer says that the back end is dead: believed until a poll of one's own is answered.
-  void onDeathTold(TimePoint now);
-  /// @param lateness first token's time beyond the estimate, for Answered.
+  /// A peer reported the back end as dead. Applies until a poll by this router succeeds.
+  void onPeerReportedDead(TimePoint now);
+  /// @param lateness time of the first token beyond its estimate; used for Answered only.
   void onOutcome(OutcomeKind outcome, Duration lateness, TimePoint now);
-  /// Takes the back end out of use for a while that doubles with each ejection in a row.
+  /// Ejects the back end for a period that doubles with each consecutive ejection.
   void eject(TimePoint now);
-  /// Forgets everything: another process has taken the address.
+  /// Resets all state because another process uses the address.
   void reset() { *this = EngineHealth(); }
 
   HealthState state(TimePoint now) const;
-  /// @return smoothed lateness of first tokens in seconds.
+  /// @return exponentially smoothed lateness of first tokens, in seconds.
   double lateness() const { return lateness_; }
-  /// @return whether lateness rests on enough answers to be compared.
+  /// @return whether enough responses were observed for lateness() to be compared.
   bool latenessKnown() const;
-  /// @return when an ejection ends; the epoch when there is none.
+  /// @return end of the last ejection; the epoch when there was none.
   TimePoint ejectedUntil() const { return ejected_until_; }
 
 private:
-  bool answered_once_ = false;
+  bool responded_once_ = false;
   bool dead_ = false;
   std::uint32_t failed_polls_ = 0;
   std::uint32_t failed_dispatches_ = 0;
   std::uint32_t ejections_ = 0;
-  std::uint32_t answers_ = 0;
+  std::uint32_t responses_ = 0;
   double lateness_ = 0;
   TimePoint ejected_until_{};
 };
--- a/src/router/engine_table.cc
+++ b/src/router/engine_table.cc
@@ -7,13 +7,13 @@
 
 namespace {
 
-/// Machine lists in a row that must leave a name out before it counts as gone.
-constexpr std::uint32_t kListsUntilGone = 2;
-/// An engine is slow when its lateness exceeds both this and kSlowFactor times its pool's median.
-constexpr double kSlowSeconds = 1.0;
+/// Consecutive machine lists that must omit a back end before it is considered removed.
+constexpr std::uint32_t kListsUntilRemoved = 2;
+/// An engine is slow when its lateness exceeds both this and kSlowFactor times the median of its pool.
+constexpr double kMinSlowLateness = 1.0;
 constexpr double kSlowFactor = 4.0;
-/// At most this share of a pool is ejected for slowness.
-constexpr double kMaximumEjectedShare = 0.34;
+/// Maximum share of a pool that may be ejected when a slow engine is to be ejected.
+constexpr double kMaxEjectedShare = 0.34;
 
 }  // namespace
 
@@ -35,20 +35,20 @@
     : options_(std::move(options)), random_(random_seed) {}
 
 void EngineTable::onMachineList(const MachineList& list, TimePoint now) {
-  listed_once_ = true;
+  list_received_ = true;
   last_list_ms_ = list.as_of_ms;
   std::set<std::string> listed;
   for (const Machine& machine : list.machines) {
     const bool backend = machine.role == MachineRole::Engine || machine.role == MachineRole::Runner;
     if (!backend) continue;
     listed.insert(machine.name);
-    listMachine(machine, list.as_of_ms, now);
+    updateMachine(machine, list.as_of_ms, now);
   }
-  dropUnlisted(listed, now);
-  countForInfoPolls();
+  removeUnlisted(listed, now);
+  updateInfoCounts();
 }
 
-void EngineTable::listMachine(const Machine& machine, std::uint64_t as_of_ms, TimePoint now) {
+void EngineTable::updateMachine(const Machine& machine, std::uint64_t as_of_ms, TimePoint now) {
   Entry* known = find(machine.name);
   if (known == nullptr) {
     Entry entry;
@@ -59,11 +59,11 @@
     urgent_ = true;
   }
   Entry& entry = *known;
-  entry.lists_without = 0;
+  entry.missing_from_lists = 0;
   const bool leaving = machine.state == MachineState::Leaving;
-  const bool moved = entry.view.address != machine.address;
-  const bool changed = moved || entry.listed_leaving != leaving || entry.view.pool != machine.pool;
-  if (moved) {
+  const bool address_changed = entry.view.address != machine.address;
+  const bool changed = address_changed || entry.listed_leaving != leaving || entry.view.pool != machine.pool;
+  if (address_changed) {
     entry.health.reset();
     entry.next_info_at = now;
   }
@@ -71,37 +71,38 @@
   entry.view.zone = machine.zone;
   entry.view.region = machine.region;
   entry.view.pool = machine.pool;
-  const bool mark_changed = entry.listed_leaving != leaving;
+  const bool leaving_changed = entry.listed_leaving != leaving;
   entry.listed_leaving = leaving;
-  if (mark_changed || entry.listed_at_ms == 0) entry.listed_at_ms = as_of_ms;
-  if (as_of_ms > entry.machine_told_at_ms) entry.machine_told_leaving = false;
+  if (leaving_changed || entry.listed_at_ms == 0) entry.listed_at_ms = as_of_ms;
+  if (as_of_ms > entry.peer_list_at_ms) entry.peer_list_leaving = false;
   urgent_ = urgent_ || changed;
-  // With each list: routers that cannot read it know of the mark by gossip only, and gossip may be lost.
-  if (leaving || mark_changed) announceMachine(entry);
+  // Repeated with each list: routers that cannot read the list receive the mark by gossip only, and gossip
+  // may be lost.
+  if (leaving || leaving_changed) announceMachine(entry);
 }
 
-void EngineTable::dropUnlisted(const std::set<std::string>& listed, TimePoint now) {
-  for (auto place = entries_.begin(); place != entries_.end();) {
-    Entry& entry = place->second;
-    if (listed.contains(place->first)) {
-      ++place;
+void EngineTable::removeUnlisted(const std::set<std::string>& listed, TimePoint now) {
+  for (auto position = entries_.begin(); position != entries_.end();) {
+    Entry& entry = position->second;
+    if (listed.contains(position->first)) {
+      ++position;
       continue;
     }
-    if (++entry.lists_without == kListsUntilGone) urgent_ = true;
-    const bool gone = entry.lists_without >= kListsUntilGone;
+    if (++entry.missing_from_lists == kListsUntilRemoved) urgent_ = true;
+    const bool removed = entry.missing_from_lists >= kListsUntilRemoved;
     const HealthState health = entry.health.state(now);
-    if (gone && (health == HealthState::Dead || health == HealthState::Untried)) {
+    if (removed && (health == HealthState::Dead || health == HealthState::Untried)) {
       slots_.free(entry.view.slot, now);
-      place = entries_.erase(place);
+      position = entries_.erase(position);
       urgent_ = true;
       continue;
     }
-    ++place;
+    ++position;
   }
 }
 
 void EngineTable::onPeerBackends(const std::vector<BackendRecord>& backends, TimePoint now) {
-  if (listed_once_) return;
+  if (list_received_) return;
   for (const BackendRecord& backend : backends) {
     if (find(backend.name) != nullptr) continue;
     Machine machine;
@@ -112,9 +113,9 @@
     machine.zone = backend.zone;
     machine.region = backend.region;
     machine.state = backend.leaving ? MachineState::Leaving : MachineState::Live;
-    listMachine(machine, 0, now);
+    updateMachine(machine, 0, now);
   }
-  countForInfoPolls();
+  updateInfoCounts();
 }
 
 std::vector<BackendRecord> EngineTable::backends() const {
@@ -131,21 +132,21 @@
   Entry* entry = find(name);
   if (entry == nullptr) return;
   entry->info_running = false;
-  const bool dead_before = entry->health.state(now) == HealthState::Dead;
-  entry->health.onPollAnswered(now);
-  takeIncarnation(*entry, report.incarnation, now);
-  const bool newly_leaving = report.leaving && !entry->told_leaving;
-  urgent_ = urgent_ || dead_before || newly_leaving || entry->view.role != report.role;
-  const auto same = [](const LoadedModel& left, const LoadedModel& right) {
+  const bool was_dead = entry->health.state(now) == HealthState::Dead;
+  entry->health.onPollSucceeded(now);
+  updateIncarnation(*entry, report.incarnation, now);
+  const bool newly_leaving = report.leaving && !entry->reported_leaving;
+  urgent_ = urgent_ || was_dead || newly_leaving || entry->view.role != report.role;
+  const auto same_model = [](const LoadedModel& left, const LoadedModel& right) {
     return left.model == right.model && left.weights_version == right.weights_version &&
            left.adapters == right.adapters;
   };
   const bool same_models = std::equal(entry->view.models.begin(), entry->view.models.end(),
-                                      report.models.begin(), report.models.end(), same);
+                                      report.models.begin(), report.models.end(), same_model);
   urgent_ = urgent_ || !same_models;
   entry->view.role = report.role;
   entry->view.models = report.models;
-  entry->told_leaving = entry->told_leaving || report.leaving;
+  entry->reported_leaving = entry->reported_leaving || report.leaving;
   if (entry->view.load.batch_limit == 0) {
     entry->view.load.batch_limit = report.batch_limit;
     entry->view.load.cache_blocks_total = report.cache_blocks_total;
@@ -155,19 +156,19 @@
   if (pollClass(*entry) == InfoPollClass::Owned) urgent_announcements_.push_back(recordOf(*entry, false));
 }
 
-void EngineTable::takeIncarnation(Entry& entry, std::uint64_t incarnation, TimePoint now) {
+void EngineTable::updateIncarnation(Entry& entry, std::uint64_t incarnation, TimePoint now) {
   if (entry.view.incarnation == incarnation) return;
   const bool restarted = entry.view.incarnation != 0;
   entry.view.incarnation = incarnation;
   entry.view.models.clear();
   entry.view.load = LoadReport();
   entry.view.load.measured_at = now;
-  entry.told_leaving = incarnation != 0 && entry.leaving_incarnation == incarnation;
+  entry.reported_leaving = incarnation != 0 && entry.leaving_incarnation == incarnation;
   entry.next_load_at = now;
   urgent_ = true;
   if (!restarted) return;
   entry.health.reset();
-  entry.health.onPollAnswered(now);
+  entry.health.onPollSucceeded(now);
   announce(entry, false);
 }
 
@@ -176,16 +177,16 @@
   Entry* entry = find(name);
   if (entry == nullptr) return;
   entry->load_running = false;
-  takeLoad(*entry, incarnation, load, now);
+  updateLoad(*entry, incarnation, load, now);
 }
 
-void EngineTable::onToldLoad(const std::string& name, std::uint64_t incarnation, const LoadReport& load,
-                             TimePoint now) {
+void EngineTable::onPeerEngineLoad(const std::string& name, std::uint64_t incarnation, const LoadReport& load,
+                                   TimePoint now) {
   Entry* entry = find(name);
-  if (entry != nullptr && polled_elsewhere_.contains(name)) takeLoad(*entry, incarnation, load, now);
+  if (entry != nullptr && polled_by_peers_.contains(name)) updateLoad(*entry, incarnation, load, now);
 }
 
-void EngineTable::takeLoad(Entry& entry, std::uint64_t incarnation, const LoadReport& load, TimePoint now) {
+void EngineTable::updateLoad(Entry& entry, std::uint64_t incarnation, const LoadReport& load, TimePoint now) {
   if (incarnation != entry.view.incarnation) {
     entry.next_info_at = now;
     return;
@@ -193,7 +194,7 @@
   if (load.measured_at < entry.view.load.measured_at) return;
   const LoadReport previous = entry.view.load;
   entry.view.load = load;
-  // A peer's digest carries only the queue; the rest stays as last reported.
+  // A peer's digest contains only the queue; the other values remain as last reported.
   if (load.batch_limit == 0) {
     entry.view.load.batch_limit = previous.batch_limit;
     entry.view.load.cache_blocks_total = previous.cache_blocks_total;
@@ -208,10 +209,10 @@
   if (entry == nullptr) return;
   entry->info_running = false;
   entry->load_running = false;
-  const bool dead_before = entry->health.state(now) == HealthState::Dead;
+  const bool was_dead = entry->health.state(now) == HealthState::Dead;
   entry->health.onPollFailed(failure, now);
-  const bool dead_now = entry->health.state(now) == HealthState::Dead;
-  if (dead_now && !dead_before && entry->view.incarnation != 0) announce(*entry, true);
+  const bool is_dead = entry->health.state(now) == HealthState::Dead;
+  if (is_dead && !was_dead && entry->view.incarnation != 0) announce(*entry, true);
 }
 
 void EngineTable::onGossip(const EngineRecord& record, TimePoint now) {
@@ -222,30 +223,32 @@
     return;
   }
   if (record.incarnation != entry->view.incarnation) {
-    // Whether it is newer cannot be told from a number that the engine chose: ask the engine. A leaving mark
-    // is kept until that incarnation is seen, since the engine itself may not know of it.
+    // Incarnations are chosen by the engine and have no order, so the engine is polled to determine the
+    // current one. A leaving mark is kept until that incarnation is observed, because the engine may not know
+    // of it.
     if (record.leaving) entry->leaving_incarnation = record.incarnation;
     entry->next_info_at = now;
     return;
   }
-  if (record.leaving && !entry->told_leaving) {
-    entry->told_leaving = true;
+  if (record.leaving && !entry->reported_leaving) {
+    entry->reported_leaving = true;
     urgent_ = true;
   }
   if (record.dead && entry->health.state(now) == HealthState::Healthy) {
-    // The sender may be cut off itself: the own poll decides, and comes at once.
+    // The sender may be partitioned itself. An immediate poll by this router decides.
     entry->next_info_at = now;
   }
 }
 
-/// Takes what a peer's machine list shows. It holds for each process of the machine: a router that cannot
-/// read the list itself may meet several new ones before any mark of their own reaches it.
+/// Applies the state of a machine in a peer's machine list. It applies to every process of the machine,
+/// because a router that cannot read the list itself may observe several new incarnations before it receives
+/// a mark for any of them.
 void EngineTable::onMachineGossip(Entry& entry, const EngineRecord& record) {
   const bool own_list_is_newer = last_list_ms_ > record.listed_at_ms;
-  if (own_list_is_newer || record.listed_at_ms < entry.machine_told_at_ms) return;
-  urgent_ = urgent_ || entry.machine_told_leaving != record.leaving;
-  entry.machine_told_leaving = record.leaving;
-  entry.machine_told_at_ms = record.listed_at_ms;
+  if (own_list_is_newer || record.listed_at_ms < entry.peer_list_at_ms) return;
+  urgent_ = urgent_ || entry.peer_list_leaving != record.leaving;
+  entry.peer_list_leaving = record.leaving;
+  entry.peer_list_at_ms = record.listed_at_ms;
 }
 
 void EngineTable::onOutcome(const EngineOutcome& outcome, TimePoint now) {
@@ -260,28 +263,27 @@
 }
 
 void EngineTable::ejectIfSlow(Entry& entry, TimePoint now) {
-  if (!entry.health.latenessKnown() || entry.health.lateness() < kSlowSeconds) return;
-  std::vector<double> others;
+  if (!entry.health.latenessKnown() || entry.health.lateness() < kMinSlowLateness) return;
+  std::vector<double> lateness;
   std::size_t pool_size = 0;
   std::size_t ejected = 0;
   for (const auto& [name, other] : entries_) {
     if (other.runner || other.view.pool != entry.view.pool) continue;
     ++pool_size;
     if (other.health.state(now) == HealthState::Ejected) ++ejected;
-    if (&other != &entry && other.health.latenessKnown()) others.push_back(other.health.lateness());
+    if (&other != &entry && other.health.latenessKnown()) lateness.push_back(other.health.lateness());
   }
-  const bool too_many =
-      static_cast<double>(ejected + 1) > kMaximumEjectedShare * static_cast<double>(pool_size);
-  if (others.empty() || too_many) return;
-  const auto middle = others.begin() + static_cast<std::ptrdiff_t>(others.size() / 2);
-  std::nth_element(others.begin(), middle, others.end());
-  if (entry.health.lateness() > kSlowFactor * *middle) entry.health.eject(now);
+  const bool too_many = static_cast<double>(ejected + 1) > kMaxEjectedShare * static_cast<double>(pool_size);
+  if (lateness.empty() || too_many) return;
+  const auto median = lateness.begin() + static_cast<std::ptrdiff_t>(lateness.size() / 2);
+  std::nth_element(lateness.begin(), median, lateness.end());
+  if (entry.health.lateness() > kSlowFactor * *median) entry.health.eject(now);
 }
 
 EngineState EngineTable::stateOf(const Entry& entry, TimePoint now) const {
   const HealthState health = entry.health.state(now);
   if (health == HealthState::Dead || health == HealthState::Untried) return EngineState::Dead;
-  const bool unlisted = entry.lists_without >= kListsUntilGone;
+  const bool unlisted = entry.missing_from_lists >= kListsUntilRemoved;
   if (entry.markedLeaving() || unlisted) return EngineState::Leaving;
   return health == HealthState::Ejected ? EngineState::Ejected : EngineState::Live;
 }
@@ -297,17 +299,17 @@
   for (const auto& [name, entry] : entries_) {
     const EngineState state = stateOf(entry, now);
     const bool usable = state == EngineState::Live || state == EngineState::Ejected;
-    if (usable && inOwnRegion(entry)) pools.insert(entry.view.pool);
+    if (usable && inLocalRegion(entry)) pools.insert(entry.view.pool);
   }
   return pools;
 }
 
 std::vector<EngineView> EngineTable::engines(TimePoint now) const {
-  const std::set<std::string> served = servedPools(now);
+  const std::set<std::string> served_pools = servedPools(now);
   std::vector<EngineView> views;
   for (const auto& [name, entry] : entries_) {
     if (entry.runner) continue;
-    if (inOwnRegion(entry) || !served.contains(entry.view.pool)) views.push_back(viewOf(entry, now));
+    if (inLocalRegion(entry) || !served_pools.contains(entry.view.pool)) views.push_back(viewOf(entry, now));
   }
   std::sort(views.begin(), views.end(),
             [](const EngineView& left, const EngineView& right) { return left.slot < right.slot; });
@@ -337,7 +339,7 @@
   return {};
 }
 
-bool EngineTable::takeUrgent(TimePoint now) {
+bool EngineTable::takeUrgentChange(TimePoint now) {
   for (auto& [name, entry] : entries_) {
     const EngineState state = stateOf(entry, now);
     if (state == entry.last_state) continue;
@@ -369,17 +371,17 @@
 }
 
 void EngineTable::announceMachine(const Entry& entry) {
-  if (entry.listed_at_ms == 0) return;  // Told by a peer, not read from a list.
+  if (entry.listed_at_ms == 0) return;  // Received from a peer, not from a machine list.
   announcements_.push_back({entry.view.name, kWholeMachine, entry.listed_leaving, false, entry.listed_at_ms});
 }
 
 EngineRecord EngineTable::recordOf(const Entry& entry, bool dead) {
-  return {entry.view.name, entry.view.incarnation, entry.told_leaving, dead};
+  return {entry.view.name, entry.view.incarnation, entry.reported_leaving, dead};
 }
 
 EngineTable::Entry* EngineTable::find(const std::string& name) {
-  const auto place = entries_.find(name);
-  return place == entries_.end() ? nullptr : &place->second;
+  const auto found = entries_.find(name);
+  return found == entries_.end() ? nullptr : &found->second;
 }
 
 EngineTable::Entry* EngineTable::findSlot(EngineSlot slot) {
--- a/src/router/engine_table_polls.cc
+++ b/src/router/engine_table_polls.cc
@@ -1,4 +1,4 @@
-// Which back ends EngineTable asks, and when.
+/// @file Selection and timing of the polls of EngineTable.
 
 #include <algorithm>
 
@@ -9,15 +9,15 @@
 
 namespace {
 
-/// Engines outside the own region are asked for their load this many times less often.
+/// Ratio of the load poll interval of engines in other regions to that in this router's region.
 constexpr int kOtherRegionFactor = 5;
-/// Engines whose load another router tells are asked this many times less often.
-constexpr int kElsewhereFactor = 50;
-/// An engine whose owner has told nothing for this long is asked directly.
-constexpr Duration kDigestPatience = std::chrono::seconds(6);
-/// Longest time between two looks at the table.
-constexpr Duration kLongestWait = std::chrono::seconds(1);
-/// Times between two polls vary by this share in both directions.
+/// Ratio of the load poll interval of engines whose load a peer sends to that of other engines.
+constexpr int kPeerPolledFactor = 50;
+/// Age of the last load report after which an engine that a peer should poll is polled directly.
+constexpr Duration kDigestTimeout = std::chrono::seconds(6);
+/// Maximum time until the table is checked again.
+constexpr Duration kMaxWait = std::chrono::seconds(1);
+/// Maximum relative deviation of a poll interval from its mean, in either direction.
 constexpr double kJitter = 0.2;
 
 }  // namespace
@@ -26,35 +26,35 @@
   if (self == self_ && routers == routers_) return;
   self_ = self;
   routers_ = std::move(routers);
-  std::set<std::string> owned_before;
+  std::set<std::string> previously_owned;
   for (auto& [name, entry] : entries_) {
-    if (pollClass(entry) == InfoPollClass::Owned) owned_before.insert(name);
+    if (pollClass(entry) == InfoPollClass::Owned) previously_owned.insert(name);
     entry.owned.reset();
   }
-  countForInfoPolls();
+  updateInfoCounts();
   for (auto& [name, entry] : entries_) {
-    if (pollClass(entry) != InfoPollClass::Owned || owned_before.contains(name)) continue;
-    // What the former owner saw last may be as old as an interval; those taken over are not all asked at
-    // once.
+    if (pollClass(entry) != InfoPollClass::Owned || previously_owned.contains(name)) continue;
+    // The previous owner's last report may be one interval old. The first polls of the acquired back ends are
+    // spread over an interval.
     const auto mean = static_cast<double>(infoInterval(entry).count());
-    const Duration wait(static_cast<Duration::rep>(mean * random_.unit()));
-    entry.next_info_at = std::min(entry.next_info_at, now + wait);
+    const Duration delay(static_cast<Duration::rep>(mean * random_.unit()));
+    entry.next_info_at = std::min(entry.next_info_at, now + delay);
   }
 }
 
-void EngineTable::countForInfoPolls() {
+void EngineTable::updateInfoCounts() {
   info_counts_ = {};
   for (auto& [name, entry] : entries_) {
     if (!entry.owned) entry.owned = routers_.empty() || ownerOf(name, routers_) == self_;
     const InfoPollClass poll_class = pollClass(entry);
     if (poll_class == InfoPollClass::Owned) ++info_counts_.owned;
     if (poll_class == InfoPollClass::InRegion) ++info_counts_.in_region;
-    if (poll_class == InfoPollClass::Elsewhere) ++info_counts_.elsewhere;
+    if (poll_class == InfoPollClass::OtherRegion) ++info_counts_.other_region;
   }
 }
 
 InfoPollClass EngineTable::pollClass(const Entry& entry) const {
-  if (!inOwnRegion(entry)) return InfoPollClass::Elsewhere;
+  if (!inLocalRegion(entry)) return InfoPollClass::OtherRegion;
   return entry.owned.value_or(true) ? InfoPollClass::Owned : InfoPollClass::InRegion;
 }
 
@@ -74,21 +74,21 @@
   return Duration(static_cast<Duration::rep>(static_cast<double>(mean.count()) * factor));
 }
 
-bool EngineTable::polledElsewhere(const Entry& entry, TimePoint now) const {
-  // An owner that went silent is not waited for.
-  return polled_elsewhere_.contains(entry.view.name) && now - entry.view.load.measured_at < kDigestPatience;
+bool EngineTable::polledByPeer(const Entry& entry, TimePoint now) const {
+  // Polls directly when the owner has stopped sending digests.
+  return polled_by_peers_.contains(entry.view.name) && now - entry.view.load.measured_at < kDigestTimeout;
 }
 
 bool EngineTable::wantsLoad(const Entry& entry, TimePoint now) const {
   const bool reachable = entry.view.incarnation != 0 && entry.health.state(now) != HealthState::Dead;
   if (entry.runner || !reachable || entry.load_running) return false;
-  return now >= entry.next_load_at || (entry.load_early && !polledElsewhere(entry, now));
+  return now >= entry.next_load_at || (entry.load_poll_early && !polledByPeer(entry, now));
 }
 
 std::vector<BackendPoll> EngineTable::duePolls(TimePoint now) {
   std::vector<BackendPoll> polls;
-  const std::size_t told = std::min(entries_.size(), polled_elsewhere_.size());
-  const std::size_t load_polled = entries_.size() - told + told / kElsewhereFactor;
+  const std::size_t peer_polled = std::min(entries_.size(), polled_by_peers_.size());
+  const std::size_t load_polled = entries_.size() - peer_polled + peer_polled / kPeerPolledFactor;
   for (auto& [name, entry] : entries_) {
     if (!entry.info_running && now >= entry.next_info_at) {
       entry.info_running = true;
@@ -98,10 +98,10 @@
     }
     if (!wantsLoad(entry, now)) continue;
     entry.load_running = true;
-    // An engine that another router asks is asked now and then, for what digests leave out.
-    const bool elsewhere = polled_elsewhere_.contains(name);
-    entry.load_early = elsewhere;
-    const int factor = elsewhere ? kElsewhereFactor : inOwnRegion(entry) ? 1 : kOtherRegionFactor;
+    // Engines polled by a peer are polled at a lower rate for the values that digests omit.
+    const bool polled_by_peer = polled_by_peers_.contains(name);
+    entry.load_poll_early = polled_by_peer;
+    const int factor = polled_by_peer ? kPeerPolledFactor : inLocalRegion(entry) ? 1 : kOtherRegionFactor;
     entry.next_load_at = now + loadInterval(load_polled) * factor;
     polls.push_back({BackendPoll::Kind::EngineLoad, name, entry.view.address});
   }
@@ -109,7 +109,7 @@
 }
 
 TimePoint EngineTable::nextTimer(TimePoint now) const {
-  TimePoint next = now + kLongestWait;
+  TimePoint next = now + kMaxWait;
   for (const auto& [name, entry] : entries_) {
     if (!entry.info_running) next = std::min(next, entry.next_info_at);
     const bool reachable = entry.view.incarnation != 0 && entry.health.state(now) != HealthState::Dead;
--- a/src/router/fleet_orders.cc
+++ b/src/router/fleet_orders.cc
@@ -7,10 +7,10 @@
 
 namespace {
 
-/// An order for an adapter that has shown no effect by then is given again.
+/// An adapter order without effect by then is repeated.
 constexpr Duration kAdapterTimeout = std::chrono::seconds(30);
-/// At most this share of the engines that serve a model loads at the same time.
-constexpr double kMaximumLoadingShare = 0.5;
+/// Maximum share of the engines serving a model that may load weights at the same time.
+constexpr double kMaxLoadingShare = 0.5;
 
 const LoadedModel* findLoaded(const EngineView& engine, const std::string& model) {
   for (const LoadedModel& loaded : engine.models) {
@@ -24,8 +24,9 @@
   return std::find(pools.begin(), pools.end(), engine.pool) != pools.end();
 }
 
-/// An engine that holds other models only is left alone: the pool's operator chose what it loads. One that
-/// holds none came back empty and gets what its pool serves.
+/// @return whether the engine should load the model's weights. An engine that has only other models loaded is
+/// left unchanged, because the operator of the pool chose them. An engine without any model has restarted and
+/// loads what its pool serves.
 bool wantsWeights(const ModelPolicy& model, const EngineView& engine) {
   if (!serves(model, engine)) return false;
   const LoadedModel* loaded = findLoaded(engine, model.name);
@@ -33,6 +34,7 @@
   return loaded->weights_version != model.weights_version;
 }
 
+/// @return the first adapter that the engine lacks, or empty. Adapters are loaded only onto current weights.
 std::optional<std::string> missingAdapter(const ModelPolicy& model, const EngineView& engine) {
   if (!serves(model, engine)) return std::nullopt;
   const LoadedModel* loaded = findLoaded(engine, model.name);
@@ -47,7 +49,7 @@
 
 }  // namespace
 
-std::size_t FleetOrders::loading() const {
+std::size_t FleetOrders::loadingCount() const {
   return static_cast<std::size_t>(std::count_if(running_.begin(), running_.end(), [](const auto& item) {
     return item.second.kind == FleetOrderKind::LoadWeights;
   }));
@@ -57,13 +59,13 @@
   std::erase_if(running_, [&](const auto& item) {
     const Running& running = item.second;
     if (now >= running.ends_at) return true;
-    const auto place = std::find_if(engines.begin(), engines.end(),
+    const auto found = std::find_if(engines.begin(), engines.end(),
                                     [&item](const EngineView& engine) { return engine.name == item.first; });
-    if (place == engines.end() || place->incarnation != running.incarnation) return true;
-    const LoadedModel* loaded = findLoaded(*place, running.model);
+    if (found == engines.end() || found->incarnation != running.incarnation) return true;
+    const LoadedModel* loaded = findLoaded(*found, running.model);
     if (loaded == nullptr) return false;
-    if (running.kind == FleetOrderKind::LoadWeights) return loaded->weights_version == running.goal;
-    return std::find(loaded->adapters.begin(), loaded->adapters.end(), running.goal) !=
+    if (running.kind == FleetOrderKind::LoadWeights) return loaded->weights_version == running.target;
+    return std::find(loaded->adapters.begin(), loaded->adapters.end(), running.target) !=
            loaded->adapters.end();
   });
 }
@@ -72,17 +74,17 @@
                           const std::vector<EngineView>& engines) const {
   if (findLoaded(engine, model.name) == nullptr) return true;
   std::size_t serving = 0;
-  std::size_t busy = 0;
+  std::size_t loading = 0;
   for (const EngineView& other : engines) {
-    const bool same_place = other.region == engine.region && serves(model, other);
-    if (!same_place || other.state != EngineState::Live) continue;
-    const auto place = running_.find(other.name);
-    const bool loads = place != running_.end() && place->second.kind == FleetOrderKind::LoadWeights;
-    busy += loads ? 1 : 0;
-    serving += loads || findLoaded(other, model.name) != nullptr ? 1 : 0;
+    const bool same_region_pool = other.region == engine.region && serves(model, other);
+    if (!same_region_pool || other.state != EngineState::Live) continue;
+    const auto found = running_.find(other.name);
+    const bool is_loading = found != running_.end() && found->second.kind == FleetOrderKind::LoadWeights;
+    loading += is_loading ? 1 : 0;
+    serving += is_loading || findLoaded(other, model.name) != nullptr ? 1 : 0;
   }
-  const double limit = std::max(1.0, kMaximumLoadingShare * static_cast<double>(serving));
-  return static_cast<double>(busy + 1) <= limit;
+  const double limit = std::max(1.0, kMaxLoadingShare * static_cast<double>(serving));
+  return static_cast<double>(loading + 1) <= limit;
 }
 
 std::vector<FleetOrder> FleetOrders::due(const Bundle& bundle, const std::vector<EngineView>& engines,
@@ -99,13 +101,13 @@
       Running running{engine.incarnation, model.name, model.weights_version, FleetOrderKind::LoadWeights,
                       now + options_.weights_timeout};
       if (wantsWeights(model, engine)) {
-        const bool wave_full = loading() >= bundle.knobs.parallel_weight_loads;
+        const bool wave_full = loadingCount() >= bundle.knobs.parallel_weight_loads;
         if (wave_full || !mayLoad(model, engine, engines)) continue;
       } else if (const auto adapter = missingAdapter(model, engine)) {
         order.kind = FleetOrderKind::LoadAdapter;
         order.adapter = *adapter;
         running.kind = FleetOrderKind::LoadAdapter;
-        running.goal = *adapter;
+        running.target = *adapter;
         running.ends_at = now + kAdapterTimeout;
       } else {
         continue;
@@ -118,8 +120,8 @@
 }
 
 void FleetOrders::onFailed(const FleetOrder& order) {
-  const auto place = running_.find(order.engine);
-  if (place != running_.end() && place->second.incarnation == order.incarnation) running_.erase(place);
+  const auto found = running_.find(order.engine);
+  if (found != running_.end() && found->second.incarnation == order.incarnation) running_.erase(found);
 }
 
 }  // namespace crankspur
--- a/src/router/fleet_orders.h
+++ b/src/router/fleet_orders.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Which engines should load which weights and adapters now, so that the fleet comes to what the bundle
-/// says, in waves that the weight store bears. Pure decision code; one lease holder runs it.
+/// @file Orders to engines to load weights and adapters until the fleet matches the bundle. Loads are started
+/// in waves to bound the load on the weight store. Decision logic only, without I/O; run by one lease holder.
 
 #include <cstdint>
 #include <map>
@@ -13,10 +13,10 @@
 
 namespace crankspur {
 
-/// What an engine is told to load.
+/// What an order makes an engine load.
 enum class FleetOrderKind { LoadWeights, LoadAdapter };
 
-/// One order; sent with the lease's fencing token.
+/// An order to one engine, sent with the lease's fencing token.
 struct FleetOrder {
   FleetOrderKind kind = FleetOrderKind::LoadWeights;
   std::string engine;
@@ -27,40 +27,44 @@
   std::string adapter;  ///< For LoadAdapter.
 };
 
-/// Tunables of the roll-out.
+/// Parameters of the rollout.
 struct FleetOrderOptions {
-  Duration weights_timeout = std::chrono::minutes(5);  ///< An order without effect by then is given again.
+  Duration weights_timeout = std::chrono::minutes(5);  ///< An order without effect by then is repeated.
 };
 
-/// The roll-out. Holds which orders are under way; a new holder begins with none and learns from the engines.
+/// Rollout state: the orders in progress. A new lease holder starts without any and derives the state of the
+/// fleet from the engines' reports. Not thread-safe.
 class FleetOrders {
 public:
   explicit FleetOrders(FleetOrderOptions options = {}) : options_(options) {}
-  /// @param engines every engine of the fleet.
+  /// @param engines all engines of the fleet.
   /// @return orders to send now.
   std::vector<FleetOrder> due(const Bundle& bundle, const std::vector<EngineView>& engines, TimePoint now);
-  /// An engine refused or did not answer: the order counts as not given.
+  /// An engine refused the order or did not respond; the order is no longer in progress and may be repeated.
   void onFailed(const FleetOrder& order);
-  /// Forgets everything; the lease was lost.
+  /// Discards all orders in progress because the lease was lost.
   void reset() { running_.clear(); }
-  /// @return orders under way.
+  /// @return the number of orders in progress.
   std::size_t running() const { return running_.size(); }
 
 private:
   struct Running {
     std::uint64_t incarnation = 0;
     std::string model;
-    std::string goal;  ///< Weights version or adapter.
+    std::string target;  ///< Weights version or adapter.
     FleetOrderKind kind = FleetOrderKind::LoadWeights;
     TimePoint ends_at{};
   };
   void dropFinished(const std::vector<EngineView>& engines, TimePoint now);
+  /// @return whether the engine may load weights of the model now. Limits the share of the engines serving
+  /// the model that load at the same time.
   bool mayLoad(const ModelPolicy& model, const EngineView& engine,
                const std::vector<EngineView>& engines) const;
-  std::size_t loading() const;
+  /// @return the number of weight loads in progress.
+  std::size_t loadingCount() const;
 
   FleetOrderOptions options_;
-  std::map<std::string, Running> running_;  ///< By engine: one order at a time.
+  std::map<std::string, Running> running_;  ///< By engine name; at most one order per engine.
 };
 
 }  // namespace crankspur
--- a/src/router/info_polls.cc
+++ b/src/router/info_polls.cc
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// Share of the rate that owned back ends may take while there are others.
+/// Maximum share of the rate for owned back ends while there are other back ends.
 constexpr double kOwnedShare = 0.875;
-/// Back ends of other regions are asked this many times less often than those of the own region.
-constexpr double kElsewhereFactor = 5;
+/// Ratio of the poll interval of back ends in other regions to that of back ends in the router's region.
+constexpr double kOtherRegionFactor = 5;
 
 Duration fromSeconds(double seconds) {
   return Duration(static_cast<Duration::rep>(seconds * 1e6));
@@ -17,17 +17,19 @@
 
 }  // namespace
 
-Duration infoPollInterval(InfoPollClass poll_class, const InfoPollCounts& counts, Duration shortest,
+Duration infoPollInterval(InfoPollClass poll_class, const InfoPollCounts& counts, Duration min_interval,
                           double polls_per_second) {
   const auto owned = static_cast<double>(counts.owned);
   const double others =
-      static_cast<double>(counts.in_region) + static_cast<double>(counts.elsewhere) / kElsewhereFactor;
+      static_cast<double>(counts.in_region) + static_cast<double>(counts.other_region) / kOtherRegionFactor;
   const double owned_limit = others > 0 ? polls_per_second * kOwnedShare : polls_per_second;
-  if (poll_class == InfoPollClass::Owned) return std::max(shortest, fromSeconds(owned / owned_limit));
-  const double owned_rate = std::min(owned / toSeconds(shortest), owned_limit);
-  const Duration of_region = std::max(shortest, fromSeconds(others / (polls_per_second - owned_rate)));
-  if (poll_class == InfoPollClass::InRegion) return of_region;
-  return Duration(static_cast<Duration::rep>(static_cast<double>(of_region.count()) * kElsewhereFactor));
+  if (poll_class == InfoPollClass::Owned) return std::max(min_interval, fromSeconds(owned / owned_limit));
+  const double owned_rate = std::min(owned / toSeconds(min_interval), owned_limit);
+  const Duration in_region_interval =
+      std::max(min_interval, fromSeconds(others / (polls_per_second - owned_rate)));
+  if (poll_class == InfoPollClass::InRegion) return in_region_interval;
+  return Duration(
+      static_cast<Duration::rep>(static_cast<double>(in_region_interval.count()) * kOtherRegionFactor));
 }
 
 }  // namespace crankspur
--- a/src/router/info_polls.h
+++ b/src/router/info_polls.h
@@ -1,7 +1,7 @@
 #pragma once
-/// @file How often a router asks each back end what it is. Each back end has one owner among the live routers
-/// of its region, who asks it about once a second; the others ask it now and then and hear the rest from the
-/// owner. Pure decision code.
+/// @file Interval at which a router polls the info of each back end. Each back end has one owner among the
+/// live routers of its region, which polls it about once a second. The other routers poll it at a lower rate
+/// and otherwise receive updates from the owner. Decision logic only, without I/O.
 
 #include <cstddef>
 
@@ -9,24 +9,24 @@
 
 namespace crankspur {
 
-/// How closely a router follows a back end.
+/// Relation of a back end to the polling router; determines the poll rate.
 enum class InfoPollClass {
-  Owned,      ///< Of the own region, owned by this router.
-  InRegion,   ///< Of the own region, owned by another router.
-  Elsewhere,  ///< Of another region.
+  Owned,        ///< In the router's region and owned by it.
+  InRegion,     ///< In the router's region and owned by another router.
+  OtherRegion,  ///< In another region.
 };
 
-/// Back ends that a router knows, by class.
+/// Number of back ends known to a router, by class.
 struct InfoPollCounts {
   std::size_t owned = 0;
   std::size_t in_region = 0;
-  std::size_t elsewhere = 0;
+  std::size_t other_region = 0;
 };
 
-/// @param shortest time between two questions to one back end, however few there are.
-/// @param polls_per_second of this router to all back ends together.
-/// @return mean time between two questions to a back end of the class.
-Duration infoPollInterval(InfoPollClass poll_class, const InfoPollCounts& counts, Duration shortest,
+/// @param min_interval lower bound of the interval, however few back ends there are.
+/// @param polls_per_second upper bound of this router's rate over all back ends.
+/// @return mean interval between polls of a back end of the class.
+Duration infoPollInterval(InfoPollClass poll_class, const InfoPollCounts& counts, Duration min_interval,
                           double polls_per_second);
 
 }  // namespace crankspur
--- a/src/router/model_capacity.h
+++ b/src/router/model_capacity.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file What the fleet can serve of one model: its use, and the weights versions while a new one is rolled
-/// out.
+/// @file Capacity of the fleet for one model: its utilization, and the loaded weights versions during a
+/// rollout.
 
 #include <cstdint>
 #include <string>
@@ -10,7 +10,7 @@
 
 namespace crankspur {
 
-/// Live engines that hold one weights version.
+/// Number of live engines that have a weights version loaded.
 struct WeightsCapacity {
   std::string version;
   std::uint32_t engines = 0;
@@ -22,17 +22,17 @@
   std::uint64_t request_limit = 0;
   std::vector<WeightsCapacity> weights;  ///< Sorted by version.
 
-  /// @return share of the capacity in use; 0 when none is known.
+  /// @return used share of the capacity; 0 when the capacity is unknown.
   double utilization() const;
-  /// Orders the weights versions that a fresh answer may use, the preferred one first. While engines load a
-  /// new version in waves, both the old and the new one are loaded somewhere: requests are spread by their
-  /// hash in proportion to the engines, so that the first engines of the new version do not get all of the
-  /// load. Once every engine has the bundle's version it is the only one.
-  /// @param wanted the bundle's version, the only one returned when no engine holds any.
-  std::vector<std::string> weightsInOrder(const std::string& wanted, std::uint64_t request_hash) const;
+  /// During a rollout some engines have the old weights version and others the new one. Requests are then
+  /// distributed over the versions by hash, in proportion to the number of engines, so that the first engines
+  /// with the new version do not receive the complete load.
+  /// @param wanted the version of the bundle; the only one returned when no engine has the model loaded.
+  /// @return the versions that a new completion may use, the preferred one first.
+  std::vector<std::string> orderedWeights(const std::string& wanted, std::uint64_t request_hash) const;
 };
 
-/// Sums up the engines of `snapshot` that serve `model`.
+/// @return the capacity of the live engines in `snapshot` that serve `model`.
 ModelCapacity measureCapacity(const RoutingSnapshot& snapshot, const ModelPolicy& model);
 
 }  // namespace crankspur
--- a/src/router/operation_flow.cc
+++ b/src/router/operation_flow.cc
@@ -1,5 +1,5 @@
-/// @file The course of an operation at an application runner. One that may not be repeated is dispatched only
-/// under a granted claim, and never again once bytes may have left.
+/// @file Operations at application runners. An operation that must not be repeated is dispatched only under a
+/// granted claim, and never again once bytes may have been sent.
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Advice to callers when no runner can take the operation now.
+/// Retry delay returned to callers when no runner can accept the operation.
 constexpr Duration kRetryAfter = std::chrono::seconds(1);
 
 bool contains(const std::vector<std::string>& names, const std::string& name) {
@@ -39,19 +39,19 @@
 const EngineView* RequestRouterImpl::chooseRunner(const RequestEntry& entry) {
   const OperationPolicy* operation = bundle()->findOperation(entry.request.operation);
   if (operation == nullptr) return nullptr;
-  std::vector<const EngineView*> least;
+  std::vector<const EngineView*> least_loaded;
   std::uint32_t least_load = 0;
   for (const EngineView& runner : snapshot_->runners) {
     if (runner.state != EngineState::Live || !contains(operation->pools, runner.pool)) continue;
     if (contains(entry.excluded_runners, runner.name)) continue;
     const auto found = runner_load_.find(runner.name);
     const std::uint32_t load = found == runner_load_.end() ? 0 : found->second;
-    if (!least.empty() && load > least_load) continue;
-    if (load < least_load) least.clear();
+    if (!least_loaded.empty() && load > least_load) continue;
+    if (load < least_load) least_loaded.clear();
     least_load = load;
-    least.push_back(&runner);
+    least_loaded.push_back(&runner);
   }
-  return least.empty() ? nullptr : least[random_.uniform(0, least.size() - 1)];
+  return least_loaded.empty() ? nullptr : least_loaded[random_.uniform(0, least_loaded.size() - 1)];
 }
 
 void RequestRouterImpl::dispatchOperation(RequestEntry& entry, TimePoint now) {
@@ -73,7 +73,7 @@
   actions_.emplace_back(std::move(action));
 }
 
-void RequestRouterImpl::operationEvent(RequestEntry& entry, const BackendEvent& event, TimePoint now) {
+void RequestRouterImpl::onOperationEvent(RequestEntry& entry, const BackendEvent& event, TimePoint now) {
   Attempt& attempt = *entry.dispatch->attempt;
   if (std::holds_alternative<BackendAccepted>(event)) {
     attempt.apply(AttemptEvent::BackendAccepted);
@@ -84,30 +84,30 @@
     entry.text += piece->text;
     return;
   }
-  if (std::holds_alternative<BackendEnd>(event)) return operationEnd(entry, now);
+  if (std::holds_alternative<BackendEnd>(event)) return onOperationEnd(entry, now);
   if (const auto* refused = std::get_if<BackendRefused>(&event)) {
     entry.last_error = refused->code;
     entry.last_retry_after = refused->retry_after;
-    // A refusal after an acceptance contradicts itself: what ran is unknown.
+    // A refusal after an acceptance violates the protocol; whether the operation ran is unknown.
     if (!attempt.apply(AttemptEvent::BackendRefusedNotRun)) attempt.apply(AttemptEvent::ConnectionFailed);
-    return operationFailed(entry, now);
+    return onOperationFailed(entry, now);
   }
   attempt.apply(AttemptEvent::ConnectionFailed);
   const bool never_sent = attempt.state() == AttemptState::NeverSent;
   entry.last_error = never_sent ? ErrorCode::EngineUnavailable : ErrorCode::EngineLost;
-  operationFailed(entry, now);
+  onOperationFailed(entry, now);
 }
 
-void RequestRouterImpl::operationEnd(RequestEntry& entry, TimePoint now) {
+void RequestRouterImpl::onOperationEnd(RequestEntry& entry, TimePoint now) {
   entry.dispatch->attempt->apply(AttemptEvent::AnswerComplete);
   const std::string runner = entry.dispatch->backend;
   const std::string result = std::move(entry.text);
   closeDispatch(entry, now);
   if (entry.claim) completeClaim(entry, result, now);
-  answerOperation(entry, result, runner, now);
+  sendOperationResult(entry, result, runner, now);
 }
 
-void RequestRouterImpl::operationFailed(RequestEntry& entry, TimePoint now) {
+void RequestRouterImpl::onOperationFailed(RequestEntry& entry, TimePoint now) {
   log(EventId::AttemptLost, entry,
       {{"backend", entry.dispatch->backend}, {"reason", errorName(entry.last_error)}});
   entry.excluded_runners.push_back(entry.dispatch->backend);
@@ -128,15 +128,15 @@
   if (final_refusal) {
     return refuse(entry, entry.last_error, entry.last_retry_after, "the runner refused the operation", now);
   }
-  if (entry.answered || now >= entry.deadline) return deadlinePassed(entry, now);
+  if (entry.record_only || now >= entry.deadline) return onDeadline(entry, now);
   if (entry.admitted) return dispatchOperation(entry, now);
   AdmissionRequest admission = admissionOf(entry, now);
   admission.retry = true;
   if (admit(entry, admission, now)) dispatchOperation(entry, now);
 }
 
-void RequestRouterImpl::answerOperation(RequestEntry& entry, const std::string& result,
-                                        const std::string& runner, TimePoint now) {
+void RequestRouterImpl::sendOperationResult(RequestEntry& entry, const std::string& result,
+                                            const std::string& runner, TimePoint now) {
   const std::uint32_t tokens = countTokens(result);
   if (!result.empty()) {
     send(entry, StreamPiece{entry.request.request_id, entry.request.attempt, 0, tokens, result});
--- a/src/router/request_checks.h
+++ b/src/router/request_checks.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Checks of a submitted request against the bundle, before anything else is decided.
+/// @file Validation of a submitted request against the bundle. Precedes every other decision.
 
 #include <optional>
 #include <string>
@@ -9,17 +9,17 @@
 
 namespace crankspur {
 
-/// Why a request cannot be taken.
-struct RequestProblem {
+/// Reason for the rejection of a request.
+struct RequestError {
   ErrorCode code = ErrorCode::InvalidRequest;
   std::string message;
 };
 
-/// @return the first problem found, or empty when the bundle allows the request.
-std::optional<RequestProblem> checkRequest(const SubmitRequest& request, const Bundle& bundle);
+/// @return the first error found, or empty when the bundle allows the request.
+std::optional<RequestError> checkRequest(const SubmitRequest& request, const Bundle& bundle);
 
-/// @return whether at most one execution of the request is allowed. Either side may demand it: the caller by
-/// the request, the operators by the bundle.
+/// @return whether the request may be executed at most once. Required by either the caller, in the request,
+/// or the operators, in the bundle.
 bool needsClaim(const SubmitRequest& request, const Bundle& bundle);
 
 }  // namespace crankspur
--- a/src/router/request_entry.h
+++ b/src/router/request_entry.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file One request inside a RequestRouter, from its submission to its end.
+/// @file State of one request in a RequestRouter.
 
 #include <memory>
 #include <optional>
@@ -12,7 +12,7 @@
 
 namespace crankspur {
 
-/// The dispatch that a request waits for now.
+/// The current dispatch of a request.
 struct CurrentDispatch {
   DispatchId id = 0;
   std::unique_ptr<Attempt> attempt;
@@ -20,17 +20,17 @@
   EngineSlot engine = 0;
   std::uint64_t incarnation = 0;
   std::string weights_version;
-  std::uint64_t first_token = 0;             ///< Offset of the first token it gives.
-  std::uint32_t computed_prompt_tokens = 0;  ///< Prompt tokens the engine did not find cached.
-  std::uint32_t import_tokens = 0;           ///< Leading tokens that an import leaves it with; 0: none.
-  bool prefill_done = false;                 ///< A token came.
+  std::uint64_t first_token_offset = 0;      ///< Offset of the first token of this dispatch.
+  std::uint32_t computed_prompt_tokens = 0;  ///< Prompt tokens that the engine did not have cached.
+  std::uint32_t import_tokens = 0;           ///< Leading tokens held after an import; 0: no import.
+  bool prefill_done = false;                 ///< The first token was received.
   TimePoint dispatched_at{};
-  bool resume = false;        ///< Takes up work that already runs.
-  bool costless = false;      ///< It ended without any work or load at the back end.
-  TimePoint last_heard_at{};  ///< When it was sent, or the back end was last heard of.
+  bool resume = false;           ///< Reattaches to work that is already running.
+  bool costless = false;         ///< Ended without work or load at the back end.
+  TimePoint last_activity_at{};  ///< When it was sent, or when the last event from the back end was received.
 };
 
-/// An engine that failed a request, until it comes back under another incarnation.
+/// An engine that failed a request. Excluded from its placement until the incarnation changes.
 struct ExcludedEngine {
   EngineSlot slot = 0;
   std::uint64_t incarnation = 0;
@@ -40,23 +40,23 @@
 struct RequestEntry {
   enum class Phase {
     WaitingForBundle,  ///< The shard's bundle is older than the sidecar's.
-    Claiming,          ///< The claim of an operation is not decided.
-    Running,           ///< A dispatch is under way.
+    Claiming,          ///< Waiting for the decision on the operation's claim.
+    Running,           ///< A dispatch is in progress.
   };
 
-  std::uint64_t serial = 0;  ///< Names the entry within the shard.
+  std::uint64_t serial = 0;  ///< Identifies the entry within the shard.
   SubmitRequest request;
   SidecarId sidecar = 0;
   Phase phase = Phase::Running;
   TimePoint submitted_at{};
   TimePoint deadline{};
-  TimePoint timer = TimePoint::max();  ///< The instant registered with the shard's timers.
-  TimePoint hold_until{};              ///< End of WaitingForBundle.
+  TimePoint timer = TimePoint::max();  ///< Time registered with the shard's timers.
+  TimePoint bundle_wait_end{};         ///< End of WaitingForBundle.
 
   std::optional<CurrentDispatch> dispatch;
-  std::uint32_t dispatches = 0;           ///< Dispatches that asked a back end to begin work.
-  std::uint32_t resumes = 0;              ///< Dispatches that asked an engine to go on.
-  RunState run_state = RunState::NotRun;  ///< Highest over the dispatches that ended.
+  std::uint32_t dispatches = 0;           ///< Dispatches that started work at a back end.
+  std::uint32_t resumes = 0;              ///< Dispatches that resumed a stream at an engine.
+  RunState run_state = RunState::NotRun;  ///< Highest of the dispatches that ended.
   std::vector<ExcludedEngine> excluded;   ///< Engines that failed this request.
   std::vector<std::string> excluded_runners;
   ErrorCode last_error = ErrorCode::EngineUnavailable;
@@ -64,18 +64,19 @@
 
   std::vector<BlockHash> blocks;
   std::string blocks_weights;       ///< Weights version that `blocks` is salted with.
-  std::string text;                 ///< The answer's text so far, from offset 0.
-  std::uint64_t tokens = 0;         ///< The answer's tokens so far, from offset 0.
-  std::string answer_weights;       ///< Weights version of `text`; empty while there is none.
-  std::uint32_t prompt_tokens = 0;  ///< As the engine counted; 0 until accepted.
+  std::string text;                 ///< Generated text so far, from offset 0.
+  std::uint64_t tokens = 0;         ///< Generated tokens so far, from offset 0.
+  std::string answer_weights;       ///< Weights version of `text`; empty while there is no text.
+  std::uint32_t prompt_tokens = 0;  ///< As counted by the engine; 0 until accepted.
   std::uint32_t cached_tokens = 0;
 
-  std::uint32_t priority = 1;                ///< As admission set it.
-  std::optional<AdmissionRequest> admitted;  ///< Set while the request counts as in flight.
-  std::optional<std::uint64_t> claim;        ///< Names the claim of an operation.
+  std::uint32_t priority = 1;                ///< As set by admission control.
+  std::optional<AdmissionRequest> admitted;  ///< Set while admission control counts the request.
+  std::optional<std::uint64_t> claim;        ///< Identifies the claim of an operation.
   bool claim_granted = false;
   bool first_token_seen = false;
-  bool answered = false;  ///< The sidecar has its final answer or is gone; only the record matters.
+  /// The sidecar received its final response or disconnected; only the claim's record is still needed.
+  bool record_only = false;
   DecisionRecord record;
 };
 
--- a/src/router/request_router.cc
+++ b/src/router/request_router.cc
@@ -9,34 +9,35 @@
 
 namespace {
 
-/// How long a request waits for a bundle as new as its sidecar's.
-constexpr Duration kBundleWait = std::chrono::seconds(1);
-/// Advice to callers when the bundle did not come.
+/// Time that a request waits for a bundle at least as new as its sidecar's.
+constexpr Duration kBundleWaitTimeout = std::chrono::seconds(1);
+/// Retry delay returned to callers when the bundle was not received in time.
 constexpr Duration kBundleRetryAfter = std::chrono::seconds(1);
-/// Silence, connect included, before an engine's acceptance, which needs no computation, after which it
-/// counts as lost.
-constexpr Duration kAcceptSilence = std::chrono::seconds(2);
-/// Silence in the middle of a stream after which its engine counts as lost.
-constexpr Duration kStreamSilence = std::chrono::seconds(4);
-/// Silence after which a resume call counts as failed.
-constexpr Duration kResumeSilence = std::chrono::seconds(1);
-constexpr Duration kUnboundedSilence = std::chrono::hours(24);
-/// How long an operation's answer is waited for, to be recorded, after the caller has its refusal.
-constexpr Duration kRecordWait = std::chrono::minutes(10);
-/// Requests whose ended attempts are remembered.
-constexpr std::size_t kRememberedRequests = 8192;
-
-/// @return how long the engine may be silent now.
-Duration allowedSilence(const CurrentDispatch& dispatch) {
+/// Time limit of an engine's acceptance, including the connect. Acceptance requires no computation, so an
+/// engine that exceeds it is considered lost.
+constexpr Duration kAcceptTimeout = std::chrono::seconds(2);
+/// Time without events in a stream after which its engine is considered lost.
+constexpr Duration kStreamIdleTimeout = std::chrono::seconds(4);
+/// Time without events after which a resume call is considered failed.
+constexpr Duration kResumeTimeout = std::chrono::seconds(1);
+constexpr Duration kUnboundedTimeout = std::chrono::hours(24);
+/// Time after the deadline during which the result of an operation is still awaited to be recorded, although
+/// the caller was refused.
+constexpr Duration kRecordTimeout = std::chrono::minutes(10);
+/// Number of requests whose ended attempts are stored.
+constexpr std::size_t kMaxEndedRequests = 8192;
+
+/// @return the time without events after which the dispatch is considered failed, given its state.
+Duration idleTimeout(const CurrentDispatch& dispatch) {
   switch (dispatch.attempt->state()) {
     case AttemptState::NotSent:
     case AttemptState::Sent:
-      return dispatch.resume ? kResumeSilence : kAcceptSilence;
+      return dispatch.resume ? kResumeTimeout : kAcceptTimeout;
     case AttemptState::Streaming:
-      return kStreamSilence;
+      return kStreamIdleTimeout;
     default:
-      // A queue at the engine is bounded by the deadline.
-      return kUnboundedSilence;
+      // Time in the engine's queue is bounded by the deadline.
+      return kUnboundedTimeout;
   }
 }
 
@@ -45,7 +46,7 @@
 RequestRouterImpl::RequestRouterImpl(RequestRouterOptions options)
     : options_(std::move(options)),
       random_(options_.random_seed),
-      ended_(kRememberedRequests),
+      ended_attempts_(kMaxEndedRequests),
       records_(options_.explain_records) {}
 
 RequestEntry* RequestRouterImpl::findEntry(Serial serial) {
@@ -69,13 +70,13 @@
 
 void RequestRouterImpl::onSubmit(SidecarId sidecar, const SubmitRequest& request, TimePoint now) {
   if (RequestEntry* entry = findRequest(request.request_id)) return resubmit(*entry, sidecar, request, now);
-  // A late copy of an attempt that ended or was cancelled already has its final answer.
-  if (request.attempt != 0 && request.attempt <= ended_.highest(request.request_id)) return;
-  takeIn(sidecar, request, RunState::NotRun, now);
+  // A delayed duplicate of an attempt that ended or was cancelled; its final response was sent.
+  if (request.attempt != 0 && request.attempt <= ended_attempts_.highest(request.request_id)) return;
+  addRequest(sidecar, request, RunState::NotRun, now);
 }
 
-void RequestRouterImpl::takeIn(SidecarId sidecar, const SubmitRequest& request, RunState earlier,
-                               TimePoint now) {
+void RequestRouterImpl::addRequest(SidecarId sidecar, const SubmitRequest& request, RunState previous_state,
+                                   TimePoint now) {
   const Serial serial = next_serial_++;
   auto owned = std::make_unique<RequestEntry>();
   RequestEntry& entry = *owned;
@@ -84,7 +85,7 @@
   entry.sidecar = sidecar;
   entry.submitted_at = now;
   entry.deadline = now + request.deadline;
-  entry.run_state = request.resume_offset > 0 ? RunState::Ran : earlier;
+  entry.run_state = request.resume_offset > 0 ? RunState::Ran : previous_state;
   entry.record.request_id = request.request_id;
   entry.record.attempt = request.attempt;
   entry.record.tenant = request.tenant;
@@ -98,26 +99,26 @@
   if (request.deadline <= Duration{0}) {
     return refuse(entry, ErrorCode::DeadlineExceeded, Duration{0}, "no time is left", now);
   }
-  begin(entry, now);
+  startRequest(entry, now);
 }
 
-void RequestRouterImpl::begin(RequestEntry& entry, TimePoint now) {
-  if (holdForBundle(entry, now)) return;
+void RequestRouterImpl::startRequest(RequestEntry& entry, TimePoint now) {
+  if (waitForBundle(entry, now)) return;
   entry.record.bundle_version = bundle()->version;
-  if (const auto problem = checkRequest(entry.request, *bundle())) {
-    return refuse(entry, problem->code, Duration{0}, problem->message, now);
+  if (const auto error = checkRequest(entry.request, *bundle())) {
+    return refuse(entry, error->code, Duration{0}, error->message, now);
   }
   entry.phase = RequestEntry::Phase::Running;
   if (entry.request.kind == RequestKind::Application) return startOperation(entry, now);
   startCompletion(entry, now);
 }
 
-bool RequestRouterImpl::holdForBundle(RequestEntry& entry, TimePoint now) {
-  const Bundle* held = bundle();
-  if (held != nullptr && held->version >= entry.request.bundle_version) return false;
+bool RequestRouterImpl::waitForBundle(RequestEntry& entry, TimePoint now) {
+  const Bundle* current = bundle();
+  if (current != nullptr && current->version >= entry.request.bundle_version) return false;
   if (entry.phase != RequestEntry::Phase::WaitingForBundle) {
     entry.phase = RequestEntry::Phase::WaitingForBundle;
-    entry.hold_until = now + kBundleWait;
+    entry.bundle_wait_end = now + kBundleWaitTimeout;
   }
   schedule(entry);
   return true;
@@ -127,38 +128,38 @@
                                  TimePoint now) {
   if (request.attempt <= entry.request.attempt) return;
   if (adopt(entry, sidecar, request, now)) return;
-  // The sidecar left the older attempt; its dispatch must not go on beside the new one.
+  // The sidecar abandoned the older attempt, whose dispatch must not run concurrently with the new one.
   cancelDispatch(entry, now);
-  const RunState earlier = entry.run_state;
+  const RunState previous_state = entry.run_state;
   finish(entry, "superseded", now);
-  takeIn(sidecar, request, earlier, now);
+  addRequest(sidecar, request, previous_state, now);
 }
 
 bool RequestRouterImpl::adopt(RequestEntry& entry, SidecarId sidecar, const SubmitRequest& request,
                               TimePoint now) {
-  const SubmitRequest& held = entry.request;
-  const bool same_work = request.kind == held.kind && request.tenant == held.tenant &&
-                         request.model == held.model && request.adapter == held.adapter &&
-                         request.operation == held.operation && request.prompt == held.prompt &&
-                         request.idempotency_key == held.idempotency_key &&
-                         request.max_tokens == held.max_tokens;
-  const bool prefix = request.resume_offset <= entry.tokens &&
-                      entry.text.compare(0, request.resume_text.size(), request.resume_text) == 0;
-  const bool underway = entry.claim.has_value() || entry.dispatch.has_value();
-  if (!same_work || !prefix || !underway) return false;
+  const SubmitRequest& current = entry.request;
+  const bool same_work = request.kind == current.kind && request.tenant == current.tenant &&
+                         request.model == current.model && request.adapter == current.adapter &&
+                         request.operation == current.operation && request.prompt == current.prompt &&
+                         request.idempotency_key == current.idempotency_key &&
+                         request.max_tokens == current.max_tokens;
+  const bool text_matches = request.resume_offset <= entry.tokens &&
+                            entry.text.compare(0, request.resume_text.size(), request.resume_text) == 0;
+  const bool in_progress = entry.claim.has_value() || entry.dispatch.has_value();
+  if (!same_work || !text_matches || !in_progress) return false;
   entry.request.attempt = request.attempt;
   entry.record.attempt = request.attempt;
   entry.sidecar = sidecar;
-  entry.answered = false;
+  entry.record_only = false;
   entry.deadline = now + request.deadline;
   schedule(entry);
-  if (held.kind != RequestKind::Completion) return true;
+  if (current.kind != RequestKind::Completion) return true;
   if (entry.dispatch->attempt->state() != AttemptState::Sent &&
       entry.dispatch->attempt->state() != AttemptState::NotSent) {
     send(entry, acceptedMessage(entry));
   }
   if (entry.tokens > request.resume_offset) {
-    send(entry, StreamPiece{held.request_id, held.attempt, request.resume_offset,
+    send(entry, StreamPiece{current.request_id, current.attempt, request.resume_offset,
                             static_cast<std::uint32_t>(entry.tokens - request.resume_offset),
                             entry.text.substr(request.resume_text.size())});
   }
@@ -167,24 +168,24 @@
 
 void RequestRouterImpl::onCancel(SidecarId, const Cancel& cancel, TimePoint now) {
   RequestEntry* entry = findRequest(cancel.request_id);
-  if (entry == nullptr) return ended_.note(cancel.request_id, cancel.attempt);
-  if (cancel.attempt < entry->request.attempt || entry->answered) return;
-  if (mustGoOn(*entry)) {
-    return refuseButKeep(*entry, ErrorCode::Cancelled, "the caller gave up; the operation may have run");
+  if (entry == nullptr) return ended_attempts_.record(cancel.request_id, cancel.attempt);
+  if (cancel.attempt < entry->request.attempt || entry->record_only) return;
+  if (mustRunToCompletion(*entry)) {
+    return refuseAndKeep(*entry, ErrorCode::Cancelled, "the caller gave up; the operation may have run");
   }
   cancelDispatch(*entry, now);
   refuse(*entry, ErrorCode::Cancelled, Duration{0}, "the caller gave up", now);
 }
 
 void RequestRouterImpl::onSidecarLost(SidecarId sidecar, TimePoint now) {
-  std::vector<Serial> lost;
+  std::vector<Serial> affected;
   for (const auto& [serial, entry] : entries_) {
-    if (entry->sidecar == sidecar) lost.push_back(serial);
+    if (entry->sidecar == sidecar) affected.push_back(serial);
   }
-  for (const Serial serial : lost) {
+  for (const Serial serial : affected) {
     RequestEntry& entry = *findEntry(serial);
-    if (mustGoOn(entry)) {
-      entry.answered = true;
+    if (mustRunToCompletion(entry)) {
+      entry.record_only = true;
       schedule(entry);
       continue;
     }
@@ -198,21 +199,21 @@
   if (entry == nullptr) return;
   if (entry->dispatch->attempt->state() != AttemptState::NotSent) return;
   entry->dispatch->attempt->apply(AttemptEvent::BytesSent);
-  entry->dispatch->last_heard_at = now;
+  entry->dispatch->last_activity_at = now;
   schedule(*entry);
 }
 
 void RequestRouterImpl::onBackend(DispatchId dispatch, const BackendEvent& event, TimePoint now) {
   RequestEntry* entry = findDispatch(dispatch);
-  if (entry == nullptr) return;  // Of a dispatch that is over: never mixed into a later one.
+  if (entry == nullptr) return;  // The dispatch has ended.
   Attempt& attempt = *entry->dispatch->attempt;
   const auto* lost = std::get_if<BackendLost>(&event);
   const bool never_sent = lost != nullptr && !lost->bytes_sent;
-  // Whatever a back end says proves that bytes had left.
+  // Any event from the back end proves that bytes were sent.
   if (!never_sent && attempt.state() == AttemptState::NotSent) attempt.apply(AttemptEvent::BytesSent);
-  entry->dispatch->last_heard_at = now;
-  if (entry->request.kind == RequestKind::Application) return operationEvent(*entry, event, now);
-  completionEvent(*entry, event, now);
+  entry->dispatch->last_activity_at = now;
+  if (entry->request.kind == RequestKind::Application) return onOperationEvent(*entry, event, now);
+  onCompletionEvent(*entry, event, now);
 }
 
 CurrentDispatch& RequestRouterImpl::openDispatch(RequestEntry& entry, const std::string& backend,
@@ -221,8 +222,8 @@
   dispatch.id = next_dispatch_++;
   dispatch.attempt = makeAttempt();
   dispatch.backend = backend;
-  dispatch.last_heard_at = now;
-  dispatch.first_token = entry.tokens;
+  dispatch.last_activity_at = now;
+  dispatch.first_token_offset = entry.tokens;
   by_dispatch_[dispatch.id] = entry.serial;
   entry.record.engine_name = backend;
   schedule(entry);
@@ -233,12 +234,13 @@
   if (!entry.dispatch) return;
   const CurrentDispatch& dispatch = *entry.dispatch;
   entry.run_state = std::max(entry.run_state, dispatch.attempt->runState());
-  const std::uint64_t answer_tokens = entry.tokens - dispatch.first_token;
+  const std::uint64_t generated_tokens = entry.tokens - dispatch.first_token_offset;
   if (!dispatch.costless) {
-    settleAdmission(entry, dispatch.computed_prompt_tokens + static_cast<std::uint32_t>(answer_tokens), now);
+    finishAdmission(entry, dispatch.computed_prompt_tokens + static_cast<std::uint32_t>(generated_tokens),
+                    now);
   }
   if (entry.request.kind == RequestKind::Completion) {
-    sent_work_.remove(dispatch.engine, dispatch.id);
+    outstanding_work_.remove(dispatch.engine, dispatch.id);
   } else if (--runner_load_[dispatch.backend] == 0) {
     runner_load_.erase(dispatch.backend);
   }
@@ -263,9 +265,9 @@
   finish(entry, errorName(code), now);
 }
 
-void RequestRouterImpl::refuseButKeep(RequestEntry& entry, ErrorCode code, const std::string& message) {
+void RequestRouterImpl::refuseAndKeep(RequestEntry& entry, ErrorCode code, const std::string& message) {
   sendRefusal(entry, code, Duration{0}, message);
-  entry.answered = true;
+  entry.record_only = true;
   schedule(entry);
 }
 
@@ -278,31 +280,31 @@
        Refusal{entry.request.request_id, entry.request.attempt, code, run_state, retry_after, message});
 }
 
-bool RequestRouterImpl::mustGoOn(const RequestEntry& entry) {
+bool RequestRouterImpl::mustRunToCompletion(const RequestEntry& entry) {
   return entry.claim_granted && entry.dispatch && entry.dispatch->attempt->state() != AttemptState::NotSent;
 }
 
 void RequestRouterImpl::finish(RequestEntry& entry, const std::string& outcome, TimePoint now) {
   closeDispatch(entry, now);
-  settleAdmission(entry, 0, now);
+  finishAdmission(entry, 0, now);
   if (entry.claim) {
     if (entry.run_state == RunState::NotRun) releaseClaim(entry, now);
     detachClaim(entry, now);
   }
   entry.record.outcome = outcome;
   records_.put(entry.record);
-  ended_.note(entry.request.request_id, entry.request.attempt);
+  ended_attempts_.record(entry.request.request_id, entry.request.attempt);
   timers_.erase({entry.timer, entry.serial});
   by_request_.erase(entry.request.request_id);
   entries_.erase(entry.serial);
 }
 
 TimePoint RequestRouterImpl::dueTime(const RequestEntry& entry) const {
-  if (entry.answered) return entry.deadline + kRecordWait;
+  if (entry.record_only) return entry.deadline + kRecordTimeout;
   TimePoint due = entry.deadline;
-  if (entry.phase == RequestEntry::Phase::WaitingForBundle) due = std::min(due, entry.hold_until);
+  if (entry.phase == RequestEntry::Phase::WaitingForBundle) due = std::min(due, entry.bundle_wait_end);
   if (!entry.dispatch || entry.request.kind != RequestKind::Completion) return due;
-  return std::min(due, entry.dispatch->last_heard_at + allowedSilence(*entry.dispatch));
+  return std::min(due, entry.dispatch->last_activity_at + idleTimeout(*entry.dispatch));
 }
 
 void RequestRouterImpl::schedule(RequestEntry& entry) {
@@ -313,22 +315,22 @@
   timers_.emplace(due, entry.serial);
 }
 
-void RequestRouterImpl::requestTimer(RequestEntry& entry, TimePoint now) {
-  if (entry.answered) {
+void RequestRouterImpl::onRequestTimer(RequestEntry& entry, TimePoint now) {
+  if (entry.record_only) {
     cancelDispatch(entry, now);
     return finish(entry, "record_abandoned", now);
   }
-  if (now >= entry.deadline) return deadlinePassed(entry, now);
+  if (now >= entry.deadline) return onDeadline(entry, now);
   if (entry.phase == RequestEntry::Phase::WaitingForBundle) {
     const ErrorCode code = bundle() == nullptr ? ErrorCode::NotReady : ErrorCode::StaleBundle;
     return refuse(entry, code, kBundleRetryAfter, "the router's bundle is older than the caller's", now);
   }
-  abandonDispatch(entry, EventId::AttemptLost, "the engine is silent", now);
+  abandonDispatch(entry, EventId::AttemptLost, "the engine did not respond in time", now);
 }
 
-void RequestRouterImpl::deadlinePassed(RequestEntry& entry, TimePoint now) {
-  if (mustGoOn(entry)) {
-    return refuseButKeep(entry, ErrorCode::DeadlineExceeded,
+void RequestRouterImpl::onDeadline(RequestEntry& entry, TimePoint now) {
+  if (mustRunToCompletion(entry)) {
+    return refuseAndKeep(entry, ErrorCode::DeadlineExceeded,
                          "the deadline passed; the operation may have run");
   }
   cancelDispatch(entry, now);
@@ -342,10 +344,10 @@
       schedule(entry);
       continue;
     }
-    requestTimer(entry, now);
+    onRequestTimer(entry, now);
   }
   while (!claim_timers_.empty() && claim_timers_.begin()->first <= now) {
-    pumpClaim(claim_timers_.begin()->second, now);
+    advanceClaim(claim_timers_.begin()->second, now);
   }
 }
 
@@ -368,12 +370,13 @@
 }
 
 std::size_t RequestRouterImpl::inFlight() const {
-  // A record that only waits for the table to come back is with the claim group meanwhile.
-  const auto detached = [this](const auto& item) {
-    const bool with_group = item.second.group == GroupWord::Grants && item.second.recorded;
-    return item.second.entry == 0 && !(with_group && table_health_.down());
+  // While the table is unavailable, a claim that only awaits its record in the table is held by the claim
+  // group.
+  const auto unwritten = [this](const auto& item) {
+    const bool with_group = item.second.group == GroupClaimState::Granted && item.second.recorded;
+    return item.second.entry == 0 && !(with_group && table_health_.isDown());
   };
-  return entries_.size() + static_cast<std::size_t>(std::count_if(claims_.begin(), claims_.end(), detached));
+  return entries_.size() + static_cast<std::size_t>(std::count_if(claims_.begin(), claims_.end(), unwritten));
 }
 
 std::optional<DecisionRecord> RequestRouterImpl::explain(const std::string& request_id) const {
@@ -383,7 +386,7 @@
 }
 
 void RequestRouterImpl::send(const RequestEntry& entry, Message message) {
-  if (entry.answered) return;
+  if (entry.record_only) return;
   actions_.emplace_back(SendToSidecar{entry.sidecar, std::move(message)});
 }
 
--- a/src/router/request_router.h
+++ b/src/router/request_router.h
@@ -1,7 +1,7 @@
 #pragma once
-/// @file The router's decisions over the life of requests: admission, placement, claim, dispatch, streaming,
-/// failure. Pure decision code: it takes (event, now) and returns actions; router processes and the
-/// simulation drive the same object. One instance per traffic shard; not thread-safe.
+/// @file Lifecycle of requests in a router: admission, placement, claim, dispatch, streaming and failure
+/// handling. Decision logic only, without I/O: the driver passes events with the current time and executes
+/// the returned actions. Router processes and the simulation use the same code.
 
 #include <cstdint>
 #include <memory>
@@ -19,9 +19,9 @@
 
 namespace crankspur {
 
-/// Names the sidecar connection that a request came over; chosen by the driver.
+/// Identifies the sidecar connection of a request; assigned by the driver.
 using SidecarId = std::uint64_t;
-/// Names one dispatch to a back end; chosen by RequestRouter, unique within the instance.
+/// Identifies a dispatch to a back end; assigned by RequestRouter and unique within the instance.
 using DispatchId = std::uint64_t;
 
 /// Action: send a message to a sidecar.
@@ -30,8 +30,8 @@
   Message message;
 };
 
-/// Action: send a completion to an engine. The engine refuses with "not run" when its incarnation or weights
-/// differ.
+/// Action: send a completion to an engine. An engine with a different incarnation or weights version refuses
+/// it as "not run".
 struct DispatchCompletion {
   DispatchId dispatch = 0;
   EngineSlot engine = 0;
@@ -39,15 +39,16 @@
   std::string address;
   std::uint64_t expected_incarnation = 0;
   std::string expected_weights;
-  SubmitRequest request;  ///< resume_offset and resume_text say where the answer goes on.
+  SubmitRequest request;  ///< resume_offset and resume_text specify where the response continues.
   std::string import_from;
   std::uint32_t import_blocks = 0;
-  /// True: do not start the work; take up the stream of a request that this engine already runs, from
-  /// request.resume_offset (the engine's resume call). BackendRefused then says only that it cannot.
+  /// Reattach to the stream of a request that the engine is already running, from request.resume_offset,
+  /// instead of starting it (the engine's resume call). BackendRefused then means only that the stream cannot
+  /// be resumed.
   bool resume = false;
 };
 
-/// Action: run an operation at an application runner.
+/// Action: send an operation to an application runner.
 struct DispatchOperation {
   DispatchId dispatch = 0;
   std::string runner_name;
@@ -55,25 +56,25 @@
   SubmitRequest request;
 };
 
-/// Action: stop the work of a dispatch at its back end and forget it.
+/// Action: cancel a dispatch at its back end and discard its state.
 struct CancelDispatch {
   DispatchId dispatch = 0;
 };
 
-/// Action: read or write a claim row. `claim` names the claim in the answer.
+/// Action: read or write a claim row. `claim` identifies the claim when the result is reported.
 struct ClaimTableCall {
   std::uint64_t claim = 0;
   ClaimAction action;
-  /// The write must fail if the claim group's row is there; that is then told by onClaimFenced().
+  /// The write must fail if the claim group's row exists; the driver then calls onClaimFenced().
   bool only_without_group = false;
 };
 
-/// Action: ask the claim group; onGroupClaim() gives its decision.
+/// Action: request a claim from the claim group. Its decision is passed to onGroupClaim().
 struct GroupClaimCall {
   GroupClaimRequest request;
 };
 
-/// Action: tell the claim group that a claim is given back, or what became of it.
+/// Action: notify the claim group of the release or the outcome of a claim.
 struct GroupClaimNotice {
   std::variant<ClaimRelease, ClaimRecord> notice;
 };
@@ -87,36 +88,38 @@
 using RouterAction = std::variant<SendToSidecar, DispatchCompletion, DispatchOperation, CancelDispatch,
                                   ClaimTableCall, GroupClaimCall, GroupClaimNotice, LogEvent>;
 
-/// What a back end said about a dispatch.
+/// The back end accepted the request.
 struct BackendAccepted {
   std::uint64_t incarnation = 0;
   std::string weights_version;
   std::uint32_t prompt_tokens = 0;
   std::uint32_t cached_tokens = 0;
 };
+/// Part of the generated text. For an operation, it contains the complete result.
 struct BackendPiece {
   std::uint64_t offset = 0;
   std::uint32_t token_count = 0;
   std::string text;
 };
+/// The response is complete. For an operation, the fields may be empty.
 struct BackendEnd {
   std::uint64_t token_count = 0;
-  std::uint64_t checksum = 0;  ///< Over the whole answer's text.
+  std::uint64_t checksum = 0;  ///< Of the complete response text.
   std::string finish_reason;
 };
-/// The back end answered that it ran nothing.
+/// The back end refused the request without running it.
 struct BackendRefused {
   ErrorCode code = ErrorCode::Internal;
   Duration retry_after{0};
 };
-/// The exchange failed. `bytes_sent` false: the connect failed and nothing ran.
-/// For an operation, BackendPiece carries the whole result and BackendEnd follows; its fields may stay empty.
+/// The exchange failed.
 struct BackendLost {
-  bool bytes_sent = true;
+  bool bytes_sent = true;  ///< False: no connection was established, so nothing ran.
 };
+/// Event of a dispatch.
 using BackendEvent = std::variant<BackendAccepted, BackendPiece, BackendEnd, BackendRefused, BackendLost>;
 
-/// Record of one decision for `crankspurctl explain`.
+/// Record of the decisions on one request, for `crankspurctl explain`.
 struct DecisionRecord {
   std::string request_id;
   std::uint32_t attempt = 0;
@@ -131,47 +134,51 @@
   Duration time_to_first_token{0};
 };
 
-/// The decision object of one traffic shard.
+/// Request handling of one traffic shard. Not thread-safe.
 class RequestRouter {
 public:
   virtual ~RequestRouter() = default;
-  /// Takes a newer view of the fleet. Engines whose incarnation changed lose their index entries at once.
+  /// Applies a newer snapshot of the fleet. The index entries of engines whose incarnation changed are
+  /// removed.
   virtual void onSnapshot(std::shared_ptr<const RoutingSnapshot> snapshot, TimePoint now) = 0;
   virtual void onSubmit(SidecarId sidecar, const SubmitRequest& request, TimePoint now) = 0;
   virtual void onCancel(SidecarId sidecar, const Cancel& cancel, TimePoint now) = 0;
-  /// The sidecar's connection ended: repeatable work is cancelled; claimed work goes on to its record.
+  /// The sidecar's connection closed. Repeatable work is cancelled; claimed work continues until its outcome
+  /// is recorded.
   virtual void onSidecarLost(SidecarId sidecar, TimePoint now) = 0;
-  /// The first bytes of the dispatch have left, or may have. To be called no later than any other call that
-  /// may end the dispatch or its request (onTimer, onSubmit, onCancel, onSidecarLost), except onSnapshot,
-  /// which takes every open dispatch as sent, and onBackend.
+  /// The first bytes of the dispatch were, or may have been, sent. Must be called before any call that may
+  /// end the dispatch or its request (onTimer, onSubmit, onCancel, onSidecarLost). The exceptions are
+  /// onSnapshot, which treats the open dispatches that it abandons as sent, and onBackend.
   virtual void onDispatchSent(DispatchId dispatch, TimePoint now) = 0;
   virtual void onBackend(DispatchId dispatch, const BackendEvent& event, TimePoint now) = 0;
   virtual void onClaimRead(std::uint64_t claim, const ClaimRow& row, TimePoint now) = 0;
-  /// @param row_version the row's version after a committed write; 0 when unknown (it is then read).
+  /// @param row_version version of the row after a committed write; 0 if unknown, in which case the row is
+  /// read.
   virtual void onClaimWritten(std::uint64_t claim, bool committed, TimePoint now,
                               std::uint64_t row_version = 0) = 0;
   virtual void onClaimFailed(std::uint64_t claim, TimePoint now) = 0;
-  /// The write was not made, as the claim group's row is there.
+  /// The write was not committed because the claim group's row exists.
   virtual void onClaimFenced(std::uint64_t claim, TimePoint now) = 0;
   virtual void onGroupClaim(std::uint64_t claim, const GroupClaimDecision& decision, TimePoint now) = 0;
-  /// Applies an engine's cache event. @return false when a gap was found.
+  /// Applies a cache event of an engine. @return false if events before it are missing.
   virtual bool onCacheEvent(EngineSlot engine, std::uint64_t incarnation, const CacheEvent& event,
                             TimePoint now) = 0;
   virtual void onCacheDigest(EngineSlot engine, std::uint64_t incarnation, std::uint64_t sequence,
                              const std::vector<BlockHash>& blocks, TimePoint now) = 0;
-  /// Takes no new work from now on; requests in flight go on.
+  /// Refuses new requests from now on; requests in flight continue.
   virtual void drain(TimePoint now) = 0;
   virtual void onTimer(TimePoint now) = 0;
   virtual std::optional<TimePoint> nextTimer() const = 0;
-  /// @return actions to carry out, in order, taken once.
+  /// @return the actions since the last call, to be executed in order.
   virtual std::vector<RouterAction> takeActions() = 0;
-  /// @return requests not yet ended, and claims whose record or release is not yet written.
+  /// @return the number of requests in progress and of claims whose record or release is not yet written.
   virtual std::size_t inFlight() const = 0;
-  /// @return the newest record of the request, if still kept.
+  /// @return the latest record of the request, if it is still stored.
   virtual std::optional<DecisionRecord> explain(const std::string& request_id) const = 0;
 };
 
-/// Parts a RequestRouter is built from; empty members take the product's own.
+/// Configuration and components of a RequestRouter. makeRequestRouter() replaces null components by the
+/// production ones.
 struct RequestRouterOptions {
   std::string router_name;
   std::uint64_t random_seed = 1;
@@ -184,7 +191,7 @@
 
 std::unique_ptr<RequestRouter> makeRequestRouter(RequestRouterOptions options);
 
-/// The same with every part given; for tests that bring parts of their own.
+/// Requires all components to be set; for tests with their own components.
 std::unique_ptr<RequestRouter> makeRequestRouterFromParts(RequestRouterOptions options);
 
 }  // namespace crankspur
--- a/src/router/request_router_defaults.cc
+++ b/src/router/request_router_defaults.cc
@@ -1,4 +1,4 @@
-/// @file The product's own parts of a RequestRouter.
+/// @file Construction of a RequestRouter with the production components.
 
 #include "router/request_router.h"
 
--- a/src/router/snapshot_flow.cc
+++ b/src/router/snapshot_flow.cc
@@ -1,4 +1,4 @@
-/// @file Newer views of the fleet and news of engines' caches.
+/// @file Fleet snapshots and cache updates from engines.
 
 #include "router/request_router_impl.h"
 
@@ -7,43 +7,43 @@
 void RequestRouterImpl::onSnapshot(std::shared_ptr<const RoutingSnapshot> snapshot, TimePoint now) {
   const std::shared_ptr<const RoutingSnapshot> previous = std::exchange(snapshot_, std::move(snapshot));
   capacity_.clear();
-  sent_work_.onSnapshot(*snapshot_);
-  takeIncarnations();
-  const bool configured =
+  outstanding_work_.onSnapshot(*snapshot_);
+  updateIncarnations();
+  const bool unchanged =
       previous && previous->bundle == snapshot_->bundle && previous->router_count == snapshot_->router_count;
-  if (!configured && snapshot_->bundle) {
+  if (!unchanged && snapshot_->bundle) {
     options_.admission->configure(snapshot_->bundle, snapshot_->router_count, now);
   }
   if (!snapshot_->bundle) return;
-  dropGoneEngines(now);
-  if (!previous || previous->bundle != snapshot_->bundle) takeHeldRequests(now);
+  abandonFailedEngines(now);
+  if (!previous || previous->bundle != snapshot_->bundle) startWaitingRequests(now);
 }
 
-void RequestRouterImpl::takeIncarnations() {
-  std::vector<std::uint64_t> present(known_incarnations_.size(), 0);
+void RequestRouterImpl::updateIncarnations() {
+  std::vector<std::uint64_t> incarnations(known_incarnations_.size(), 0);
   for (const EngineView& engine : snapshot_->engines) {
-    if (engine.slot >= present.size()) present.resize(engine.slot + std::size_t{1}, 0);
-    present[engine.slot] = engine.state == EngineState::Dead ? 0 : engine.incarnation;
+    if (engine.slot >= incarnations.size()) incarnations.resize(engine.slot + std::size_t{1}, 0);
+    incarnations[engine.slot] = engine.state == EngineState::Dead ? 0 : engine.incarnation;
   }
-  known_incarnations_.resize(present.size(), 0);
-  for (std::size_t slot = 0; slot < present.size(); ++slot) {
-    if (present[slot] == known_incarnations_[slot]) continue;
+  known_incarnations_.resize(incarnations.size(), 0);
+  for (std::size_t slot = 0; slot < incarnations.size(); ++slot) {
+    if (incarnations[slot] == known_incarnations_[slot]) continue;
     const auto engine = static_cast<EngineSlot>(slot);
-    if (present[slot] == 0) {
+    if (incarnations[slot] == 0) {
       options_.index->forgetEngine(engine);
     } else {
-      options_.index->setIncarnation(engine, present[slot]);
+      options_.index->setIncarnation(engine, incarnations[slot]);
     }
   }
-  known_incarnations_ = std::move(present);
+  known_incarnations_ = std::move(incarnations);
 }
 
-void RequestRouterImpl::takeHeldRequests(TimePoint now) {
-  std::vector<Serial> held;
+void RequestRouterImpl::startWaitingRequests(TimePoint now) {
+  std::vector<Serial> waiting;
   for (const auto& [serial, entry] : entries_) {
-    if (entry->phase == RequestEntry::Phase::WaitingForBundle) held.push_back(serial);
+    if (entry->phase == RequestEntry::Phase::WaitingForBundle) waiting.push_back(serial);
   }
-  for (const Serial serial : held) begin(*findEntry(serial), now);
+  for (const Serial serial : waiting) startRequest(*findEntry(serial), now);
 }
 
 bool RequestRouterImpl::onCacheEvent(EngineSlot engine, std::uint64_t incarnation, const CacheEvent& event,
--- a/src/router/zone_sharing.cc
+++ b/src/router/zone_sharing.cc
@@ -8,38 +8,39 @@
 
 namespace {
 
-/// Estimated bytes on the wire: a frame with its TCP and IP headers, one engine's load, one block.
+/// Estimated bytes on the wire: of a frame with its TCP and IP headers, of one engine's load, of one block.
 constexpr double kFrameBytes = 100;
 constexpr double kLoadBytes = 34;
 constexpr double kBlockBytes = 10;
-constexpr Duration kShortestDigestInterval = std::chrono::milliseconds(200);
-constexpr Duration kLongestDigestInterval = std::chrono::seconds(5);
-/// Places of the table that counts how often a block was stored.
-constexpr std::size_t kSeenPlaces = 1 << 16;
-/// Blocks waiting to be told, and remembered as told, for each engine.
-constexpr std::size_t kMaximumWaiting = 1024;
-constexpr std::size_t kMaximumTold = 8192;
+constexpr Duration kMinDigestInterval = std::chrono::milliseconds(200);
+constexpr Duration kMaxDigestInterval = std::chrono::seconds(5);
+/// Slots of the table of store counts per block.
+constexpr std::size_t kBlockCountSlots = 1 << 16;
+/// Limits per engine of pending blocks and of announced blocks.
+constexpr std::size_t kMaxPendingBlocks = 1024;
+constexpr std::size_t kMaxAnnouncedBlocks = 8192;
 constexpr Duration kSummaryInterval = std::chrono::seconds(1);
-/// Unused allowance is kept for this many seconds.
+/// Unused allowance accumulates for at most this many seconds.
 constexpr double kAllowanceSeconds = 5;
 
 }  // namespace
 
 std::string ownerOf(const std::string& engine, const std::vector<std::string>& routers) {
   std::string owner;
-  std::uint64_t best = 0;
+  std::uint64_t best_score = 0;
   const std::uint64_t engine_hash = hashBytes(engine);
   for (const std::string& router : routers) {
     const std::uint64_t score = combineHashes(engine_hash, hashBytes(router));
-    const bool better = owner.empty() || score > best || (score == best && router < owner);
+    const bool better = owner.empty() || score > best_score || (score == best_score && router < owner);
     if (!better) continue;
-    best = score;
+    best_score = score;
     owner = router;
   }
   return owner;
 }
 
-std::vector<std::string> aliveInRegion(const std::vector<MemberRecord>& members, const std::string& region) {
+std::vector<std::string> liveMembersInRegion(const std::vector<MemberRecord>& members,
+                                             const std::string& region) {
   std::vector<std::string> names;
   for (const MemberRecord& member : members) {
     if (member.region == region && member.state == MemberState::Alive) names.push_back(member.name);
@@ -52,8 +53,8 @@
   if (now < next_at_ || owned.empty() || receivers == 0) return std::nullopt;
   const double bytes = kFrameBytes + kLoadBytes * static_cast<double>(owned.size());
   const double seconds = bytes * static_cast<double>(receivers) / bytes_per_second_;
-  const Duration wanted(static_cast<Duration::rep>(seconds * 1e6));
-  next_at_ = now + std::clamp(wanted, kShortestDigestInterval, kLongestDigestInterval);
+  const Duration interval(static_cast<Duration::rep>(seconds * 1e6));
+  next_at_ = now + std::clamp(interval, kMinDigestInterval, kMaxDigestInterval);
   LoadDigest digest;
   digest.sender = self_;
   for (const EngineView& engine : owned) {
@@ -70,18 +71,18 @@
 }
 
 CacheSharing::CacheSharing(double bytes_per_second)
-    : bytes_per_second_(bytes_per_second), seen_(kSeenPlaces) {}
-
-bool CacheSharing::isShared(BlockHash hash) {
-  Seen& seen = seen_[hash % kSeenPlaces];
-  const auto mark = static_cast<std::uint32_t>(hash >> 32U);
-  if (seen.mark == mark) return ++seen.count >= 2;
-  // A block that was seen often defends its place against newcomers for a while.
-  if (seen.count > 1) {
-    seen.count /= 2;
+    : bytes_per_second_(bytes_per_second), block_counts_(kBlockCountSlots) {}
+
+bool CacheSharing::countStore(BlockHash hash) {
+  BlockCount& slot = block_counts_[hash % kBlockCountSlots];
+  const auto tag = static_cast<std::uint32_t>(hash >> 32U);
+  if (slot.tag == tag) return ++slot.count >= 2;
+  // A frequently stored block keeps its slot for some time when another block maps to it.
+  if (slot.count > 1) {
+    slot.count /= 2;
     return false;
   }
-  seen = {mark, 1};
+  slot = {tag, 1};
   return false;
 }
 
@@ -100,18 +101,19 @@
 }
 
 void CacheSharing::onStored(Stream& stream, BlockHash hash) {
-  if (!isShared(hash) || stream.told.contains(hash)) return;
-  const bool full = stream.stored.size() >= kMaximumWaiting || stream.told.size() >= kMaximumTold;
+  if (!countStore(hash) || stream.announced.contains(hash)) return;
+  const bool full =
+      stream.stored.size() >= kMaxPendingBlocks || stream.announced.size() >= kMaxAnnouncedBlocks;
   if (full) return;
-  stream.told.insert(hash);
+  stream.announced.insert(hash);
   stream.stored.push_back(hash);
 }
 
 void CacheSharing::onRemoved(Stream& stream, BlockHash hash) {
-  if (stream.told.erase(hash) == 0) return;
-  const auto waiting = std::find(stream.stored.begin(), stream.stored.end(), hash);
-  if (waiting != stream.stored.end()) {
-    stream.stored.erase(waiting);
+  if (stream.announced.erase(hash) == 0) return;
+  const auto pending = std::find(stream.stored.begin(), stream.stored.end(), hash);
+  if (pending != stream.stored.end()) {
+    stream.stored.erase(pending);
   } else {
     stream.removed.push_back(hash);
   }
@@ -128,17 +130,17 @@
     const double after_frame = allowance_ - kFrameBytes * static_cast<double>(receivers);
     const bool empty = stream.stored.empty() && stream.removed.empty();
     if (empty || after_frame < per_block) continue;
-    auto room = static_cast<std::size_t>(after_frame / per_block);
+    auto blocks_left = static_cast<std::size_t>(after_frame / per_block);
     CacheSummary summary{engine, stream.incarnation, stream.sequence, {}, {}};
-    const auto take = [&room](std::vector<BlockHash>& from, std::vector<std::uint64_t>& to) {
-      const auto count = static_cast<std::ptrdiff_t>(std::min(room, from.size()));
+    const auto move_blocks = [&blocks_left](std::vector<BlockHash>& from, std::vector<std::uint64_t>& to) {
+      const auto count = static_cast<std::ptrdiff_t>(std::min(blocks_left, from.size()));
       to.assign(from.begin(), from.begin() + count);
       from.erase(from.begin(), from.begin() + count);
-      room -= static_cast<std::size_t>(count);
+      blocks_left -= static_cast<std::size_t>(count);
     };
-    // A wrong belief costs more than a missing one: removals go first.
-    take(stream.removed, summary.removed);
-    take(stream.stored, summary.stored);
+    // Removals take precedence, because a stale entry at a receiver costs more than a missing one.
+    move_blocks(stream.removed, summary.removed);
+    move_blocks(stream.stored, summary.stored);
     const auto blocks = static_cast<double>(summary.stored.size() + summary.removed.size());
     allowance_ -= (kFrameBytes * static_cast<double>(receivers)) + per_block * blocks;
     summaries.push_back(std::move(summary));
--- a/src/router_process/control_thread.cc
+++ b/src/router_process/control_thread.cc
@@ -269,7 +269,7 @@
                                         {"to", memberStateName(change.record.state)}});
   }
   live_members_ = membership_->liveMembers();
-  table_.setRouters(self_.name, aliveInRegion(live_members_, settings_.region), now());
+  table_.setRouters(self_.name, liveMembersInRegion(live_members_, settings_.region), now());
   armTableTimer();
   front_.thread.post([this, members = live_members_] { front_.front->setRouters(members); });
   publishSoon();
@@ -298,7 +298,7 @@
 }
 
 void ControlThread::onTableEvent() {
-  const bool urgent = table_.takeUrgent(now());
+  const bool urgent = table_.takeUrgentChange(now());
   logBackends();
   announceEngines();
   if (urgent) {
--- a/src/router_process/zone_exchange.cc
+++ b/src/router_process/zone_exchange.cc
@@ -42,7 +42,7 @@
   }
   share_loads_ = !peer_addresses_.empty() && engines_.size() > kEnginesAskedByAll;
   share_cache_ = !peer_addresses_.empty() && engines_.size() > kEnginesFollowedByAll;
-  table_.setPolledElsewhere(share_loads_ ? std::move(elsewhere) : std::set<std::string>());
+  table_.setPolledByPeers(share_loads_ ? std::move(elsewhere) : std::set<std::string>());
   cache_.keepOnly(share_cache_ ? owned_ : std::set<std::string>());
 }
 
@@ -68,7 +68,7 @@
     report.measured_at = now - std::chrono::milliseconds(load.age_milliseconds);
     report.queued_tokens = load.queued_tokens;
     report.running_requests = load.running;
-    table_.onToldLoad(load.engine, load.engine_incarnation, report, now);
+    table_.onPeerEngineLoad(load.engine, load.engine_incarnation, report, now);
   }
 }
 
--- a/tests/unit/router/completion_failure_test.cc
+++ b/tests/unit/router/completion_failure_test.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Asserts that nothing goes on and the refusal tells `run_state`.
+/// Checks that the request was refused with `code` and `run_state` and that no work remains.
 void checkRefused(RouterFixture& fixture, ErrorCode code, RunState run_state) {
   const auto refusal = fixture.takeMessage<Refusal>();
   REQUIRE(refusal);
@@ -18,12 +18,12 @@
 
 }  // namespace
 
-TEST_CASE("the run state told at the deadline is true at each step", "[router]") {
+TEST_CASE("the refusal at the deadline reports the actual run state at each step", "[router]") {
   RouterFixture fixture;
-  const DispatchCompletion dispatch = fixture.dispatched();
+  const DispatchCompletion dispatch = fixture.submitAndDispatch();
   RunState expected = RunState::NotRun;
-  SECTION("before any byte left") {}
-  SECTION("bytes left, and the acceptance may be lost") {
+  SECTION("before any byte was sent") {}
+  SECTION("bytes were sent, and the acceptance may be lost") {
     fixture.router->onDispatchSent(dispatch.dispatch, fixture.now);
     expected = RunState::Unknown;
   }
@@ -31,7 +31,7 @@
     fixture.accept(dispatch);
     expected = RunState::Unknown;
   }
-  SECTION("text arrived") {
+  SECTION("text was received") {
     fixture.now += seconds(29);
     fixture.piece(dispatch.dispatch, 0, "abcd");
     expected = RunState::Ran;
@@ -42,9 +42,9 @@
   checkRefused(fixture, ErrorCode::DeadlineExceeded, expected);
 }
 
-TEST_CASE("an engine's refusal moves the request on, up to the limit of attempts", "[router]") {
+TEST_CASE("a request refused by an engine is dispatched elsewhere, up to the limit of attempts", "[router]") {
   RouterFixture fixture;
-  DispatchCompletion dispatch = fixture.dispatched();
+  DispatchCompletion dispatch = fixture.submitAndDispatch();
   for (const char* next : {"e1", "e2"}) {
     fixture.backend(dispatch.dispatch, BackendRefused{ErrorCode::IncarnationMismatch, Duration{0}});
     dispatch = *fixture.take<DispatchCompletion>();
@@ -58,32 +58,32 @@
   CHECK(refusal->retry_after == seconds(4));
 }
 
-TEST_CASE("what no engine would take is refused at once", "[router]") {
+TEST_CASE("a request that no engine would accept is refused at once", "[router]") {
   RouterFixture fixture;
-  fixture.backend(fixture.dispatched().dispatch, BackendRefused{ErrorCode::TooLarge, Duration{0}});
+  fixture.backend(fixture.submitAndDispatch().dispatch, BackendRefused{ErrorCode::TooLarge, Duration{0}});
   checkRefused(fixture, ErrorCode::TooLarge, RunState::NotRun);
 }
 
-TEST_CASE("without retry budget a failed attempt ends at once with advice", "[router]") {
+TEST_CASE("without retry budget a failed attempt ends at once with a refusal", "[router]") {
   RouterFixture fixture;
   fixture.admission->retries_left = 0;
-  const DispatchCompletion dispatch = fixture.dispatched();
+  const DispatchCompletion dispatch = fixture.submitAndDispatch();
   SECTION("not run") {
     fixture.backend(dispatch.dispatch, BackendRefused{ErrorCode::Overloaded, Duration{0}});
     checkRefused(fixture, ErrorCode::Overloaded, RunState::NotRun);
   }
-  SECTION("perhaps run") {
+  SECTION("possibly run") {
     fixture.backend(dispatch.dispatch, BackendLost{true});
-    const auto resume = fixture.take<DispatchCompletion>();  // Taking up a stream costs no engine anything.
+    const auto resume = fixture.take<DispatchCompletion>();  // Resuming a stream adds no load.
     REQUIRE(resume->resume);
     fixture.backend(resume->dispatch, BackendLost{true});
     checkRefused(fixture, ErrorCode::Overloaded, RunState::Unknown);
   }
 }
 
-TEST_CASE("a stream that is cut is taken up at the same engine, then elsewhere", "[router]") {
+TEST_CASE("an interrupted stream is resumed at the same engine, then continued elsewhere", "[router]") {
   RouterFixture fixture;
-  const DispatchCompletion first = fixture.dispatched();
+  const DispatchCompletion first = fixture.submitAndDispatch();
   fixture.accept(first);
   fixture.piece(first.dispatch, 0, "abcdefgh");
   fixture.backend(first.dispatch, BackendLost{true});
@@ -93,11 +93,11 @@
   CHECK(resume->resume);
   CHECK(resume->engine_name == "e0");
   CHECK(resume->request.resume_offset == 2);
-  fixture.piece(first.dispatch, 2, "stale");  // Of the dispatch that is over.
+  fixture.piece(first.dispatch, 2, "stale");  // The dispatch has ended.
   fixture.accept(*resume);
   fixture.piece(resume->dispatch, 2, "ijkl");
 
-  SECTION("the engine ends it") {
+  SECTION("the engine completes it") {
     fixture.end(resume->dispatch, "abcdefghijkl");
     CHECK(fixture.takeMessage<StreamEnd>()->token_count == 3);
   }
@@ -124,9 +124,9 @@
   CHECK(text.find("stale") == std::string::npos);
 }
 
-TEST_CASE("an engine that does not answer a resume call is left after a second", "[router]") {
+TEST_CASE("an engine that does not respond to a resume call is abandoned after a second", "[router]") {
   RouterFixture fixture;
-  const DispatchCompletion first = fixture.dispatched();
+  const DispatchCompletion first = fixture.submitAndDispatch();
   fixture.accept(first);
   fixture.piece(first.dispatch, 0, "abcd");
   fixture.backend(first.dispatch, BackendLost{true});
@@ -138,9 +138,9 @@
   CHECK(moved->request.resume_text == "abcd");
 }
 
-TEST_CASE("a stream that falls silent moves on", "[router]") {
+TEST_CASE("a stalled stream is continued at another engine", "[router]") {
   RouterFixture fixture;
-  const DispatchCompletion first = fixture.dispatched();
+  const DispatchCompletion first = fixture.submitAndDispatch();
   fixture.accept(first);
   fixture.piece(first.dispatch, 0, "abcd");
   fixture.advance(seconds(3));
@@ -150,9 +150,9 @@
   CHECK(fixture.take<DispatchCompletion>()->engine_name == "e1");
 }
 
-TEST_CASE("text of rolled weights is never continued with others", "[router]") {
+TEST_CASE("text generated with replaced weights is never continued with other weights", "[router]") {
   RouterFixture fixture;
-  const DispatchCompletion first = fixture.dispatched();
+  const DispatchCompletion first = fixture.submitAndDispatch();
   fixture.accept(first);
   const bool streamed = GENERATE(true, false);
   if (streamed) fixture.piece(first.dispatch, 0, "abcd");
@@ -166,9 +166,10 @@
   }
 }
 
-TEST_CASE("an engine that breaks its word is left and nothing of it is passed on", "[router]") {
+TEST_CASE("an engine that violates the protocol is abandoned and none of its output is forwarded",
+          "[router]") {
   RouterFixture fixture;
-  const DispatchCompletion first = fixture.dispatched();
+  const DispatchCompletion first = fixture.submitAndDispatch();
   SECTION("another incarnation accepts") {
     fixture.backend(first.dispatch, BackendAccepted{99, "w1", 50, 0});
   }
@@ -184,7 +185,7 @@
   CHECK_FALSE(fixture.takeMessage<Accepted>());
 }
 
-TEST_CASE("a resubmitted request goes on from what the caller has", "[router]") {
+TEST_CASE("a resubmitted request continues after the text that the caller has", "[router]") {
   RouterFixture fixture;
   SubmitRequest request = RouterFixture::completion(2);
   request.resume_offset = 2;
@@ -192,8 +193,8 @@
   request.resume_engine = "e1";
   request.resume_incarnation = 10;
   request.resume_weights = "w1";
-  SECTION("at the engine that still runs it") {
-    const DispatchCompletion resume = fixture.dispatched(request);
+  SECTION("at the engine that is still running it") {
+    const DispatchCompletion resume = fixture.submitAndDispatch(request);
     CHECK(resume.resume);
     CHECK(resume.engine_name == "e1");
     fixture.backend(resume.dispatch, BackendRefused{ErrorCode::EngineLost, Duration{0}});
@@ -201,11 +202,11 @@
   }
   SECTION("elsewhere when that engine restarted") {
     request.resume_incarnation = 9;
-    const DispatchCompletion moved = fixture.dispatched(request);
+    const DispatchCompletion moved = fixture.submitAndDispatch(request);
     CHECK_FALSE(moved.resume);
     CHECK(moved.request.resume_text == "abcdefgh");
   }
-  SECTION("with an explicit error when its weights are gone") {
+  SECTION("with an explicit error when its weights are no longer loaded") {
     request.resume_weights = "w0";
     request.resume_incarnation = 9;
     fixture.submit(request);
@@ -213,9 +214,9 @@
   }
 }
 
-TEST_CASE("a newer attempt takes over what the router already has", "[router]") {
+TEST_CASE("a newer attempt takes over the work in progress", "[router]") {
   RouterFixture fixture;
-  const DispatchCompletion first = fixture.dispatched();
+  const DispatchCompletion first = fixture.submitAndDispatch();
   fixture.accept(first);
   fixture.piece(first.dispatch, 0, "abcdefgh");
   while (fixture.takeMessage<StreamPiece>()) {
@@ -224,18 +225,18 @@
   again.resume_offset = 1;
   again.resume_text = "abcd";
   again.resume_weights = "w1";
-  SECTION("same text so far: only the rest is sent, under the new attempt") {
+  SECTION("same text so far: only the remaining text is sent, with the new attempt") {
     fixture.submit(again, 7);
     CHECK_FALSE(fixture.take<CancelDispatch>());
     const auto piece = fixture.takeMessage<StreamPiece>();
     CHECK(piece->attempt == 2);
     CHECK(piece->offset == 1);
     CHECK(piece->text == "efgh");
-    fixture.router->onSidecarLost(1, fixture.now);  // The older connection no longer matters.
+    fixture.router->onSidecarLost(1, fixture.now);  // The previous connection has no effect.
     fixture.end(first.dispatch, "abcdefgh");
     CHECK(fixture.takeMessage<StreamEnd>()->attempt == 2);
   }
-  SECTION("other text so far: the old work is stopped") {
+  SECTION("different text so far: the work in progress is cancelled") {
     again.resume_text = "wxyz";
     fixture.submit(again, 7);
     CHECK(fixture.take<CancelDispatch>()->dispatch == first.dispatch);
@@ -249,18 +250,18 @@
   }
 }
 
-TEST_CASE("an engine that does not even accept is left", "[router]") {
+TEST_CASE("an engine that does not accept in time is abandoned", "[router]") {
   RouterFixture fixture;
-  const DispatchCompletion first = fixture.dispatched();
+  const DispatchCompletion first = fixture.submitAndDispatch();
   fixture.router->onDispatchSent(first.dispatch, fixture.now);
   fixture.advance(seconds(2));
   CHECK(fixture.take<CancelDispatch>()->dispatch == first.dispatch);
   CHECK(fixture.take<DispatchCompletion>()->engine_name == "e1");
 }
 
-TEST_CASE("an engine counted as dead keeps the streams that still flow", "[router]") {
+TEST_CASE("streams of an engine considered dead continue while they are active", "[router]") {
   RouterFixture fixture;
-  const DispatchCompletion first = fixture.dispatched();
+  const DispatchCompletion first = fixture.submitAndDispatch();
   fixture.accept(first);
   fixture.fleet.engines[0].state = EngineState::Dead;
   fixture.publish();
@@ -270,19 +271,19 @@
   CHECK(fixture.take<CancelDispatch>()->dispatch == first.dispatch);
 }
 
-TEST_CASE("what may have left for an engine that restarted is not called not run", "[router]") {
+TEST_CASE("a request possibly sent to a restarted engine is not reported as not run", "[router]") {
   RouterFixture fixture;
   fixture.bundle->knobs.max_attempts = 1;
-  fixture.dispatched();  // The driver has not reported yet whether bytes left.
+  fixture.submitAndDispatch();  // The driver has not yet reported whether bytes were sent.
   fixture.fleet.engines[0].incarnation = 11;
   fixture.publish();
   checkRefused(fixture, ErrorCode::EngineLost, RunState::Unknown);
 }
 
-TEST_CASE("moves that cost no engine anything need no retry budget", "[router]") {
+TEST_CASE("retries after attempts without cost to an engine need no retry budget", "[router]") {
   RouterFixture fixture;
   fixture.admission->retries_left = 0;
-  const DispatchCompletion first = fixture.dispatched();
+  const DispatchCompletion first = fixture.submitAndDispatch();
   fixture.backend(first.dispatch, BackendRefused{ErrorCode::Stopping, Duration{0}});
   const auto second = fixture.take<DispatchCompletion>();
   REQUIRE(second);
--- a/tests/unit/router/completion_test.cc
+++ b/tests/unit/router/completion_test.cc
@@ -4,9 +4,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_CASE("a completion streams through in order and ends", "[router]") {
+TEST_CASE("a completion is streamed in order and ends", "[router]") {
   RouterFixture fixture;
-  const DispatchCompletion dispatch = fixture.dispatched();
+  const DispatchCompletion dispatch = fixture.submitAndDispatch();
   CHECK(dispatch.engine_name == "e0");
   CHECK(dispatch.expected_incarnation == 10);
   CHECK(dispatch.expected_weights == "w1");
@@ -16,7 +16,7 @@
   CHECK(accepted->engine == "e0");
   CHECK(accepted->weights_version == "w1");
   fixture.piece(dispatch.dispatch, 0, "abcdefgh");
-  fixture.piece(dispatch.dispatch, 0, "abcdefgh");  // Twice on the wire: passed once.
+  fixture.piece(dispatch.dispatch, 0, "abcdefgh");  // A duplicate is forwarded once.
   fixture.piece(dispatch.dispatch, 2, "ijkl");
   CHECK(fixture.takeMessage<StreamPiece>()->offset == 0);
   CHECK(fixture.takeMessage<StreamPiece>()->offset == 2);
@@ -28,13 +28,13 @@
   CHECK(fixture.router->inFlight() == 0);
   CHECK(fixture.admission->in_flight == 0);
   CHECK(fixture.router->explain("q")->outcome == "done");
-  fixture.submit(RouterFixture::completion());  // A late copy has its answer already.
+  fixture.submit(RouterFixture::completion());  // A delayed duplicate gets no second response.
   CHECK_FALSE(fixture.take<DispatchCompletion>());
 }
 
-TEST_CASE("an answer whose checksum differs ends in an explicit error", "[router]") {
+TEST_CASE("a response whose checksum differs ends with an explicit error", "[router]") {
   RouterFixture fixture;
-  const DispatchCompletion dispatch = fixture.dispatched();
+  const DispatchCompletion dispatch = fixture.submitAndDispatch();
   fixture.accept(dispatch);
   fixture.piece(dispatch.dispatch, 0, "abcd");
   fixture.end(dispatch.dispatch, "abcX");
@@ -64,40 +64,40 @@
       {"no key", [](SubmitRequest& r) { r = RouterFixture::operation(), r.idempotency_key.clear(); },
        ErrorCode::InvalidRequest},
   };
-  for (const Case& each : cases) {
-    INFO(each.name);
+  for (const Case& test_case : cases) {
+    INFO(test_case.name);
     RouterFixture fixture;
     SubmitRequest request = RouterFixture::completion();
-    each.change(request);
+    test_case.change(request);
     fixture.submit(request);
     const auto refusal = fixture.takeMessage<Refusal>();
     REQUIRE(refusal);
-    CHECK(refusal->code == each.code);
-    // A resumption says that an earlier attempt did run.
+    CHECK(refusal->code == test_case.code);
+    // A resumed request implies that an earlier attempt ran.
     CHECK(refusal->run_state == (request.resume_offset > 0 ? RunState::Ran : RunState::NotRun));
     CHECK_FALSE(fixture.take<DispatchCompletion>());
     CHECK(fixture.router->inFlight() == 0);
   }
 }
 
-TEST_CASE("a request waits a moment for a bundle as new as its sidecar's", "[router]") {
+TEST_CASE("a request waits for a bundle at least as new as its sidecar's, up to a time limit", "[router]") {
   RouterFixture fixture(false);
   fixture.submit(RouterFixture::completion());
   CHECK_FALSE(fixture.take<DispatchCompletion>());
   fixture.advance(milliseconds(300));
   fixture.fleet.bundle = fixture.bundle;
-  SECTION("it comes") {
+  SECTION("it is received") {
     fixture.publish();
     CHECK(fixture.take<DispatchCompletion>());
   }
-  SECTION("none comes") {
+  SECTION("no bundle is received") {
     fixture.advance(milliseconds(800));
     CHECK(fixture.takeMessage<Refusal>()->code == ErrorCode::NotReady);
   }
-  SECTION("only an old one is there") {
-    auto old = std::make_shared<Bundle>(*fixture.bundle);
-    old->version = 4;
-    fixture.fleet.bundle = old;
+  SECTION("only an older bundle is available") {
+    auto older = std::make_shared<Bundle>(*fixture.bundle);
+    older->version = 4;
+    fixture.fleet.bundle = older;
     fixture.publish();
     fixture.advance(milliseconds(800));
     const auto refusal = fixture.takeMessage<Refusal>();
@@ -107,9 +107,9 @@
   }
 }
 
-TEST_CASE("a router that drains refuses new work and finishes the old", "[router]") {
+TEST_CASE("a draining router refuses new requests and completes those in progress", "[router]") {
   RouterFixture fixture;
-  const DispatchCompletion dispatch = fixture.dispatched();
+  const DispatchCompletion dispatch = fixture.submitAndDispatch();
   fixture.router->drain(fixture.now);
   SubmitRequest other = RouterFixture::completion();
   other.request_id = "other";
@@ -123,22 +123,22 @@
   CHECK(fixture.router->inFlight() == 0);
 }
 
-TEST_CASE("a cancel stops the engine's work, also when it comes before its request", "[router]") {
+TEST_CASE("a cancel stops the engine's work, also when it arrives before its request", "[router]") {
   RouterFixture fixture;
   fixture.router->onCancel(1, Cancel{"q", 1}, fixture.now);
   fixture.submit(RouterFixture::completion(1));
   CHECK_FALSE(fixture.take<DispatchCompletion>());
-  const DispatchCompletion dispatch = fixture.dispatched(RouterFixture::completion(2));
-  fixture.router->onCancel(1, Cancel{"q", 1}, fixture.now);  // Of the older attempt: no effect.
+  const DispatchCompletion dispatch = fixture.submitAndDispatch(RouterFixture::completion(2));
+  fixture.router->onCancel(1, Cancel{"q", 1}, fixture.now);  // For the older attempt: no effect.
   CHECK_FALSE(fixture.take<CancelDispatch>());
   fixture.router->onCancel(1, Cancel{"q", 2}, fixture.now);
   CHECK(fixture.take<CancelDispatch>()->dispatch == dispatch.dispatch);
   CHECK(fixture.router->inFlight() == 0);
 }
 
-TEST_CASE("the end of a sidecar's connection cancels its repeatable work", "[router]") {
+TEST_CASE("closing a sidecar's connection cancels its repeatable work", "[router]") {
   RouterFixture fixture;
-  const DispatchCompletion dispatch = fixture.dispatched();
+  const DispatchCompletion dispatch = fixture.submitAndDispatch();
   fixture.router->onSidecarLost(2, fixture.now);
   CHECK_FALSE(fixture.take<CancelDispatch>());
   fixture.router->onSidecarLost(1, fixture.now);
@@ -146,13 +146,14 @@
   CHECK(fixture.router->inFlight() == 0);
 }
 
-TEST_CASE("during a weights rollout requests spread over both versions and fall back to any", "[router]") {
+TEST_CASE("during a weights rollout requests are distributed over both versions and fall back to any",
+          "[router]") {
   RouterFixture fixture;
   auto next = std::make_shared<Bundle>(*fixture.bundle);
   next->models[0].weights_version = "w2";
   fixture.fleet.bundle = next;
   fixture.publish();  // No engine has w2 yet.
-  DispatchCompletion dispatch = fixture.dispatched();
+  DispatchCompletion dispatch = fixture.submitAndDispatch();
   CHECK(dispatch.expected_weights == "w1");
   fixture.fleet.engines[2].models[0].weights_version = "w2";
   fixture.publish();
@@ -161,7 +162,7 @@
     SubmitRequest request = RouterFixture::completion();
     request.request_id = std::to_string(i);
     request.prompt = std::string(64, static_cast<char>('A' + i % 50)) + std::to_string(i);
-    new_weights += fixture.dispatched(request).expected_weights == "w2";
+    new_weights += fixture.submitAndDispatch(request).expected_weights == "w2";
   }
   CHECK(new_weights > 30);
   CHECK(new_weights < 200);
--- a/tests/unit/router/engine_table_test.cc
+++ b/tests/unit/router/engine_table_test.cc
@@ -22,13 +22,13 @@
   return report;
 }
 
-/// Three engines that have answered with incarnation 5.
+/// Table of three engines that have reported incarnation 5.
 class Fleet {
 public:
   Fleet() : table({"east"}, 1) {
     list({engineMachine("a"), engineMachine("b"), engineMachine("c")});
     for (const char* name : {"a", "b", "c"}) table.onReport(name, report(5), kStart);
-    table.takeUrgent(kStart);
+    table.takeUrgentChange(kStart);
     table.takeAnnouncements();
   }
   void list(std::vector<Machine> machines) { table.onMachineList({1, std::move(machines)}, kStart); }
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-TEST_CASE("an engine is used only after it has answered, and slots stay dense and ordered",
+TEST_CASE("an engine is used only after its first response, and slots are dense and ordered",
           "[engine_table]") {
   EngineTable table({"east"}, 1);
   table.onMachineList({1, {engineMachine("a"), engineMachine("b")}}, kStart);
@@ -57,7 +57,7 @@
   CHECK(engines[1].slot == 1);
 }
 
-TEST_CASE("leaving counts from whichever source says so first", "[engine_table]") {
+TEST_CASE("a leaving mark applies from whichever source reports it first", "[engine_table]") {
   Fleet fleet;
   SECTION("machine list") {
     fleet.list({engineMachine("a", MachineState::Leaving), engineMachine("b"), engineMachine("c")});
@@ -68,12 +68,13 @@
   SECTION("gossip") {
     fleet.table.onGossip({"a", 5, true, false}, kStart);
   }
-  CHECK(fleet.table.takeUrgent(kStart));
+  CHECK(fleet.table.takeUrgentChange(kStart));
   CHECK(fleet.view("a").state == EngineState::Leaving);
   CHECK(fleet.view("b").state == EngineState::Live);
 }
 
-TEST_CASE("a leaving mark for an incarnation not yet seen counts once it is seen", "[engine_table]") {
+TEST_CASE("a leaving mark for an unobserved incarnation applies once that incarnation is observed",
+          "[engine_table]") {
   Fleet fleet;
   fleet.table.onGossip({"a", 6, true, false}, kStart);
   CHECK(fleet.view("a").state == EngineState::Live);
@@ -83,7 +84,7 @@
   CHECK(fleet.view("a").state == EngineState::Live);
 }
 
-TEST_CASE("a machine that two lists in a row leave out gets nothing new", "[engine_table]") {
+TEST_CASE("a machine missing from two consecutive lists receives no new work", "[engine_table]") {
   Fleet fleet;
   fleet.list({engineMachine("b"), engineMachine("c")});
   CHECK(fleet.view("a").state == EngineState::Live);
@@ -94,10 +95,11 @@
   CHECK(fleet.table.engines(kStart).size() == 2);
 }
 
-TEST_CASE("a new incarnation is published at once, without the old models, and spread", "[engine_table]") {
+TEST_CASE("a new incarnation is published at once, without the previous models, and announced",
+          "[engine_table]") {
   Fleet fleet;
   fleet.table.onGossip({"a", 5, true, false}, kStart);
-  fleet.table.takeUrgent(kStart);
+  fleet.table.takeUrgentChange(kStart);
   LoadReport load;
   load.measured_at = kStart;
   load.queued_tokens = 900;
@@ -106,7 +108,7 @@
   BackendReport restarted = report(6);
   restarted.models.clear();
   fleet.table.onReport("a", restarted, kStart);
-  CHECK(fleet.table.takeUrgent(kStart));
+  CHECK(fleet.table.takeUrgentChange(kStart));
   CHECK(fleet.view("a").incarnation == 6);
   CHECK(fleet.view("a").models.empty());
   CHECK(fleet.view("a").state == EngineState::Live);
@@ -115,7 +117,7 @@
   CHECK(announcements[0].incarnation == 6);
 }
 
-TEST_CASE("a leaving mark of the list is announced with each list: an announcement may reach nobody",
+TEST_CASE("a leaving mark of the list is announced with each list, because an announcement may be lost",
           "[engine_table]") {
   Fleet fleet;
   Machine leaving = engineMachine("b");
@@ -131,7 +133,7 @@
   }
 }
 
-TEST_CASE("a mark of a peer's machine list holds for each later process of the machine", "[engine_table]") {
+TEST_CASE("a mark of a peer's machine list applies to each later process of the machine", "[engine_table]") {
   Fleet fleet;
   const EngineRecord mark{"a", kWholeMachine, true, false, 10};
   fleet.table.onGossip(mark, kStart);
@@ -142,7 +144,7 @@
   CHECK(fleet.view("b").state == EngineState::Live);
 }
 
-TEST_CASE("of what peers and the own list show of a machine the newest list counts", "[engine_table]") {
+TEST_CASE("the newest of the own and the peers' machine lists applies", "[engine_table]") {
   Fleet fleet;
   const auto listAt = [&](std::uint64_t as_of_ms) {
     fleet.table.onMachineList({as_of_ms, {engineMachine("a"), engineMachine("b")}}, kStart);
@@ -152,19 +154,19 @@
   CHECK(fleet.view("a").state == EngineState::Leaving);
   fleet.table.onGossip({"a", kWholeMachine, false, false, 8}, kStart);
   CHECK(fleet.view("a").state == EngineState::Leaving);
-  SECTION("a newer list of its own takes the mark back") {
+  SECTION("a newer own list removes the mark") {
     listAt(11);
     CHECK(fleet.view("a").state == EngineState::Live);
     fleet.table.onGossip({"a", kWholeMachine, true, false, 10}, kStart);
     CHECK(fleet.view("a").state == EngineState::Live);
   }
-  SECTION("a newer list of a peer takes the mark back") {
+  SECTION("a newer list of a peer removes the mark") {
     fleet.table.onGossip({"a", kWholeMachine, false, false, 11}, kStart);
     CHECK(fleet.view("a").state == EngineState::Live);
   }
 }
 
-TEST_CASE("a mark that the list takes back is announced as taken back", "[engine_table]") {
+TEST_CASE("the removal of a leaving mark by the list is announced", "[engine_table]") {
   Fleet fleet;
   fleet.table.onMachineList({2, {engineMachine("a", MachineState::Leaving)}}, kStart);
   fleet.table.takeAnnouncements();
@@ -176,7 +178,7 @@
   CHECK(announcements[0].listed_at_ms == 3);
 }
 
-TEST_CASE("a peer's word that an engine is dead makes the table ask, not believe", "[engine_table]") {
+TEST_CASE("a peer's report that an engine is dead only causes a poll", "[engine_table]") {
   Fleet fleet;
   fleet.table.duePolls(kStart);
   for (const char* name : {"a", "b", "c"}) fleet.table.onReport(name, report(5), kStart);
@@ -189,7 +191,7 @@
   CHECK(fleet.view("b").state == EngineState::Dead);
 }
 
-TEST_CASE("a frozen engine is ejected at its first missed answer and dead after three", "[engine_table]") {
+TEST_CASE("an unresponsive engine is ejected at its first timeout and dead after three", "[engine_table]") {
   Fleet fleet;
   fleet.table.onPollFailed("a", PollFailure::TimedOut, kStart);
   CHECK(fleet.view("a").state == EngineState::Ejected);
@@ -200,7 +202,7 @@
   CHECK(fleet.view("a", kStart + 10s).state == EngineState::Live);
 }
 
-TEST_CASE("an engine that breaks dispatches is ejected, for longer when it fails on probation",
+TEST_CASE("an engine that fails dispatches is ejected, for longer when it fails on probation",
           "[engine_table]") {
   Fleet fleet;
   const EngineSlot slot = fleet.view("a").slot;
@@ -210,29 +212,29 @@
   fleet.table.onOutcome(lost, kStart);
   fleet.table.onOutcome(lost, kStart);
   CHECK(fleet.view("a").state == EngineState::Ejected);
-  const TimePoint back = kStart + 3s;
-  CHECK(fleet.view("a", back).state == EngineState::Live);
-  fleet.table.onOutcome(lost, back);
-  CHECK(fleet.view("a", back + 3s).state == EngineState::Ejected);
-  const EngineOutcome earlier{slot, 4, OutcomeKind::Lost, Duration(0)};
-  for (int count = 0; count < 5; ++count) fleet.table.onOutcome(earlier, back + 5s);
-  CHECK(fleet.view("a", back + 5s).state == EngineState::Live);
+  const TimePoint reinstated = kStart + 3s;
+  CHECK(fleet.view("a", reinstated).state == EngineState::Live);
+  fleet.table.onOutcome(lost, reinstated);
+  CHECK(fleet.view("a", reinstated + 3s).state == EngineState::Ejected);
+  const EngineOutcome previous_incarnation{slot, 4, OutcomeKind::Lost, Duration(0)};
+  for (int count = 0; count < 5; ++count) fleet.table.onOutcome(previous_incarnation, reinstated + 5s);
+  CHECK(fleet.view("a", reinstated + 5s).state == EngineState::Live);
 }
 
-TEST_CASE("one slow engine of a pool is ejected; a pool slow as a whole is not", "[engine_table]") {
+TEST_CASE("a single slow engine of a pool is ejected; a uniformly slow pool is not", "[engine_table]") {
   Fleet fleet;
-  const auto answer = [&](const std::string& name, Duration lateness) {
+  const auto respond = [&](const std::string& name, Duration lateness) {
     for (int count = 0; count < 10; ++count) {
       fleet.table.onOutcome({fleet.view(name).slot, 5, OutcomeKind::Answered, lateness}, kStart);
     }
   };
-  answer("b", 3s);
-  answer("c", 3s);
-  answer("a", 3s);
+  respond("b", 3s);
+  respond("c", 3s);
+  respond("a", 3s);
   CHECK(fleet.view("a").state == EngineState::Live);
   fleet.list({engineMachine("a"), engineMachine("b"), engineMachine("c"), engineMachine("d")});
   fleet.table.onReport("d", report(5), kStart);
-  answer("d", 20s);
+  respond("d", 20s);
   CHECK(fleet.view("d").state == EngineState::Ejected);
 }
 
@@ -247,7 +249,7 @@
   CHECK(fleet.view("far").state == EngineState::Live);
 }
 
-TEST_CASE("without a machine list a peer's back ends are used, with one they are not", "[engine_table]") {
+TEST_CASE("a peer's back ends are used only until a machine list is received", "[engine_table]") {
   Fleet fleet;
   fleet.table.onGossip({"b", 5, true, false}, kStart);
   EngineTable restarted({"east"}, 2);
@@ -271,7 +273,7 @@
   std::size_t polls = 0;
   for (TimePoint now = kStart; now < kStart + 400s; now += 100ms) {
     for (const BackendPoll& poll : table.duePolls(now)) {
-      // The first half of the time spreads the polls.
+      // Polls are counted after the first half, which spreads them over time.
       if (now >= kStart + 200s) ++polls;
       LoadReport load;
       load.measured_at = now;
--- a/tests/unit/router/fleet_orders_test.cc
+++ b/tests/unit/router/fleet_orders_test.cc
@@ -36,18 +36,18 @@
 
 }  // namespace
 
-TEST_CASE("new weights go out in waves of what the weight store bears until all have them",
+TEST_CASE("new weights are loaded in waves of the configured size until all engines have them",
           "[fleet_orders]") {
   const Bundle bundle = bundleOf("w2", 3);
   auto engines = enginesOf(10, "w1");
   FleetOrders orders;
-  std::size_t given = 0;
+  std::size_t sent = 0;
   TimePoint now = kStart;
-  for (int wave = 0; wave < 10 && given < 10; ++wave, now += 10s) {
+  for (int wave = 0; wave < 10 && sent < 10; ++wave, now += 10s) {
     const auto due = orders.due(bundle, engines, now);
     CHECK(due.size() <= 3);
     CHECK(orders.running() <= 3);
-    given += due.size();
+    sent += due.size();
     CHECK(orders.due(bundle, engines, now + 1s).empty());
     for (const FleetOrder& order : due) {
       for (EngineView& engine : engines) {
@@ -55,18 +55,18 @@
       }
     }
   }
-  CHECK(given == 10);
+  CHECK(sent == 10);
   CHECK(orders.due(bundle, engines, now).empty());
 }
 
-TEST_CASE("never more than half of the engines that serve a model load at once", "[fleet_orders]") {
+TEST_CASE("at most half of the engines that serve a model load at once", "[fleet_orders]") {
   FleetOrders orders;
   CHECK(orders.due(bundleOf("w2", 10), enginesOf(4, "w1"), kStart).size() == 2);
-  FleetOrders alone;
-  CHECK(alone.due(bundleOf("w2", 10), enginesOf(1, "w1"), kStart).size() == 1);
+  FleetOrders single_engine;
+  CHECK(single_engine.due(bundleOf("w2", 10), enginesOf(1, "w1"), kStart).size() == 1);
 }
 
-TEST_CASE("a refused order, a restart and a silent engine make room again", "[fleet_orders]") {
+TEST_CASE("a refused order, a restart and an order without effect permit another load", "[fleet_orders]") {
   const Bundle bundle = bundleOf("w2", 1);
   auto engines = enginesOf(2, "w1");
   FleetOrders orders;
@@ -80,14 +80,16 @@
       if (engine.name == first[0].engine) engine.incarnation = 6;
     }
   }
-  SECTION("silent") {
+  SECTION("without effect") {
     CHECK(orders.due(bundle, engines, kStart + 1min).empty());
   }
   CHECK(orders.due(bundle, engines, kStart + 6min).size() == 1);
 }
 
-TEST_CASE("empty engines get their pool's models; engines of other pools or dead ones get nothing",
-          "[fleet_orders]") {
+TEST_CASE(
+    "engines without models load those of their pool; engines of other pools and dead engines receive no "
+    "orders",
+    "[fleet_orders]") {
   auto engines = enginesOf(3, "w2");
   engines[0].models.clear();
   engines[1].pool = "other";
@@ -100,7 +102,7 @@
   CHECK(due[0].engine == "e0");
 }
 
-TEST_CASE("adapters are loaded once the weights are right", "[fleet_orders]") {
+TEST_CASE("adapters are loaded once the weights are current", "[fleet_orders]") {
   Bundle bundle = bundleOf("w2", 3);
   bundle.models[0].adapters = {"a1", "a2"};
   auto engines = enginesOf(1, "w2");
--- a/tests/unit/router/group_claim_test.cc
+++ b/tests/unit/router/group_claim_test.cc
@@ -7,14 +7,15 @@
 
 namespace {
 
-/// A router whose claims a group decides.
+/// A router with a claim group.
 struct GroupFixture : RouterFixture {
   GroupFixture() {
     fleet.claims_by_group = true;
     publish();
   }
-  /// Submits an order. @return what the group is asked, before which nothing is dispatched or claimed.
-  GroupClaimRequest asked() {
+  /// Submits an operation. Nothing may be dispatched or claimed in the table before the group has decided.
+  /// @return the request to the group.
+  GroupClaimRequest submitOrder() {
     submit(operation());
     const auto call = take<GroupClaimCall>();
     REQUIRE(call);
@@ -31,18 +32,19 @@
     if (!notice || !std::holds_alternative<Notice>(notice->notice)) return std::nullopt;
     return std::get<Notice>(notice->notice);
   }
-  /// Lets the table fail until it counts as down.
-  void loseTable() {
+  /// Fails table calls until the table is considered unavailable.
+  void failTable() {
     for (int count = 0; count < 3; ++count) router->onClaimFailed(999, now);
-    // The one claim that probes.
-    const GroupClaimRequest probe = asked();
+    // The claim that is permitted as a probe.
+    const GroupClaimRequest probe = submitOrder();
     decide(probe, Kind::GrantedForTable);
     REQUIRE(take<ClaimTableCall>());
     router->onCancel(1, Cancel{"q", 1}, now);
     takeMessage<Refusal>();
     takeNotice<ClaimRelease>();
   }
-  GroupClaimRequest askedAgain() {
+  /// Submits another request with the same idempotency key. @return the request to the group.
+  GroupClaimRequest submitSecondOrder() {
     SubmitRequest request = operation();
     request.request_id = "again";
     submit(request);
@@ -54,9 +56,9 @@
 
 }  // namespace
 
-TEST_CASE("while the table answers a claim needs the group and the table", "[router][claim]") {
+TEST_CASE("while the table is available a claim needs the group and the table", "[router][claim]") {
   GroupFixture fixture;
-  const GroupClaimRequest request = fixture.asked();
+  const GroupClaimRequest request = fixture.submitOrder();
   fixture.decide(request, GENERATE(Kind::Granted, Kind::GrantedForTable));
   CHECK_FALSE(fixture.take<DispatchOperation>());
   const auto call = fixture.take<ClaimTableCall>();
@@ -74,10 +76,11 @@
   CHECK(record->result == "ok 17");
 }
 
-TEST_CASE("while the table is down the group's word is enough, if it covers the key", "[router][claim]") {
+TEST_CASE("while the table is down the group's grant suffices if the group covers the key",
+          "[router][claim]") {
   GroupFixture fixture;
-  fixture.loseTable();
-  const GroupClaimRequest request = fixture.askedAgain();
+  fixture.failTable();
+  const GroupClaimRequest request = fixture.submitSecondOrder();
   SECTION("covered") {
     fixture.decide(request, Kind::Granted);
     CHECK_FALSE(fixture.take<ClaimTableCall>());
@@ -88,7 +91,7 @@
     const auto record = fixture.takeNotice<ClaimRecord>();
     REQUIRE(record);
     CHECK_FALSE(record->in_table);
-    // The record goes into the table when that answers again.
+    // The record is written when the table responds again.
     std::optional<ClaimTableCall> call;
     for (int second = 0; second < 12 && !call; ++second) {
       fixture.advance(seconds(1));
@@ -118,7 +121,7 @@
     fixture.decide(request, Kind::AlreadyDone, "ok 17");
     CHECK(fixture.takeMessage<StreamPiece>()->text == "ok 17");
   }
-  SECTION("read only past the deadline") {
+  SECTION("decision received after the deadline") {
     fixture.now += seconds(31);
     fixture.decide(request, Kind::Granted);
     CHECK_FALSE(fixture.take<DispatchOperation>());
@@ -126,15 +129,16 @@
   }
 }
 
-TEST_CASE("a claim whose table write stays without an answer goes on by the group", "[router][claim]") {
+TEST_CASE("a claim whose table write receives no response proceeds with the group's grant",
+          "[router][claim]") {
   GroupFixture fixture;
-  fixture.decide(fixture.asked(), Kind::Granted);
+  fixture.decide(fixture.submitOrder(), Kind::Granted);
   const auto call = fixture.take<ClaimTableCall>();
   REQUIRE(call);
   fixture.advance(seconds(3));
   const auto dispatch = fixture.take<DispatchOperation>();
   REQUIRE(dispatch);
-  // The write was made after all; the record is written over it.
+  // The write was committed late; the record replaces it.
   fixture.router->onClaimWritten(call->claim, true, fixture.now, 4);
   fixture.backend(dispatch->dispatch, BackendPiece{0, 1, "ok 17"});
   fixture.backend(dispatch->dispatch, BackendEnd{});
@@ -144,9 +148,9 @@
   CHECK(write->action.expected_version == 4);
 }
 
-TEST_CASE("the table's word against a claim gives the vote back", "[router][claim]") {
+TEST_CASE("a claim rejected by the table is released at the group", "[router][claim]") {
   GroupFixture fixture;
-  const GroupClaimRequest request = fixture.asked();
+  const GroupClaimRequest request = fixture.submitOrder();
   fixture.decide(request, Kind::Granted);
   const auto call = fixture.take<ClaimTableCall>();
   REQUIRE(call);
@@ -154,12 +158,12 @@
   const auto read = fixture.take<ClaimTableCall>();
   REQUIRE(read);
   ClaimRow row{Phase::Done, "other", request.body_hash, "ok 17", 2};
-  SECTION("done by another") {
+  SECTION("completed by another attempt") {
     fixture.router->onClaimRead(read->claim, row, fixture.now);
     CHECK(fixture.takeMessage<StreamPiece>()->text == "ok 17");
     CHECK(fixture.takeNotice<ClaimRecord>()->result == "ok 17");
   }
-  SECTION("other content") {
+  SECTION("different content") {
     row.body_hash = "else";
     fixture.router->onClaimRead(read->claim, row, fixture.now);
     CHECK(fixture.takeMessage<Refusal>()->code == ErrorCode::InvalidRequest);
@@ -168,23 +172,24 @@
   CHECK_FALSE(fixture.take<DispatchOperation>());
 }
 
-TEST_CASE("a claim that the group gave to another is looked up and never written", "[router][claim]") {
+TEST_CASE("a claim that the group granted to another attempt is looked up and never written",
+          "[router][claim]") {
   GroupFixture fixture;
-  const GroupClaimRequest request = fixture.asked();
+  const GroupClaimRequest request = fixture.submitOrder();
   fixture.decide(request, Kind::HeldByOther);
   auto read = fixture.take<ClaimTableCall>();
   REQUIRE(read);
   CHECK(read->action.kind == ClaimAction::Kind::Read);
-  SECTION("its answer is there") {
+  SECTION("its result is recorded") {
     fixture.router->onClaimRead(read->claim, {Phase::Done, "other", request.body_hash, "ok 17", 2},
                                 fixture.now);
     CHECK(fixture.takeMessage<StreamPiece>()->text == "ok 17");
   }
-  SECTION("nothing is there, or no answer comes") {
-    const bool answers = GENERATE(true, false);
+  SECTION("no row exists, or the table does not respond") {
+    const bool responds = GENERATE(true, false);
     std::optional<Refusal> refusal;
     while (!(refusal = fixture.takeMessage<Refusal>())) {
-      if (read && answers) fixture.router->onClaimRead(read->claim, ClaimRow{}, fixture.now);
+      if (read && responds) fixture.router->onClaimRead(read->claim, ClaimRow{}, fixture.now);
       fixture.advance(std::chrono::milliseconds(250));
       read = fixture.take<ClaimTableCall>();
       if (read) CHECK(read->action.kind == ClaimAction::Kind::Read);
@@ -195,9 +200,9 @@
   CHECK_FALSE(fixture.take<DispatchOperation>());
 }
 
-TEST_CASE("a grant that comes after the request has ended is given back", "[router][claim]") {
+TEST_CASE("a grant received after the request has ended is released", "[router][claim]") {
   GroupFixture fixture;
-  const GroupClaimRequest request = fixture.asked();
+  const GroupClaimRequest request = fixture.submitOrder();
   fixture.router->onCancel(1, Cancel{"q", 1}, fixture.now);
   CHECK(fixture.takeMessage<Refusal>()->run_state == RunState::NotRun);
   CHECK(fixture.router->inFlight() == 1);
@@ -210,7 +215,7 @@
 
 TEST_CASE("without a majority of the group an order is refused as not run", "[router][claim]") {
   GroupFixture fixture;
-  fixture.decide(fixture.asked(), Kind::Unavailable);
+  fixture.decide(fixture.submitOrder(), Kind::Unavailable);
   const auto refusal = fixture.takeMessage<Refusal>();
   REQUIRE(refusal);
   CHECK(refusal->code == ErrorCode::ClaimUnavailable);
@@ -218,7 +223,7 @@
   CHECK_FALSE(fixture.take<ClaimTableCall>());
 }
 
-TEST_CASE("a router that does not know of the group claims only where there is none", "[router][claim]") {
+TEST_CASE("a router unaware of the group writes a claim only where there is no group", "[router][claim]") {
   RouterFixture fixture;
   fixture.submit(RouterFixture::operation());
   const auto call = fixture.take<ClaimTableCall>();
--- a/tests/unit/router/info_polls_test.cc
+++ b/tests/unit/router/info_polls_test.cc
@@ -15,7 +15,7 @@
 
 const TimePoint kStart(1h);
 constexpr double kRate = 8;
-/// One of four regions of a fleet of 340 routers and 2,000 back ends.
+/// One of four regions of a fleet with 340 routers and 2,000 back ends.
 constexpr int kRouters = 85;
 constexpr int kRegionBackends = 500;
 constexpr int kOtherBackends = 1500;
@@ -33,7 +33,7 @@
   return {name, MachineRole::Engine, "pool", name + ":1", "zone", region, MachineState::Live};
 }
 
-/// Polls of one router by back end, all answered at once.
+/// @return the number of info polls of one router by back end, where each poll is answered at once.
 std::map<std::string, int> pollsOf(const std::string& router, TimePoint from, TimePoint to) {
   EngineTable table({"east"}, 1);
   MachineList list;
@@ -60,8 +60,7 @@
 
 }  // namespace
 
-TEST_CASE("every back end of the region has an owner that asks it in time at two thousand back ends",
-          "[info_polls]") {
+TEST_CASE("with two thousand back ends each owner polls its back ends at a sufficient rate", "[info_polls]") {
   const std::vector<std::string> routers = routerNames();
   std::map<std::string, std::size_t> owned;
   for (int index = 0; index < kRegionBackends; ++index) ++owned[ownerOf(backend(index).name, routers)];
@@ -75,7 +74,7 @@
   CHECK(sum / kRegionBackends < 1.2);
 }
 
-TEST_CASE("a router at two thousand back ends asks its own every two seconds or oftener, within its rate",
+TEST_CASE("with two thousand back ends a router polls its own at least every two seconds, within its rate",
           "[info_polls]") {
   const std::string router = routerNames().front();
   const auto counts = pollsOf(router, kStart + 20s, kStart + 120s);
@@ -91,13 +90,14 @@
   CHECK(total < kRate * 100 * 1.1);
 }
 
-TEST_CASE("a router alone asks all at the whole rate, few are asked by everybody", "[info_polls]") {
+TEST_CASE("a single router uses the complete rate, and a few back ends are polled by all routers",
+          "[info_polls]") {
   CHECK(infoPollInterval(InfoPollClass::Owned, {200, 0, 0}, 1s, kRate) == 25s);
   CHECK(infoPollInterval(InfoPollClass::Owned, {4, 0, 0}, 1s, kRate) == 1s);
   CHECK(infoPollInterval(InfoPollClass::InRegion, {2, 4, 0}, 1s, kRate) == 1s);
 }
 
-TEST_CASE("back ends of a lost router are asked by their new owner within an interval", "[info_polls]") {
+TEST_CASE("back ends of a failed router are polled by their new owner within an interval", "[info_polls]") {
   EngineTable table({"east"}, 1);
   MachineList list;
   for (int index = 0; index < 8; ++index) list.machines.push_back(backend(index));
@@ -107,14 +107,14 @@
   report.incarnation = 5;
   for (const BackendPoll& poll : table.duePolls(kStart)) table.onReport(poll.name, report, kStart);
   table.setRouters("a", {"a"}, kStart + 10ms);
-  std::size_t asked = 0;
+  std::size_t polled = 0;
   for (const BackendPoll& poll : table.duePolls(kStart + 1200ms)) {
-    if (poll.kind == BackendPoll::Kind::EngineInfo) ++asked;
+    if (poll.kind == BackendPoll::Kind::EngineInfo) ++polled;
   }
-  CHECK(asked == list.machines.size());
+  CHECK(polled == list.machines.size());
 }
 
-TEST_CASE("only the owner has a leaving mark told at once", "[info_polls]") {
+TEST_CASE("only the owner announces a leaving mark at once", "[info_polls]") {
   EngineTable table({"east"}, 1);
   table.onMachineList({1, {backend(0)}}, kStart);
   const std::string owner = ownerOf(backend(0).name, {"a", "b"});
--- a/tests/unit/router/operation_test.cc
+++ b/tests/unit/router/operation_test.cc
@@ -8,18 +8,19 @@
 
 namespace {
 
-/// Submits an order and gives the claim call that must come.
-ClaimTableCall claimed(RouterFixture& fixture, const SubmitRequest& request = RouterFixture::operation()) {
+/// Submits an operation. @return its claim call, which is required.
+ClaimTableCall submitAndClaim(RouterFixture& fixture,
+                              const SubmitRequest& request = RouterFixture::operation()) {
   fixture.submit(request);
   const auto call = fixture.take<ClaimTableCall>();
   REQUIRE(call);
-  CHECK_FALSE(fixture.take<DispatchOperation>());  // Never before the claim.
+  CHECK_FALSE(fixture.take<DispatchOperation>());  // Not before the claim is granted.
   return *call;
 }
 
-/// Brings an order to its dispatch.
-DispatchOperation granted(RouterFixture& fixture, std::uint64_t* claim = nullptr) {
-  const ClaimTableCall call = claimed(fixture);
+/// Submits an operation and grants its claim. @return its dispatch, which is required.
+DispatchOperation submitAndGrant(RouterFixture& fixture, std::uint64_t* claim = nullptr) {
+  const ClaimTableCall call = submitAndClaim(fixture);
   if (claim != nullptr) *claim = call.claim;
   fixture.router->onClaimWritten(call.claim, true, fixture.now, 1);
   const auto dispatch = fixture.take<DispatchOperation>();
@@ -27,12 +28,13 @@
   return *dispatch;
 }
 
-void finishWith(RouterFixture& fixture, DispatchId dispatch, const std::string& result) {
+/// Completes the dispatch with the result.
+void sendResult(RouterFixture& fixture, DispatchId dispatch, const std::string& result) {
   fixture.backend(dispatch, BackendPiece{0, 1, result});
   fixture.backend(dispatch, BackendEnd{});
 }
 
-Refusal refused(RouterFixture& fixture) {
+Refusal takeRefusal(RouterFixture& fixture) {
   const auto refusal = fixture.takeMessage<Refusal>();
   REQUIRE(refusal);
   return *refusal;
@@ -40,10 +42,10 @@
 
 }  // namespace
 
-TEST_CASE("an order is claimed, run once, answered and recorded", "[router][claim]") {
+TEST_CASE("an operation is claimed, run once, responded to and recorded", "[router][claim]") {
   RouterFixture fixture;
-  const DispatchOperation dispatch = granted(fixture);
-  finishWith(fixture, dispatch.dispatch, "ok 17");
+  const DispatchOperation dispatch = submitAndGrant(fixture);
+  sendResult(fixture, dispatch.dispatch, "ok 17");
   CHECK(fixture.takeMessage<StreamPiece>()->text == "ok 17");
   const auto end = fixture.takeMessage<StreamEnd>();
   REQUIRE(end);
@@ -54,14 +56,14 @@
   CHECK(record->action.write.phase == Phase::Done);
   CHECK(record->action.write.result == "ok 17");
   CHECK(record->action.expected_version == 1);
-  CHECK(fixture.router->inFlight() == 1);  // Until the record is written.
+  CHECK(fixture.router->inFlight() == 1);  // The record is not written yet.
   fixture.router->onClaimWritten(record->claim, true, fixture.now, 2);
   CHECK(fixture.router->inFlight() == 0);
 }
 
-TEST_CASE("a duplicate gets the recorded answer and is not run", "[router][claim]") {
+TEST_CASE("a duplicate receives the recorded result and is not run", "[router][claim]") {
   RouterFixture fixture;
-  const ClaimTableCall call = claimed(fixture);
+  const ClaimTableCall call = submitAndClaim(fixture);
   fixture.router->onClaimWritten(call.claim, false, fixture.now);
   const auto read = fixture.take<ClaimTableCall>();
   REQUIRE(read);
@@ -71,14 +73,14 @@
     CHECK(fixture.takeMessage<StreamPiece>()->text == "ok 17");
     CHECK(fixture.takeMessage<StreamEnd>());
   }
-  SECTION("other content") {
+  SECTION("different content") {
     row.body_hash = "else";
     fixture.router->onClaimRead(read->claim, row, fixture.now);
-    const Refusal refusal = refused(fixture);
+    const Refusal refusal = takeRefusal(fixture);
     CHECK(refusal.code == ErrorCode::InvalidRequest);
     CHECK(refusal.run_state == RunState::NotRun);
   }
-  SECTION("the other attempt has not ended") {
+  SECTION("the other attempt is still in progress") {
     row.phase = Phase::Claimed;
     fixture.router->onClaimRead(read->claim, row, fixture.now);
     while (fixture.router->inFlight() > 0) {
@@ -86,7 +88,7 @@
       const auto again = fixture.take<ClaimTableCall>();
       if (again) fixture.router->onClaimRead(again->claim, row, fixture.now);
     }
-    const Refusal refusal = refused(fixture);
+    const Refusal refusal = takeRefusal(fixture);
     CHECK(refusal.code == ErrorCode::DuplicateRequest);
     CHECK(refusal.run_state == RunState::Unknown);
     CHECK(refusal.retry_after > Duration{0});
@@ -95,36 +97,36 @@
   CHECK(fixture.router->inFlight() == 0);
 }
 
-TEST_CASE("an order moves to another runner only while nothing can have run", "[router][claim]") {
+TEST_CASE("an operation is dispatched to another runner only if it cannot have run", "[router][claim]") {
   RouterFixture fixture;
-  const DispatchOperation first = granted(fixture);
+  const DispatchOperation first = submitAndGrant(fixture);
   const BackendEvent failure = GENERATE(BackendEvent{BackendLost{false}},
                                         BackendEvent{BackendRefused{ErrorCode::Overloaded, seconds(1)}});
   fixture.backend(first.dispatch, failure);
   const auto second = fixture.take<DispatchOperation>();
   REQUIRE(second);
   CHECK(second->runner_name != first.runner_name);
-  SECTION("and is released when no runner is left") {
+  SECTION("and is released when no runner remains") {
     fixture.backend(second->dispatch, failure);
-    CHECK(refused(fixture).run_state == RunState::NotRun);
+    CHECK(takeRefusal(fixture).run_state == RunState::NotRun);
     const auto release = fixture.take<ClaimTableCall>();
     REQUIRE(release);
     CHECK(release->action.write.phase == Phase::Released);
   }
-  SECTION("and never once one may have run") {
+  SECTION("and never once it may have run") {
     fixture.backend(second->dispatch, BackendLost{true});
-    CHECK(refused(fixture).run_state == RunState::Unknown);
+    CHECK(takeRefusal(fixture).run_state == RunState::Unknown);
     CHECK_FALSE(fixture.take<ClaimTableCall>());
   }
 }
 
-TEST_CASE("an order whose runner was lost is never run again and its claim stands", "[router][claim]") {
+TEST_CASE("an operation whose runner was lost is never run again and keeps its claim", "[router][claim]") {
   RouterFixture fixture;
-  const DispatchOperation dispatch = granted(fixture);
+  const DispatchOperation dispatch = submitAndGrant(fixture);
   fixture.router->onDispatchSent(dispatch.dispatch, fixture.now);
-  // Even a driver that now says nothing was sent is not believed.
+  // A later report by the driver that nothing was sent is disregarded.
   fixture.backend(dispatch.dispatch, BackendLost{GENERATE(true, false)});
-  const Refusal refusal = refused(fixture);
+  const Refusal refusal = takeRefusal(fixture);
   CHECK(refusal.code == ErrorCode::EngineLost);
   CHECK(refusal.run_state == RunState::Unknown);
   CHECK_FALSE(fixture.take<DispatchOperation>());
@@ -140,14 +142,14 @@
   fixture.backend(first->dispatch, BackendLost{true});
   const auto second = fixture.take<DispatchOperation>();
   REQUIRE(second);
-  finishWith(fixture, first->dispatch, "stale");
-  finishWith(fixture, second->dispatch, "seven left");
+  sendResult(fixture, first->dispatch, "stale");
+  sendResult(fixture, second->dispatch, "seven left");
   CHECK(fixture.takeMessage<StreamPiece>()->text == "seven left");
 }
 
-TEST_CASE("while the table is down orders are refused at once as not run", "[router][claim]") {
+TEST_CASE("while the table is down operations are refused at once as not run", "[router][claim]") {
   RouterFixture fixture;
-  const ClaimTableCall call = claimed(fixture);
+  const ClaimTableCall call = submitAndClaim(fixture);
   fixture.router->onClaimFailed(call.claim, fixture.now);
   while (const auto timer = fixture.router->nextTimer()) {
     fixture.now = std::max(fixture.now, *timer);
@@ -176,15 +178,16 @@
   CHECK_FALSE(fixture.take<DispatchOperation>());
 }
 
-TEST_CASE("a router that wakes past the deadline does not dispatch and releases", "[router][claim]") {
+TEST_CASE("a router that resumes after the deadline releases the claim without a dispatch",
+          "[router][claim]") {
   RouterFixture fixture;
   SubmitRequest request = RouterFixture::operation();
   request.deadline = seconds(1);
-  const ClaimTableCall call = claimed(fixture, request);
+  const ClaimTableCall call = submitAndClaim(fixture, request);
   fixture.now += seconds(60);
-  fixture.router->onClaimWritten(call.claim, true, fixture.now, 1);  // Before any timer could fire.
+  fixture.router->onClaimWritten(call.claim, true, fixture.now, 1);  // Before any timer fires.
   CHECK_FALSE(fixture.take<DispatchOperation>());
-  const Refusal refusal = refused(fixture);
+  const Refusal refusal = takeRefusal(fixture);
   CHECK(refusal.code == ErrorCode::DeadlineExceeded);
   CHECK(refusal.run_state == RunState::NotRun);
   const auto release = fixture.take<ClaimTableCall>();
@@ -192,62 +195,64 @@
   CHECK(release->action.write.phase == Phase::Released);
 }
 
-TEST_CASE("an order whose caller or sidecar has gone goes on to its record", "[router][claim]") {
+TEST_CASE("an operation whose caller or sidecar disconnected continues until it is recorded",
+          "[router][claim]") {
   RouterFixture fixture;
-  const DispatchOperation dispatch = granted(fixture);
+  const DispatchOperation dispatch = submitAndGrant(fixture);
   fixture.router->onDispatchSent(dispatch.dispatch, fixture.now);
   SECTION("cancelled") {
     fixture.router->onCancel(1, Cancel{"q", 1}, fixture.now);
-    CHECK(refused(fixture).run_state == RunState::Unknown);
+    CHECK(takeRefusal(fixture).run_state == RunState::Unknown);
   }
   SECTION("sidecar lost") {
     fixture.router->onSidecarLost(1, fixture.now);
   }
   SECTION("deadline passed") {
     fixture.advance(seconds(30));
-    const Refusal refusal = refused(fixture);
+    const Refusal refusal = takeRefusal(fixture);
     CHECK(refusal.code == ErrorCode::DeadlineExceeded);
     CHECK(refusal.run_state == RunState::Unknown);
   }
   CHECK_FALSE(fixture.take<CancelDispatch>());
   fixture.advance(minutes(1));
-  finishWith(fixture, dispatch.dispatch, "ok 17");
+  sendResult(fixture, dispatch.dispatch, "ok 17");
   CHECK_FALSE(fixture.takeMessage<StreamEnd>());
   const auto record = fixture.take<ClaimTableCall>();
   REQUIRE(record);
   CHECK(record->action.write.phase == Phase::Done);
 }
 
-TEST_CASE("a claimed order that did not leave yet is stopped and released on cancel", "[router][claim]") {
+TEST_CASE("a claimed operation that was not yet sent is cancelled and its claim released on cancel",
+          "[router][claim]") {
   RouterFixture fixture;
-  const ClaimTableCall call = claimed(fixture);
-  SECTION("the claim is not decided") {
+  const ClaimTableCall call = submitAndClaim(fixture);
+  SECTION("the claim is pending") {
     fixture.router->onCancel(1, Cancel{"q", 1}, fixture.now);
     fixture.router->onClaimWritten(call.claim, true, fixture.now, 1);
   }
-  SECTION("the connect is under way") {
+  SECTION("the connect is in progress") {
     fixture.router->onClaimWritten(call.claim, true, fixture.now, 1);
     const auto dispatch = fixture.take<DispatchOperation>();
     REQUIRE(dispatch);
     fixture.router->onCancel(1, Cancel{"q", 1}, fixture.now);
     CHECK(fixture.take<CancelDispatch>()->dispatch == dispatch->dispatch);
   }
-  CHECK(refused(fixture).run_state == RunState::NotRun);
+  CHECK(takeRefusal(fixture).run_state == RunState::NotRun);
   CHECK_FALSE(fixture.take<DispatchOperation>());
   const auto release = fixture.take<ClaimTableCall>();
   REQUIRE(release);
   CHECK(release->action.write.phase == Phase::Released);
 }
 
-TEST_CASE("a resubmitted order waits for the one that runs", "[router][claim]") {
+TEST_CASE("a resubmitted operation waits for the execution in progress", "[router][claim]") {
   RouterFixture fixture;
-  const DispatchOperation dispatch = granted(fixture);
+  const DispatchOperation dispatch = submitAndGrant(fixture);
   fixture.router->onDispatchSent(dispatch.dispatch, fixture.now);
   fixture.router->onSidecarLost(1, fixture.now);
   SubmitRequest again = RouterFixture::operation();
   again.attempt = 2;
   fixture.submit(again, 9);
   CHECK_FALSE(fixture.take<DispatchOperation>());
-  finishWith(fixture, dispatch.dispatch, "ok 17");
+  sendResult(fixture, dispatch.dispatch, "ok 17");
   CHECK(fixture.takeMessage<StreamEnd>()->attempt == 2);
 }
--- a/tests/unit/router/retry_storm_test.cc
+++ b/tests/unit/router/retry_storm_test.cc
@@ -2,7 +2,7 @@
 
 using namespace crankspur;
 
-TEST_CASE("the loss of most of the fleet does not multiply the load on the rest", "[router][admission]") {
+TEST_CASE("failing engines do not multiply the load beyond the retry budget", "[router][admission]") {
   RouterFixture fixture;
   RequestRouterOptions options;
   options.placement = makeRoundRobinPlacement();
@@ -19,7 +19,7 @@
     SubmitRequest request = RouterFixture::completion();
     request.request_id = std::to_string(i);
     fixture.submit(request);
-    // Every engine takes the request and is lost before it answers.
+    // Each engine receives the request and fails before it responds.
     while (const auto dispatch = fixture.take<DispatchCompletion>()) {
       dispatches += dispatch->resume ? 0 : 1;
       fixture.backend(dispatch->dispatch, BackendLost{true});
@@ -31,7 +31,7 @@
     }
   }
   CHECK(refusals == kRequests);
-  // A tenth more, and what a tenant may save up.
+  // The retry budget of a tenth, plus the burst that a tenant may accumulate.
   CHECK(dispatches <= kRequests + kRequests / 10 + 10);
   CHECK(dispatches > kRequests);
 }
--- a/tests/unit/router/router_fixture.h
+++ b/tests/unit/router/router_fixture.h
@@ -1,5 +1,6 @@
 #pragma once
-/// @file A RequestRouter with two engines and two runners, driven by hand.
+/// @file Fixture: a RequestRouter with three engines and two runners, whose events and time the test
+/// controls.
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -13,7 +14,7 @@
 
 namespace crankspur {
 
-/// Takes the first live engine with the wanted weights.
+/// Chooses the first eligible engine.
 class FirstFitPlacement : public PlacementPolicy {
 public:
   std::string name() const override { return "first_fit"; }
@@ -32,7 +33,7 @@
   }
 };
 
-/// Admits everything but as many retries as are left.
+/// Admits all first attempts, and retries while `retries_left` is above 0.
 class CountingAdmission : public Admission {
 public:
   void configure(std::shared_ptr<const Bundle>, std::uint32_t, TimePoint) override {}
@@ -55,7 +56,7 @@
   int in_flight = 0;
 };
 
-/// Drives one RequestRouter; `now` moves only when a test moves it.
+/// Drives one RequestRouter. `now` changes only when the test changes it.
 struct RouterFixture {
   TimePoint now{std::chrono::seconds(1000)};
   std::shared_ptr<Bundle> bundle = std::make_shared<Bundle>();
@@ -168,28 +169,29 @@
     backend(dispatch, BackendEnd{text.size() / 4, hashBytes(text), "stop"});
   }
 
-  void collect() {
+  void collectActions() {
     for (RouterAction& action : router->takeActions()) actions.push_back(std::move(action));
   }
 
-  /// Takes the first action of the type out of those not yet looked at.
+  /// Removes the first pending action of the type. @return the action, or empty if there is none.
   template <typename Action>
   std::optional<Action> take() {
-    collect();
+    collectActions();
     for (auto action = actions.begin(); action != actions.end(); ++action) {
       if (auto* found = std::get_if<Action>(&*action)) {
-        Action taken = std::move(*found);
+        Action result = std::move(*found);
         actions.erase(action);
-        return taken;
+        return result;
       }
     }
     return std::nullopt;
   }
 
-  /// Takes the first message of the type sent to any sidecar.
+  /// Removes the first pending message of the type to any sidecar. @return the message, or empty if there is
+  /// none.
   template <typename Body>
   std::optional<Body> takeMessage() {
-    collect();
+    collectActions();
     for (auto action = actions.begin(); action != actions.end(); ++action) {
       auto* sent = std::get_if<SendToSidecar>(&*action);
       if (sent == nullptr || !std::holds_alternative<Body>(sent->message)) continue;
@@ -200,8 +202,8 @@
     return std::nullopt;
   }
 
-  /// Submits the request and gives its dispatch, which must come.
-  DispatchCompletion dispatched(const SubmitRequest& request = completion()) {
+  /// Submits the request. @return its dispatch, which is required.
+  DispatchCompletion submitAndDispatch(const SubmitRequest& request = completion()) {
     submit(request);
     const auto dispatch = take<DispatchCompletion>();
     REQUIRE(dispatch);
--- a/tests/unit/router/zone_sharing_test.cc
+++ b/tests/unit/router/zone_sharing_test.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-TEST_CASE("each engine has one owner, shares are even and a lost router moves only its own",
+TEST_CASE("each engine has one owner, shares are even, and a router's removal reassigns only its engines",
           "[zone_sharing]") {
   const auto routers = names("router-", 10);
   auto fewer = routers;
@@ -32,7 +32,7 @@
   for (const auto& [router, count] : owned) CHECK(count < 150);
 }
 
-TEST_CASE("load digests keep to their byte rate at the two-year size", "[zone_sharing]") {
+TEST_CASE("load digests stay within their byte rate at the two-year fleet size", "[zone_sharing]") {
   LoadSharing sharing("router-0", 4000);
   std::vector<EngineView> owned(16);
   std::size_t digests = 0;
@@ -61,7 +61,7 @@
   CHECK(sharing.due(3, kStart + 6s).empty());
 }
 
-TEST_CASE("summaries keep to their byte rate under a flood of events", "[zone_sharing]") {
+TEST_CASE("summaries stay within their byte rate under a high rate of events", "[zone_sharing]") {
   CacheSharing sharing(4000);
   std::size_t bytes = 0;
   std::uint64_t sequence = 0;
