--- a/src/router/engine_table.h
+++ b/src/router/engine_table.h
@@ -80,8 +80,8 @@
   void onReport(const std::string& name, const BackendReport& report, TimePoint now);
   /// An engine responded to a load poll. An unknown incarnation causes an immediate info poll.
   void onLoad(const std::string& name, std::uint64_t incarnation, const LoadReport& load, TimePoint now);
-  /// A peer reported an engine's load. Unknown engines are ignored; an unknown incarnation causes an
-  /// immediate info poll.
+  /// A peer reported an engine's load. Ignored for engines that are not polled by peers and for unknown
+  /// incarnations; the latter cause an immediate info poll.
   void onPeerEngineLoad(const std::string& name, std::uint64_t incarnation, const LoadReport& load,
                         TimePoint now);
   /// A poll failed.
