--- a/src/router/completion_flow.cc
+++ b/src/router/completion_flow.cc
@@ -43,7 +43,7 @@
                                                           const ModelPolicy& model) {
   if (!entry.answer_weights.empty()) return {entry.answer_weights};
   const std::string_view head = std::string_view(entry.request.prompt).substr(0, kBytesPerBlock);
-  return capacityOf(model).weightsInOrder(model.weights_version,
+  return capacityOf(model).orderedWeights(model.weights_version,
                                           hashBytes(head, hashBytes(entry.request.tenant)));
 }
 
