--- a/sim/world/router_control.cc
+++ b/sim/world/router_control.cc
@@ -87,7 +87,7 @@
     process_->membership->announceEngine(record, now());
   }
   const std::vector<EngineRecord> urgent = process_->engines->takeUrgentAnnouncements();
-  for (const EngineRecord& record : urgent) process_->membership->announceEngineAtOnce(record, now());
+  for (const EngineRecord& record : urgent) process_->membership->announceEngineDirectly(record, now());
   if (!urgent.empty()) pumpMembership();
   noteBackendChanges();
   if (process_->engines->takeUrgent(now())) publish();
--- a/src/claim/claim.cc
+++ b/src/claim/claim.cc
@@ -12,18 +12,18 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// First pause after a call without an answer; doubles up to the maximum.
-constexpr Duration kFirstBackoff = milliseconds(50);
-constexpr Duration kMaximumBackoff = seconds(5);
-/// Pause between reads while another attempt holds the claim.
-constexpr Duration kHolderPoll = milliseconds(250);
-/// How long a holder's answer is waited for before HeldByOther is told.
+/// Backoff after a call without a response; doubles up to the maximum.
+constexpr Duration kInitialBackoff = milliseconds(50);
+constexpr Duration kMaxBackoff = seconds(5);
+/// Interval between reads while another attempt holds the claim.
+constexpr Duration kHolderPollInterval = milliseconds(250);
+/// Time to wait for the holder's recorded response before the outcome is HeldByOther.
 constexpr Duration kHolderWait = seconds(2);
-/// How long a record or a release is tried before it is given up.
-constexpr Duration kSettleLimit = hours(2);
+/// Time after which the write of a result or a release is abandoned.
+constexpr Duration kFinishTimeout = hours(2);
 
-/// Claim over one row. `goal_` is what it works towards; each step either reads the row or writes it on the
-/// condition of a version. A write without an answer is never assumed either way: the row is read.
+/// Claim on one table row. Each step towards `goal_` either reads the row or writes it with compare-and-set.
+/// The effect of a write without a response is unknown until the row has been read.
 class TableClaim : public Claim {
 public:
   TableClaim(std::string key, std::string token, TimePoint deadline, std::uint64_t seed,
@@ -46,7 +46,7 @@
       action.write = rowToWrite();
       action.expected_version = row_version_;
       written_phase_ = action.write.phase;
-      if (written_phase_ == ClaimRow::Phase::Claimed) claim_may_stand_ = true;
+      if (written_phase_ == ClaimRow::Phase::Claimed) claim_may_commit_ = true;
     }
     outstanding_ = action.kind;
     return action;
@@ -55,7 +55,7 @@
   void onRead(const ClaimRow& row, TimePoint now) override {
     if (outstanding_ != ClaimAction::Kind::Read) return;
     outstanding_.reset();
-    backoff_ = kFirstBackoff;
+    backoff_ = kInitialBackoff;
     switch (goal_) {
       case Goal::Acquire:
         return readWhileAcquiring(row, now);
@@ -71,18 +71,18 @@
   void onWritten(bool committed, TimePoint now, std::uint64_t row_version) override {
     if (outstanding_ != ClaimAction::Kind::CompareAndSet) return;
     outstanding_.reset();
-    backoff_ = kFirstBackoff;
+    backoff_ = kInitialBackoff;
     if (!committed) {
       must_read_ = true;
       return;
     }
     if (written_phase_ != ClaimRow::Phase::Claimed) {
-      settle();
+      finish();
       return;
     }
     row_version_ = row_version;
     must_read_ = row_version == 0;
-    if (goal_ == Goal::Acquire) grantUnlessLate(now);
+    if (goal_ == Goal::Acquire) grantUnlessExpired(now);
   }
 
   void onFailed(TimePoint now) override {
@@ -93,7 +93,7 @@
         now +
         Duration(static_cast<Duration::rep>(random_.uniform(static_cast<std::uint64_t>(backoff_.count() / 2),
                                                             static_cast<std::uint64_t>(backoff_.count()))));
-    backoff_ = std::min(backoff_ * 2, kMaximumBackoff);
+    backoff_ = std::min(backoff_ * 2, kMaxBackoff);
     expire(now);
   }
 
@@ -102,18 +102,18 @@
   void complete(std::string result, TimePoint now) override {
     if (!outcome_ || outcome_->kind != ClaimOutcome::Kind::Granted || closed_) return;
     result_ = std::move(result);
-    pursue(Goal::Complete, now);
+    startGoal(Goal::Complete, now);
   }
 
   void release(TimePoint now) override {
     if (closed_) return;
     if (!outcome_) outcome_ = ClaimOutcome{ClaimOutcome::Kind::Unavailable, {}};
-    if (!claim_may_stand_) {
+    if (!claim_may_commit_) {
       closed_ = true;
-      settle();
+      finish();
       return;
     }
-    pursue(Goal::Release, now);
+    startGoal(Goal::Release, now);
   }
 
   void grantWithoutTable(TimePoint) override {
@@ -121,14 +121,14 @@
     if (closed_ || lookup_only_ || !undecided) return;
     decide(ClaimOutcome::Kind::Granted);
     must_read_ = true;
-    claim_may_stand_ = true;
+    claim_may_commit_ = true;
   }
 
-  bool settled() const override { return goal_ == Goal::None && !outstanding_; }
+  bool isFinished() const override { return goal_ == Goal::None && !outstanding_; }
 
   TimePoint nextTimer() const override {
     if (goal_ == Goal::None) return TimePoint::max();
-    const TimePoint limit = goal_ == Goal::Acquire ? deadline_ : settle_by_;
+    const TimePoint limit = goal_ == Goal::Acquire ? deadline_ : finish_by_;
     return outstanding_ ? limit : std::min(next_step_, limit);
   }
 
@@ -162,10 +162,11 @@
     if (free) return lookup_only_ ? waitForHolder(now) : writeNext(row.row_version);
     if (isOwnClaim(row)) {
       writeNext(row.row_version);
-      return grantUnlessLate(now);
+      return grantUnlessExpired(now);
     }
-    // Any row beyond the versions this claim wrote against makes its unanswered writes void for good.
-    claim_may_stand_ = false;
+    // The row has moved past every version this claim wrote against, so its unanswered writes can never
+    // commit.
+    claim_may_commit_ = false;
     if (row.body_hash != body_hash_) return decide(ClaimOutcome::Kind::KeyReused);
     if (row.phase == ClaimRow::Phase::Done) return decide(ClaimOutcome::Kind::AlreadyDone, row.result);
     waitForHolder(now);
@@ -173,34 +174,34 @@
 
   void waitForHolder(TimePoint now) {
     if (!holder_wait_until_) holder_wait_until_ = std::min(deadline_, now + kHolderWait);
-    if (now + kHolderPoll >= *holder_wait_until_) return decide(ClaimOutcome::Kind::HeldByOther);
+    if (now + kHolderPollInterval >= *holder_wait_until_) return decide(ClaimOutcome::Kind::HeldByOther);
     must_read_ = true;
-    next_step_ = now + kHolderPoll;
+    next_step_ = now + kHolderPollInterval;
   }
 
   void readWhileCompleting(const ClaimRow& row) {
-    // A released row of an earlier attempt is found under a claim that was granted without the table.
-    if (isOwnClaim(row) || row.row_version == 0 || mayStillTurnIntoOwnClaim(row)) {
+    // A claim that was granted without the table may find a released row of an earlier attempt.
+    if (isOwnClaim(row) || row.row_version == 0 || mayBecomeOwnClaim(row)) {
       return writeNext(row.row_version);
     }
-    settle();
+    finish();
   }
 
   void readWhileReleasing(const ClaimRow& row) {
-    // An absent row is written as Released too: a claim write still on its way then fails its condition.
-    if (isOwnClaim(row) || row.row_version == 0 || mayStillTurnIntoOwnClaim(row)) {
+    // An absent row is written as Released too, so that a claim write still in flight fails its condition.
+    if (isOwnClaim(row) || row.row_version == 0 || mayBecomeOwnClaim(row)) {
       return writeNext(row.row_version);
     }
-    settle();
+    finish();
   }
 
-  /// A released row of an earlier attempt, over which this claim's write may still be on its way.
-  bool mayStillTurnIntoOwnClaim(const ClaimRow& row) const {
-    return row.phase == ClaimRow::Phase::Released && row.token != token_ && claim_may_stand_;
+  /// @return whether the row is a released one of an earlier attempt that an in-flight write may replace.
+  bool mayBecomeOwnClaim(const ClaimRow& row) const {
+    return row.phase == ClaimRow::Phase::Released && row.token != token_ && claim_may_commit_;
   }
 
-  /// A holder that was paused past its deadline must not dispatch; the caller was told otherwise.
-  void grantUnlessLate(TimePoint now) {
+  /// A process that was suspended past the deadline must not dispatch: its caller already received a failure.
+  void grantUnlessExpired(TimePoint now) {
     decide(now < deadline_ ? ClaimOutcome::Kind::Granted : ClaimOutcome::Kind::Unavailable);
   }
 
@@ -209,20 +210,20 @@
     goal_ = Goal::None;
   }
 
-  void pursue(Goal goal, TimePoint now) {
+  void startGoal(Goal goal, TimePoint now) {
     closed_ = true;
     goal_ = goal;
     next_step_ = now;
-    settle_by_ = now + kSettleLimit;
+    finish_by_ = now + kFinishTimeout;
   }
 
-  void settle() { goal_ = Goal::None; }
+  void finish() { goal_ = Goal::None; }
 
   void expire(TimePoint now) {
     if (goal_ == Goal::Acquire && now >= deadline_) decide(ClaimOutcome::Kind::Unavailable);
-    if ((goal_ == Goal::Complete || goal_ == Goal::Release) && now >= settle_by_) {
+    if ((goal_ == Goal::Complete || goal_ == Goal::Release) && now >= finish_by_) {
       outstanding_.reset();
-      settle();
+      finish();
     }
   }
 
@@ -232,17 +233,17 @@
   std::string result_;
   TimePoint deadline_;
   TimePoint next_step_{};
-  TimePoint settle_by_ = TimePoint::max();
+  TimePoint finish_by_ = TimePoint::max();
   std::optional<TimePoint> holder_wait_until_;
-  Duration backoff_ = kFirstBackoff;
+  Duration backoff_ = kInitialBackoff;
   RandomSource random_;
   Goal goal_ = Goal::Acquire;
   std::optional<ClaimOutcome> outcome_;
   std::optional<ClaimAction::Kind> outstanding_;
   ClaimRow::Phase written_phase_ = ClaimRow::Phase::Claimed;
-  std::uint64_t row_version_ = 0;  ///< The version that the next write demands.
-  bool must_read_;                 ///< The row's version is unknown; read before writing.
-  bool claim_may_stand_ = false;   ///< A claim write of this object took effect or may yet.
+  std::uint64_t row_version_ = 0;  ///< Expected version of the next write.
+  bool must_read_;                 ///< The row's version is unknown; it is read before the next write.
+  bool claim_may_commit_ = false;  ///< A claim write of this object has committed or may still commit.
   bool lookup_only_;               ///< Never writes.
   bool closed_ = false;            ///< complete() or release() was called.
 };
--- a/src/claim/claim_epoch_change.cc
+++ b/src/claim/claim_epoch_change.cc
@@ -14,32 +14,32 @@
   new_row_.epoch = row_.epoch + 1;
   new_row_.members = std::move(members);
   new_row_.installer = std::move(installer);
-  // A group that has not begun has no votes to seal: claims until now stand in the table.
+  // A group without an epoch has no votes to seal: all claims so far are in the table.
   if (row_.epoch == 0) step_ = EpochStep::WriteClaims;
   install_.row = new_row_;
 }
 
 void ClaimEpochChange::onSealed(const ClaimSealed& sealed) {
   const auto& members = row_.members;
-  const bool member = std::find(members.begin(), members.end(), sealed.voter) != members.end();
-  if (step_ != EpochStep::Seal || sealed.epoch != row_.epoch || !member) return;
+  const bool is_member = std::find(members.begin(), members.end(), sealed.voter) != members.end();
+  if (step_ != EpochStep::Seal || sealed.epoch != row_.epoch || !is_member) return;
   sealed_[sealed.voter.address] = sealed;
-  collectIfEnough();
+  collectIfReady();
 }
 
-void ClaimEpochChange::onMemberGone(const ClaimGroupMember& member) {
+void ClaimEpochChange::onMemberStopped(const ClaimGroupMember& member) {
   const auto& members = row_.members;
   const bool known = std::find(members.begin(), members.end(), member) != members.end();
   if (step_ != EpochStep::Seal || !known) return;
-  gone_[member.address] = member;
-  collectIfEnough();
+  stopped_[member.address] = member;
+  collectIfReady();
 }
 
-void ClaimEpochChange::collectIfEnough() {
+void ClaimEpochChange::collectIfReady() {
   const bool sealed_majority = sealed_.size() >= row_.majority();
-  // Once no majority is left to be sealed, claims may be lost; the quarantine outlasts the keys they were
-  // for.
-  const bool majority_lost = row_.members.size() - gone_.size() < row_.majority();
+  // When no majority can be sealed any more, claims may be lost; the quarantine outlasts the lifetime of
+  // their keys.
+  const bool majority_lost = row_.members.size() - stopped_.size() < row_.majority();
   if (!sealed_majority && !majority_lost) return;
   collected_ = collect();
   fillInstall(sealed_majority);
@@ -53,9 +53,9 @@
   for (const auto& [address, sealed] : sealed_) {
     if (sealed.installed) covered = std::min(covered.value_or(sealed.covered), sealed.covered);
   }
-  // More claims than the new voters can hold, or none of the voters took part: what older epochs granted is
-  // known to the table only.
-  const bool fits = collected_.size() <= kMaximumClaimVotes;
+  // If there are more claims than the new voters can store, or no sealed voter had the epoch installed, only
+  // the table knows the grants of older epochs.
+  const bool fits = collected_.size() <= kMaxClaimVotes;
   install_.covered = sealed_majority && fits ? covered.value_or(Duration{0}) : Duration{0};
   if (!fits) return;
   std::size_t bytes = 0;
@@ -64,7 +64,7 @@
   for (const ClaimVote& vote : collected_) {
     install_.carried.push_back(vote);
     bytes += vote.result.size();
-    if (bytes <= kMaximumClaimVoteBytes) continue;
+    if (bytes <= kMaxClaimVoteBytes) continue;
     bytes -= vote.result.size();
     install_.carried.back().has_result = false;
     install_.carried.back().result.clear();
@@ -80,7 +80,7 @@
   for (const std::string& key : keys) {
     const std::vector<std::string> winners = possibleWinners(key);
     if (winners.empty()) continue;
-    // With several no single claimant may give the key back.
+    // With several possible winners no single claimant may release the key.
     const std::string token = winners.size() == 1 ? winners.front() : std::string();
     carried.push_back(carriedVote(key, token));
   }
@@ -119,10 +119,10 @@
       count.released = count.released || vote.released;
     }
   }
-  const std::size_t unheard = row_.members.size() - sealed_.size();
+  const std::size_t unsealed = row_.members.size() - sealed_.size();
   std::vector<std::string> winners;
   for (const auto& [token, count] : counts) {
-    const bool may_have_won = count.carried || count.votes + unheard >= row_.majority();
+    const bool may_have_won = count.carried || count.votes + unsealed >= row_.majority();
     if (may_have_won && !count.released) winners.push_back(token);
   }
   return winners;
--- a/src/claim/claim_epoch_change.h
+++ b/src/claim/claim_epoch_change.h
@@ -1,7 +1,8 @@
 #pragma once
-/// @file Change of a claim group's members. A majority of the old epoch is sealed, the claims that may have
-/// been won are collected and written to the table, then a compare-and-set of the group's row begins the new
-/// epoch, and its members are told. Pure decision code; the driver carries out one step at a time.
+/// @file Change of a claim group's membership. A majority of the old epoch's members is sealed, the claims
+/// that may have been granted are collected and written to the table, then a compare-and-set of the group's
+/// row begins the new epoch, which is installed at its members. Decision logic only, without I/O; the driver
+/// executes one step at a time.
 
 #include <map>
 #include <optional>
@@ -12,20 +13,20 @@
 
 namespace crankspur {
 
-/// What the driver has to do next.
+/// Next step for the driver.
 enum class EpochStep {
-  Seal,         ///< Send seal() to the members of row(); report answers and members proved to be gone.
+  Seal,         ///< Send seal() to the members of row(); report responses and stopped members.
   WriteClaims,  ///< Insert a claim row for each of carried() not known to have one; then claimsWritten().
-  SwapRow,      ///< Compare-and-set newRow() against row().row_version; then rowSwapped() or rowUnknown().
-  Install,      ///< Send install() to the members of newRow(); repeated sending does no harm.
-  Lost,         ///< Another epoch change was first: nothing to do; begin again from the new row if needed.
+  SwapRow,      ///< Compare-and-set newRow() against row().row_version; then rowSwapped() or onRow().
+  Install,      ///< Send install() to the members of newRow(); idempotent.
+  Lost,         ///< Another epoch change committed first; start again from the new row if needed.
 };
 
-/// One try to begin a new epoch.
+/// One attempt to begin a new epoch.
 class ClaimEpochChange {
 public:
   /// @param row the group's row as read from the table.
-  /// @param installer unique to this object over all processes and their restarts.
+  /// @param installer unique to this object across all processes and their restarts.
   /// @param key_lifetime how long callers may use a key after its first use.
   ClaimEpochChange(ClaimGroupRow row, std::vector<ClaimGroupMember> members, std::string installer,
                    Duration key_lifetime);
@@ -33,26 +34,26 @@
   EpochStep step() const { return step_; }
   const ClaimGroupRow& row() const { return row_; }
   const ClaimGroupRow& newRow() const { return new_row_; }
-  /// @return every claim that may have been won; the table must hold a row of each.
+  /// @return all claims that may have been granted; the table must hold a row for each.
   const std::vector<ClaimVote>& carried() const { return collected_; }
   ClaimSeal seal() const { return ClaimSeal{row_.epoch}; }
   const ClaimInstall& install() const { return install_; }
 
   void onSealed(const ClaimSealed& sealed);
-  /// The member's process surely ended: its address runs another incarnation. A suspicion is no proof, since
-  /// the member might vote on beyond a cut.
-  void onMemberGone(const ClaimGroupMember& member);
+  /// The member's process has ended, as its address runs another incarnation. A mere suspicion does not
+  /// suffice: the member might continue to vote on the other side of a network partition.
+  void onMemberStopped(const ClaimGroupMember& member);
   void claimsWritten();
   void rowSwapped(bool committed);
-  /// The answer to the compare-and-set was lost: the row read afterwards tells.
+  /// The response to the compare-and-set was lost; the row read afterwards shows whether it committed.
   void onRow(const ClaimGroupRow& row);
 
 private:
-  void collectIfEnough();
-  /// Puts the collected claims into the install message, as far as one message holds them.
+  void collectIfReady();
+  /// Adds the collected claims to the install message up to the size limits of one message.
   void fillInstall(bool sealed_majority);
   std::vector<ClaimVote> collect() const;
-  /// @return what the next epoch is told of a key, with what the sealed voters know of its token.
+  /// @return the vote that the next epoch inherits for the key: all that the sealed voters know of the token.
   ClaimVote carriedVote(const std::string& key, const std::string& token) const;
   std::vector<std::string> possibleWinners(const std::string& key) const;
 
@@ -61,7 +62,7 @@
   Duration key_lifetime_;
   EpochStep step_ = EpochStep::Seal;
   std::map<std::string, ClaimSealed> sealed_;  ///< By address.
-  std::map<std::string, ClaimGroupMember> gone_;
+  std::map<std::string, ClaimGroupMember> stopped_;
   std::vector<ClaimVote> collected_;
   ClaimInstall install_;
 };
--- a/src/claim/claim_group_keeper.h
+++ b/src/claim/claim_group_manager.h
@@ -1,7 +1,7 @@
 #pragma once
-/// @file Keeps a claim group in being: sees that members are replaced, and carries out the epoch change. Any
-/// number of routers may do so at once; the compare-and-set of the group's row lets one win. Pure decision
-/// code.
+/// @file Maintains the membership of a claim group: replaces failed members by an epoch change. Any number of
+/// routers may do so concurrently; the compare-and-set of the group's row lets one succeed. Decision logic
+/// only, without I/O.
 
 #include <deque>
 #include <map>
@@ -17,7 +17,7 @@
 
 namespace crankspur {
 
-/// Action: send a message to the router at the address.
+/// Action: send a message to the router at `address`.
 struct SendClaimMessage {
   std::string address;
   Message message;
@@ -35,53 +35,53 @@
   ClaimRow row;
   std::uint64_t expected_version = 0;
 };
-using ClaimKeeperAction = std::variant<SendClaimMessage, ReadGroupRow, SwapGroupRow, PutClaimRow>;
+using ClaimManagerAction = std::variant<SendClaimMessage, ReadGroupRow, SwapGroupRow, PutClaimRow>;
 
-/// A router that may be a member.
+/// A router that is eligible as a member.
 struct ClaimGroupCandidate {
   std::string address;
   std::string zone;
 };
 
-/// How the operators want the group.
+/// Operator settings of the group.
 struct ClaimGroupSettings {
-  std::uint32_t size = 0;  ///< Members; 0: begin no group. A group that has begun stays.
+  std::uint32_t size = 0;  ///< Number of members; 0: create no group. An existing group remains.
   Duration key_lifetime = std::chrono::hours(24);
 };
 
-/// The part of one router in keeping the group.
-class ClaimGroupKeeper {
+/// One router's part in maintaining the group.
+class ClaimGroupManager {
 public:
-  /// @param installer unique to this process over all processes and their restarts.
-  explicit ClaimGroupKeeper(std::string installer) : installer_(std::move(installer)) {}
+  /// @param installer unique to this process across all processes and their restarts.
+  explicit ClaimGroupManager(std::string installer) : installer_(std::move(installer)) {}
 
   void configure(const ClaimGroupSettings& settings) { settings_ = settings; }
   /// @param routers live routers that are not leaving.
-  /// @param rank 0: the first to act; 1: acts when the first does not; empty: leaves it to others.
+  /// @param rank 0: acts first; 1: acts when rank 0 does not; empty: leaves the group to other routers.
   void setRouters(std::vector<ClaimGroupCandidate> routers, std::optional<std::uint32_t> rank);
 
   void onInfo(const ClaimGroupInfo& info, TimePoint now);
   void onSealed(const ClaimSealed& sealed);
-  /// @param row what the table answered; epoch 0 when there is no row; nothing when no answer came.
+  /// @param row the row as read, with epoch 0 when it is absent; nullopt when the table did not respond.
   void onRowRead(const std::optional<ClaimGroupRow>& row, TimePoint now);
-  /// @param committed nothing when no answer came.
+  /// @param committed nullopt when the table did not respond.
   void onRowSwapped(std::optional<bool> committed);
-  /// @param present the row as it stands after the call; nothing when no answer came.
+  /// @param present the row after the call; nullopt when the table did not respond.
   void onClaimPut(const std::string& key, const std::optional<ClaimRow>& present);
-  /// To be called every 100 ms or so.
+  /// To be called about every 100 ms.
   void tick(TimePoint now);
 
-  std::vector<ClaimKeeperAction> takeActions();
+  std::vector<ClaimManagerAction> takeActions();
   /// @return the row as last read from or written to the table.
   const ClaimGroupRow& row() const { return row_; }
-  /// @return epochs that this process began.
+  /// @return the number of epochs that this process began.
   std::uint64_t epochsBegun() const { return epochs_begun_; }
   bool changing() const { return change_.has_value(); }
 
 private:
-  struct Heard {
+  struct ReceivedInfo {
     ClaimGroupInfo info;
-    TimePoint at{};
+    TimePoint received_at{};
   };
   struct Put {
     ClaimVote vote;
@@ -93,15 +93,15 @@
   void beginIfNeeded(TimePoint now);
   bool changeNeeded(const std::vector<ClaimGroupMember>& wanted, TimePoint now) const;
   std::vector<ClaimGroupMember> chooseMembers(TimePoint now) const;
-  const Heard* fresh(const std::string& address, TimePoint now) const;
-  bool isGood(const ClaimGroupMember& member, TimePoint now) const;
-  std::size_t countGood(const std::vector<ClaimGroupMember>& members, TimePoint now) const;
+  const ReceivedInfo* freshInfo(const std::string& address, TimePoint now) const;
+  bool isHealthy(const ClaimGroupMember& member, TimePoint now) const;
+  std::size_t countHealthy(const std::vector<ClaimGroupMember>& members, TimePoint now) const;
   void advance(TimePoint now);
   void sendSeals();
   void preparePuts();
   void sendPuts();
   void sendInstalls(TimePoint now);
-  bool everyGoodMemberVotes(TimePoint now) const;
+  bool allHealthyMembersVote(TimePoint now) const;
   void send(const std::string& address, Message message) {
     actions_.emplace_back(SendClaimMessage{address, std::move(message)});
   }
@@ -110,9 +110,9 @@
   ClaimGroupSettings settings_;
   std::vector<ClaimGroupCandidate> routers_;
   std::optional<std::uint32_t> rank_;
-  std::map<std::string, Heard> heard_;  ///< By address.
+  std::map<std::string, ReceivedInfo> received_;  ///< By address.
   ClaimGroupRow row_;
-  std::optional<TimePoint> row_read_at_;  ///< When the table last answered.
+  std::optional<TimePoint> row_read_at_;  ///< When the table last responded.
   bool reading_ = false;
   TimePoint read_sent_at_{};
   TimePoint next_round_{};
@@ -122,14 +122,14 @@
   std::pair<EpochStep, std::size_t> progress_{};
   TimePoint progress_at_{};
   TimePoint next_send_{};
-  std::set<std::string> sealed_;  ///< Addresses that answered to the seal.
+  std::set<std::string> sealed_;  ///< Addresses that responded to the seal.
   std::map<std::string, Put> puts_;
   bool puts_prepared_ = false;
   bool swapping_ = false;
   bool swap_unknown_ = false;
-  bool told_routers_ = false;
+  bool routers_notified_ = false;
   std::uint64_t epochs_begun_ = 0;
-  std::vector<ClaimKeeperAction> actions_;
+  std::vector<ClaimManagerAction> actions_;
 };
 
 }  // namespace crankspur
--- a/src/claim/claim_group_service.cc
+++ b/src/claim/claim_group_service.cc
@@ -11,24 +11,24 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-/// Pause between two sendings of one claim to members that have not answered.
-constexpr Duration kResendPrepare = milliseconds(250);
-/// Pause before a claim is tried again, under another token.
-constexpr Duration kRetry = milliseconds(250);
-/// How long a holder's answer is waited for before HeldByOther is told.
+/// Interval between transmissions of one claim to members that have not responded.
+constexpr Duration kPrepareResendInterval = milliseconds(250);
+/// Mean delay before a claim is retried under another token.
+constexpr Duration kRetryDelay = milliseconds(250);
+/// Time to wait for the holder's recorded response before the decision is HeldByOther.
 constexpr Duration kHolderWait = seconds(2);
-/// Notices have no acknowledgement; each is sent so often, with this pause.
-constexpr std::uint32_t kNoticeSendings = 2;
-constexpr Duration kNoticePause = seconds(1);
-/// Notices that wait for their second sending; the oldest is dropped beyond.
-constexpr std::size_t kMaximumNotices = 4096;
-/// A router without the group's row asks this many routers, with this pause.
-constexpr std::size_t kRoutersAsked = 2;
-constexpr Duration kQuestionPause = seconds(1);
-constexpr Duration kExpiryPause = seconds(10);
-/// A claim without a row in the table for so long asks for a new epoch, which writes one.
+/// Notifications are not acknowledged, so each is sent this many times at this interval.
+constexpr std::uint32_t kNotificationSends = 2;
+constexpr Duration kNotificationInterval = seconds(1);
+/// Maximum number of notifications waiting to be sent again; beyond it the oldest is dropped.
+constexpr std::size_t kMaxNotifications = 4096;
+/// A router without the group's row queries this many routers at this interval.
+constexpr std::size_t kRoutersQueried = 2;
+constexpr Duration kRowRequestInterval = seconds(1);
+constexpr Duration kExpiryInterval = seconds(10);
+/// A claim that has had no table row for this long triggers a new epoch, which writes one.
 constexpr Duration kUnwrittenAge = minutes(2);
-/// Keys are taken to live this much longer than the operators say, since clocks differ in speed.
+/// Key lifetimes are extended by this fraction of the configured value, since clocks run at different rates.
 constexpr std::int64_t kClockMarginDivisor = 16;
 
 Duration withMargin(Duration lifetime) {
@@ -41,41 +41,41 @@
     : self_(std::move(self)),
       random_(random_seed),
       voter_(self_, withMargin(settings_.key_lifetime)),
-      keeper_(self_.address + ":" + std::to_string(self_.incarnation) + ":" +
-              std::to_string(random_.bits())) {
+      manager_(self_.address + ":" + std::to_string(self_.incarnation) + ":" +
+               std::to_string(random_.bits())) {
   settings_.key_lifetime = withMargin(settings_.key_lifetime);
 }
 
 void ClaimGroupService::configure(const ClaimGroupSettings& settings, TimePoint now) {
   settings_ = settings;
   settings_.key_lifetime = withMargin(settings.key_lifetime);
-  keeper_.configure(settings_);
+  manager_.configure(settings_);
   voter_.setKeyLifetime(settings_.key_lifetime, now);
 }
 
 void ClaimGroupService::setRouters(std::vector<ClaimGroupCandidate> routers,
                                    std::optional<std::uint32_t> rank) {
   routers_ = routers;
-  // Without a wish for a group nobody need look after it, unless there is one.
-  const bool kept = settings_.size > 0 || row_.epoch > 0;
-  keeper_.setRouters(std::move(routers), kept ? rank : std::nullopt);
+  // If no group is configured, there is nothing to maintain unless one already exists.
+  const bool managed = settings_.size > 0 || row_.epoch > 0;
+  manager_.setRouters(std::move(routers), managed ? rank : std::nullopt);
 }
 
 void ClaimGroupService::begin(const GroupClaimRequest& request, TimePoint now) {
   Claimant& claimant = claimants_[request.claim];
   claimant.request = request;
-  tryClaim(claimant, now);
-  deliverOwn(now);
+  startAttempt(claimant, now);
+  deliverOwnMessages(now);
 }
 
-void ClaimGroupService::tryClaim(Claimant& claimant, TimePoint now) {
+void ClaimGroupService::startAttempt(Claimant& claimant, TimePoint now) {
   const GroupClaimRequest& request = claimant.request;
-  // A token that was given back never votes again, so each try has one of its own.
-  const std::string token = request.token + "#" + std::to_string(++claimant.tries);
+  // A released token never receives a vote again, so each attempt uses its own token.
+  const std::string token = request.token + "#" + std::to_string(++claimant.attempts);
   claimant.claim.emplace(request.key, token, row_, settings_.key_lifetime, request.deadline,
                          request.body_hash);
   claimant.epoch = row_.epoch;
-  claimant.next_send = now + kResendPrepare;
+  claimant.next_send = now + kPrepareResendInterval;
   for (const ClaimGroupMember& member : claimant.claim->unanswered()) {
     send(member.address, claimant.claim->prepare());
   }
@@ -85,13 +85,13 @@
   for (auto item = claimants_.begin(); item != claimants_.end(); ++item) {
     Claimant& claimant = item->second;
     if (!claimant.claim || claimant.claim->token() != reply.token) continue;
-    claimant.claim->onBallot(reply, now);
-    if (settle(claimant, now)) claimants_.erase(item);
+    claimant.claim->onReply(reply, now);
+    if (finishIfDecided(claimant, now)) claimants_.erase(item);
     return;
   }
 }
 
-bool ClaimGroupService::settle(Claimant& claimant, TimePoint now) {
+bool ClaimGroupService::finishIfDecided(Claimant& claimant, TimePoint now) {
   if (!claimant.claim || !claimant.claim->outcome()) return false;
   const GroupClaimOutcome outcome = *claimant.claim->outcome();
   if (outcome == GroupClaimOutcome::Granted || outcome == GroupClaimOutcome::GrantedForTable) {
@@ -99,21 +99,21 @@
                                                            : GroupClaimDecision::Kind::GrantedForTable);
     return true;
   }
-  if (!row_.members.empty()) notice(claimant.claim->release(), now);
+  if (!row_.members.empty()) notify(claimant.claim->release(), now);
   if (outcome == GroupClaimOutcome::HeldByOther) return heldByOther(claimant, now);
-  if (claimant.claim->outdated()) next_question_ = now;
+  if (claimant.claim->outdated()) next_row_request_ = now;
   claimant.claim.reset();
-  claimant.next_try = now + retryPause();
-  if (claimant.next_try < claimant.request.deadline) return false;
-  // A try cut short after earlier ones met a holder: that holder may have run.
+  claimant.next_attempt = now + retryDelay();
+  if (claimant.next_attempt < claimant.request.deadline) return false;
+  // The last attempt was cut short, but an earlier one found a holder, whose work may have run.
   const bool held = claimant.holder_wait_until.has_value();
   decide(claimant, held ? GroupClaimDecision::Kind::HeldByOther : GroupClaimDecision::Kind::Unavailable);
   return true;
 }
 
-Duration ClaimGroupService::retryPause() {
-  // By chance, so that two claimants that kept each other from a majority do not do so again.
-  return kRetry / 2 + Duration(static_cast<Duration::rep>(random_.uniform(0, kRetry.count())));
+Duration ClaimGroupService::retryDelay() {
+  // Jitter keeps two claimants that denied each other a majority from doing so again.
+  return kRetryDelay / 2 + Duration(static_cast<Duration::rep>(random_.uniform(0, kRetryDelay.count())));
 }
 
 bool ClaimGroupService::heldByOther(Claimant& claimant, TimePoint now) {
@@ -130,8 +130,8 @@
     claimant.holder_wait_until = std::min(claimant.request.deadline, now + kHolderWait);
   }
   claimant.claim.reset();
-  claimant.next_try = now + retryPause();
-  if (claimant.next_try < *claimant.holder_wait_until) return false;
+  claimant.next_attempt = now + retryDelay();
+  if (claimant.next_attempt < *claimant.holder_wait_until) return false;
   decide(claimant, GroupClaimDecision::Kind::HeldByOther);
   return true;
 }
@@ -145,30 +145,31 @@
 }
 
 void ClaimGroupService::release(const std::string& key, const std::string& token, TimePoint now) {
-  notice(ClaimRelease{row_.epoch, key, token}, now);
-  deliverOwn(now);
+  notify(ClaimRelease{row_.epoch, key, token}, now);
+  deliverOwnMessages(now);
 }
 
 void ClaimGroupService::record(const ClaimRecord& record, TimePoint now) {
-  notice(record, now);
-  deliverOwn(now);
+  notify(record, now);
+  deliverOwnMessages(now);
 }
 
-void ClaimGroupService::notice(Message message, TimePoint now) {
+void ClaimGroupService::notify(Message message, TimePoint now) {
   sendToMembers(message);
-  notices_.push_back(Notice{std::move(message), kNoticeSendings - 1, now + kNoticePause});
-  if (notices_.size() > kMaximumNotices) notices_.pop_front();
+  notifications_.push_back(
+      Notification{std::move(message), kNotificationSends - 1, now + kNotificationInterval});
+  if (notifications_.size() > kMaxNotifications) notifications_.pop_front();
 }
 
-void ClaimGroupService::sendNotices(TimePoint now) {
-  // All have the same pause, so that the front is due first.
-  while (!notices_.empty() && notices_.front().next_send <= now) {
-    Notice due = std::move(notices_.front());
-    notices_.pop_front();
+void ClaimGroupService::sendNotifications(TimePoint now) {
+  // All have the same interval, so the first in the queue is due first.
+  while (!notifications_.empty() && notifications_.front().next_send <= now) {
+    Notification due = std::move(notifications_.front());
+    notifications_.pop_front();
     sendToMembers(due.message);
-    if (--due.sendings_left == 0) continue;
-    due.next_send = now + kNoticePause;
-    notices_.push_back(std::move(due));
+    if (--due.sends_left == 0) continue;
+    due.next_send = now + kNotificationInterval;
+    notifications_.push_back(std::move(due));
   }
 }
 
@@ -184,24 +185,24 @@
   }
 }
 
-void ClaimGroupService::deliverOwn(TimePoint now) {
-  takeKeeperActions();
+void ClaimGroupService::deliverOwnMessages(TimePoint now) {
+  takeManagerActions();
   while (!own_messages_.empty()) {
     const Message message = std::move(own_messages_.front());
     own_messages_.pop_front();
     handle(message, self_.address, now);
-    takeKeeperActions();
+    takeManagerActions();
   }
 }
 
 void ClaimGroupService::onMessage(const Message& message, const std::string& from, TimePoint now) {
   handle(message, from, now);
-  deliverOwn(now);
+  deliverOwnMessages(now);
 }
 
 void ClaimGroupService::handle(const Message& message, const std::string& from, TimePoint now) {
   if (const auto* prepare = std::get_if<ClaimPrepare>(&message)) {
-    answerPrepare(*prepare, from, now);
+    respondToPrepare(*prepare, from, now);
   } else if (const auto* reply = std::get_if<ClaimReply>(&message)) {
     countReply(*reply, now);
   } else if (const auto* release = std::get_if<ClaimRelease>(&message)) {
@@ -211,26 +212,27 @@
   } else if (const auto* seal = std::get_if<ClaimSeal>(&message)) {
     send(from, voter_.onSeal(*seal, now));
   } else if (const auto* sealed = std::get_if<ClaimSealed>(&message)) {
-    keeper_.onSealed(*sealed);
+    manager_.onSealed(*sealed);
   } else if (const auto* install = std::get_if<ClaimInstall>(&message)) {
     voter_.onInstall(*install, now);
-    learn(install->row);
+    updateRow(install->row);
     send(from, info(now));
   } else if (std::holds_alternative<ClaimGroupRequest>(message)) {
     send(from, info(now));
-  } else if (const auto* told = std::get_if<ClaimGroupInfo>(&message)) {
-    learn(told->row);
-    if (!told->sender.address.empty()) keeper_.onInfo(*told, now);
+  } else if (const auto* received_info = std::get_if<ClaimGroupInfo>(&message)) {
+    updateRow(received_info->row);
+    if (!received_info->sender.address.empty()) manager_.onInfo(*received_info, now);
   }
 }
 
-void ClaimGroupService::answerPrepare(const ClaimPrepare& prepare, const std::string& from, TimePoint now) {
-  // First the row: a claimant that hears of a newer epoch tries again there.
+void ClaimGroupService::respondToPrepare(const ClaimPrepare& prepare, const std::string& from,
+                                         TimePoint now) {
+  // The row is sent first, so that a claimant with an older epoch retries in the newer one.
   if (row_.epoch > prepare.epoch) send(from, info(now));
   send(from, voter_.onPrepare(prepare, now));
 }
 
-void ClaimGroupService::learn(const ClaimGroupRow& row) {
+void ClaimGroupService::updateRow(const ClaimGroupRow& row) {
   if (row.epoch > row_.epoch) row_ = row;
 }
 
@@ -245,26 +247,26 @@
 
 void ClaimGroupService::onRowRead(const std::optional<ClaimGroupRow>& row, TimePoint now) {
   if (row) {
-    learn(*row);
-    look_for_row_ = false;
+    updateRow(*row);
+    row_needed_ = false;
     row_absent_ = row->epoch == 0;
   }
-  keeper_.onRowRead(row, now);
+  manager_.onRowRead(row, now);
 }
 
 void ClaimGroupService::onGroupFound() {
-  look_for_row_ = true;
+  row_needed_ = true;
   row_absent_ = false;
 }
 
 void ClaimGroupService::onRowSwapped(std::optional<bool> committed, TimePoint now) {
-  keeper_.onRowSwapped(committed);
+  manager_.onRowSwapped(committed);
   tick(now);
 }
 
 void ClaimGroupService::onClaimPut(const std::string& key, const std::optional<ClaimRow>& present,
                                    TimePoint now) {
-  keeper_.onClaimPut(key, present);
+  manager_.onClaimPut(key, present);
   tick(now);
 }
 
@@ -274,41 +276,41 @@
     if (claimant.claim) {
       claimant.claim->onTimer(now);
       if (now >= claimant.next_send) {
-        claimant.next_send = now + kResendPrepare;
+        claimant.next_send = now + kPrepareResendInterval;
         for (const ClaimGroupMember& member : claimant.claim->unanswered()) {
           send(member.address, claimant.claim->prepare());
         }
       }
-    } else if (now >= claimant.next_try) {
-      tryClaim(claimant, now);
+    } else if (now >= claimant.next_attempt) {
+      startAttempt(claimant, now);
     }
-    item = settle(claimant, now) ? claimants_.erase(item) : std::next(item);
+    item = finishIfDecided(claimant, now) ? claimants_.erase(item) : std::next(item);
   }
-  sendNotices(now);
-  keeper_.tick(now);
-  askForRow(now);
+  sendNotifications(now);
+  manager_.tick(now);
+  requestRow(now);
   if (now >= next_expiry_) {
-    next_expiry_ = now + kExpiryPause;
+    next_expiry_ = now + kExpiryInterval;
     voter_.expire(now);
   }
-  deliverOwn(now);
+  deliverOwnMessages(now);
 }
 
-void ClaimGroupService::askForRow(TimePoint now) {
-  if (now < next_question_) return;
-  const bool missing = row_.epoch == 0 && (settings_.size > 0 || look_for_row_);
+void ClaimGroupService::requestRow(TimePoint now) {
+  if (now < next_row_request_) return;
+  const bool missing = row_.epoch == 0 && (settings_.size > 0 || row_needed_);
   if (!missing && claimants_.empty()) return;
-  next_question_ = now + kQuestionPause / 2 +
-                   Duration(static_cast<Duration::rep>(random_.uniform(0, kQuestionPause.count())));
+  next_row_request_ = now + kRowRequestInterval / 2 +
+                      Duration(static_cast<Duration::rep>(random_.uniform(0, kRowRequestInterval.count())));
   if (missing && !row_absent_) actions_.emplace_back(ReadGroupRow{});
-  for (std::size_t asked = 0; asked < kRoutersAsked && !routers_.empty(); ++asked) {
+  for (std::size_t queried = 0; queried < kRoutersQueried && !routers_.empty(); ++queried) {
     const std::string& address = routers_[random_.uniform(0, routers_.size() - 1)].address;
     if (address != self_.address) send(address, ClaimGroupRequest{row_.epoch});
   }
 }
 
-void ClaimGroupService::takeKeeperActions() {
-  for (ClaimKeeperAction& action : keeper_.takeActions()) {
+void ClaimGroupService::takeManagerActions() {
+  for (ClaimManagerAction& action : manager_.takeActions()) {
     if (auto* message = std::get_if<SendClaimMessage>(&action)) {
       send(message->address, std::move(message->message));
       continue;
@@ -327,7 +329,7 @@
   status.voting = voter_.epoch() != 0;
   status.votes = voter_.size();
   status.covered = status.voting ? voter_.covered(now) : Duration{0};
-  status.epochs_begun = keeper_.epochsBegun();
+  status.epochs_begun = manager_.epochsBegun();
   return status;
 }
 
--- a/src/claim/claim_group_service.h
+++ b/src/claim/claim_group_service.h
@@ -1,7 +1,7 @@
 #pragma once
-/// @file One router's whole part in a claim group: it votes, claims for the router's requests, learns of new
-/// epochs and takes its share in keeping the group. Pure decision code; router processes and the simulation
-/// drive the same object. Not thread-safe.
+/// @file One router's complete role in a claim group: it votes, claims keys for the router's requests,
+/// follows epoch changes and helps to maintain the group. Decision logic only, without I/O; router processes
+/// and the simulation drive the same object. Not thread-safe.
 
 #include <deque>
 #include <map>
@@ -11,40 +11,40 @@
 #include <vector>
 
 #include "base/random.h"
-#include "claim/claim_group_keeper.h"
+#include "claim/claim_group_manager.h"
 #include "claim/claim_voter.h"
 #include "claim/group_claim.h"
 
 namespace crankspur {
 
-/// Key of the table row that begins the group's epochs. While it is absent claims are made in the table
-/// alone, under the condition that it is absent.
+/// Key of the table row that defines the group's epoch. While the row is absent, claims are made in the table
+/// alone, conditional on its absence.
 inline constexpr const char* kClaimGroupRowKey = "crankspur/claim_group";
 
-/// One claim wanted of the group.
+/// One claim requested from the group.
 struct GroupClaimRequest {
-  std::uint64_t claim = 0;  ///< Chosen by the caller; names the claim in the decision.
+  std::uint64_t claim = 0;  ///< Chosen by the caller; identifies the claim in the decision.
   std::string key;          ///< See claimKey().
-  std::string token;        ///< Unique to this claim over all routers and all their restarts.
+  std::string token;        ///< Unique to this claim across all routers and their restarts.
   std::string body_hash;
   TimePoint deadline{};
 };
 
-/// What the group decided.
+/// Decision of the group on one claim.
 struct GroupClaimDecision {
   enum class Kind {
     Granted,          ///< Dispatch may begin, once.
-    GrantedForTable,  ///< The table must agree as well before dispatch.
-    AlreadyDone,      ///< The work was done; `result` holds the recorded answer.
-    HeldByOther,      ///< Another attempt holds the claim, or its answer is not recorded with the group.
-    KeyReused,        ///< The key belongs to a request with other content.
-    Unavailable,      ///< No majority decided in time; nothing was dispatched.
+    GrantedForTable,  ///< The table must grant the claim as well before dispatch.
+    AlreadyDone,      ///< The work is done; `result` holds the recorded response.
+    HeldByOther,      ///< Another attempt holds the claim and no response is recorded.
+    KeyReused,        ///< The key belongs to a request with different content.
+    Unavailable,      ///< No majority responded in time; nothing was dispatched.
   } kind = Kind::Unavailable;
-  std::string token;  ///< Under which the claim is held when granted.
+  std::string token;  ///< Token of the granted claim.
   std::string result;
 };
 
-/// Action: tell the caller of begin() what the group decided.
+/// Action: deliver the group's decision to the caller of begin().
 struct GroupClaimDecided {
   std::uint64_t claim = 0;
   GroupClaimDecision decision;
@@ -53,16 +53,16 @@
 using ClaimGroupAction =
     std::variant<SendClaimMessage, ReadGroupRow, SwapGroupRow, PutClaimRow, GroupClaimDecided>;
 
-/// What /status shows.
+/// State shown by /status.
 struct ClaimGroupStatus {
   ClaimGroupRow row;  ///< The newest known; epoch 0 when there is no group.
   bool voting = false;
-  std::size_t votes = 0;  ///< Claims held here.
-  Duration covered{0};    ///< For how long back the group knows of every claim, as far as known here.
+  std::size_t votes = 0;           ///< Claims held here.
+  Duration covered{0};             ///< How far back the group is known to have all claims.
   std::uint64_t epochs_begun = 0;  ///< By this process.
 };
 
-/// The object of one router process.
+/// Claim group participant of one router process.
 class ClaimGroupService {
 public:
   /// @param self address and process incarnation of this router.
@@ -70,16 +70,16 @@
 
   void configure(const ClaimGroupSettings& settings, TimePoint now);
   /// @param routers live routers that are not leaving, this one included.
-  /// @param rank see ClaimGroupKeeper::setRouters().
+  /// @param rank see ClaimGroupManager::setRouters().
   void setRouters(std::vector<ClaimGroupCandidate> routers, std::optional<std::uint32_t> rank);
 
-  /// Asks the group for a claim; a GroupClaimDecided follows, no later than the deadline.
+  /// Requests a claim from the group; a GroupClaimDecided follows no later than the deadline.
   void begin(const GroupClaimRequest& request, TimePoint now);
-  /// The token's work surely did not and will not run.
+  /// The work under the token did not run and never will.
   void release(const std::string& key, const std::string& token, TimePoint now);
-  /// What became of a granted claim.
+  /// Records the result of a granted claim at the voters.
   void record(const ClaimRecord& record, TimePoint now);
-  /// Somebody found that the group's row exists.
+  /// A table call showed that the group's row exists.
   void onGroupFound();
 
   /// @param from address at which the sender listens.
@@ -87,63 +87,63 @@
   void onRowRead(const std::optional<ClaimGroupRow>& row, TimePoint now);
   void onRowSwapped(std::optional<bool> committed, TimePoint now);
   void onClaimPut(const std::string& key, const std::optional<ClaimRow>& present, TimePoint now);
-  /// To be called every 100 ms or so.
+  /// To be called about every 100 ms.
   void tick(TimePoint now);
   std::vector<ClaimGroupAction> takeActions();
 
-  /// @return whether claims are the group's to decide, as far as this router knows. Where a group is wished
-  /// for, one is taken to exist until the table says otherwise.
+  /// @return whether the group decides claims, as far as known to this router. If a group is configured, it
+  /// is assumed to exist until the table shows that it does not.
   bool inForce() const { return row_.epoch > 0 || (settings_.size > 0 && !row_absent_); }
   ClaimGroupStatus status(TimePoint now) const;
 
 private:
   struct Claimant {
     GroupClaimRequest request;
-    std::uint32_t tries = 0;
-    std::optional<GroupClaim> claim;  ///< Empty between two tries.
-    std::uint64_t epoch = 0;          ///< That `claim` was made in.
+    std::uint32_t attempts = 0;
+    std::optional<GroupClaim> claim;  ///< Empty between two attempts.
+    std::uint64_t epoch = 0;          ///< In which `claim` was started.
     TimePoint next_send{};
-    TimePoint next_try{};
+    TimePoint next_attempt{};
     std::optional<TimePoint> holder_wait_until;
   };
-  struct Notice {
+  struct Notification {
     Message message;
-    std::uint32_t sendings_left = 0;
+    std::uint32_t sends_left = 0;
     TimePoint next_send{};
   };
 
   void send(const std::string& address, Message message);
   void sendToMembers(const Message& message);
-  void takeKeeperActions();
-  void deliverOwn(TimePoint now);
+  void takeManagerActions();
+  void deliverOwnMessages(TimePoint now);
   void handle(const Message& message, const std::string& from, TimePoint now);
-  void learn(const ClaimGroupRow& row);
+  void updateRow(const ClaimGroupRow& row);
   ClaimGroupInfo info(TimePoint now) const;
-  void answerPrepare(const ClaimPrepare& prepare, const std::string& from, TimePoint now);
+  void respondToPrepare(const ClaimPrepare& prepare, const std::string& from, TimePoint now);
   void countReply(const ClaimReply& reply, TimePoint now);
-  void tryClaim(Claimant& claimant, TimePoint now);
-  /// @return true when the claim is decided and the claimant over.
-  bool settle(Claimant& claimant, TimePoint now);
-  Duration retryPause();
+  void startAttempt(Claimant& claimant, TimePoint now);
+  /// @return whether the claim is decided and the claimant can be removed.
+  bool finishIfDecided(Claimant& claimant, TimePoint now);
+  Duration retryDelay();
   bool heldByOther(Claimant& claimant, TimePoint now);
   void decide(const Claimant& claimant, GroupClaimDecision::Kind kind, std::string result = {});
-  void notice(Message message, TimePoint now);
-  void sendNotices(TimePoint now);
-  void askForRow(TimePoint now);
+  void notify(Message message, TimePoint now);
+  void sendNotifications(TimePoint now);
+  void requestRow(TimePoint now);
 
   ClaimGroupMember self_;
   RandomSource random_;
   ClaimGroupSettings settings_;
   ClaimVoter voter_;
-  ClaimGroupKeeper keeper_;
+  ClaimGroupManager manager_;
   ClaimGroupRow row_;  ///< The newest known.
   std::vector<ClaimGroupCandidate> routers_;
   std::map<std::uint64_t, Claimant> claimants_;
-  std::deque<Notice> notices_;
+  std::deque<Notification> notifications_;
   std::deque<Message> own_messages_;  ///< To this router's own voter and claimants.
-  bool look_for_row_ = false;
-  bool row_absent_ = false;  ///< The table said so.
-  TimePoint next_question_{};
+  bool row_needed_ = false;
+  bool row_absent_ = false;  ///< As of the last read of the table.
+  TimePoint next_row_request_{};
   TimePoint next_expiry_{};
   std::vector<ClaimGroupAction> actions_;
 };
--- a/src/claim/claim_voter.cc
+++ b/src/claim/claim_voter.cc
@@ -6,40 +6,40 @@
 
 namespace {
 
-constexpr Duration kLongestCoverage = std::chrono::hours(24 * 29);
+constexpr Duration kMaxCoverage = std::chrono::hours(24 * 29);
 
 }  // namespace
 
 ClaimReply ClaimVoter::onPrepare(const ClaimPrepare& prepare, TimePoint now) {
-  ClaimReply ballot;
-  ballot.epoch = epoch();
-  ballot.key = prepare.key;
-  ballot.token = prepare.token;
-  ballot.voter = self_.address;
-  ballot.voter_incarnation = self_.incarnation;
-  if (now < refuse_until_) ballot.epoch = 0;
-  const bool votes_here = prepare.epoch != 0 && prepare.epoch == ballot.epoch;
-  if (!votes_here || prepare.token.empty()) return ballot;
+  ClaimReply reply;
+  reply.epoch = epoch();
+  reply.key = prepare.key;
+  reply.token = prepare.token;
+  reply.voter = self_.address;
+  reply.voter_incarnation = self_.incarnation;
+  if (now < refuse_until_) reply.epoch = 0;
+  const bool votes_in_epoch = prepare.epoch != 0 && prepare.epoch == reply.epoch;
+  if (!votes_in_epoch || prepare.token.empty()) return reply;
   const auto found = votes_.find(prepare.key);
-  if (found == votes_.end() && !hasRoomFor(prepare)) {
-    // Neither a vote nor a word about another holder.
-    ballot.epoch = 0;
-    return ballot;
+  if (found == votes_.end() && !hasCapacityFor(prepare)) {
+    // The reply is neither a vote nor a statement about another holder.
+    reply.epoch = 0;
+    return reply;
   }
-  ballot.covered = covered(now);
+  reply.covered = covered(now);
   const bool taken_over =
       found != votes_.end() && found->second.vote.released && found->second.vote.token != prepare.token;
   if (found == votes_.end() || taken_over) {
-    put(ClaimVote{prepare.key, prepare.token, false, false, prepare.body_hash}, now);
+    storeVote(ClaimVote{prepare.key, prepare.token, false, false, prepare.body_hash}, now);
   }
   const ClaimVote& vote = votes_.at(prepare.key).vote;
-  ballot.granted = vote.token == prepare.token && !vote.released;
-  if (ballot.granted) return ballot;
-  ballot.holder = vote.token;
-  ballot.holder_body_hash = vote.body_hash;
-  ballot.holder_has_result = vote.has_result;
-  ballot.holder_result = vote.result;
-  return ballot;
+  reply.granted = vote.token == prepare.token && !vote.released;
+  if (reply.granted) return reply;
+  reply.holder = vote.token;
+  reply.holder_body_hash = vote.body_hash;
+  reply.holder_has_result = vote.has_result;
+  reply.holder_result = vote.result;
+  return reply;
 }
 
 void ClaimVoter::onRelease(const ClaimRelease& release) {
@@ -55,7 +55,7 @@
   if (vote.released) return;
   vote.done = vote.done || record.done;
   vote.in_table = vote.in_table || record.in_table;
-  const bool fits = bytes_ + record.result.size() <= kMaximumClaimVoteBytes;
+  const bool fits = bytes_ + record.result.size() <= kMaxClaimVoteBytes;
   if (!record.has_result || vote.has_result || !fits) return;
   vote.has_result = true;
   vote.result = record.result;
@@ -84,15 +84,15 @@
   covered_at_install_ = install.covered;
   votes_.clear();
   bytes_ = 0;
-  for (const ClaimVote& vote : install.carried) put(vote, now);
+  for (const ClaimVote& vote : install.carried) storeVote(vote, now);
   return true;
 }
 
 void ClaimVoter::expire(TimePoint now) {
   for (auto entry = votes_.begin(); entry != votes_.end();) {
-    const bool old = now - entry->second.first_seen > 2 * key_lifetime_;
-    if (old) bytes_ -= bytesOf(entry->second.vote);
-    entry = old ? votes_.erase(entry) : std::next(entry);
+    const bool expired = now - entry->second.first_seen > 2 * key_lifetime_;
+    if (expired) bytes_ -= bytesOf(entry->second.vote);
+    entry = expired ? votes_.erase(entry) : std::next(entry);
   }
 }
 
@@ -103,8 +103,8 @@
 }
 
 Duration ClaimVoter::covered(TimePoint now) const {
-  // Votes are kept no longer, and a longer time could not travel.
-  return std::min({covered_at_install_ + (now - installed_at_), 2 * key_lifetime_, kLongestCoverage});
+  // Votes are not retained for longer, and the protocol cannot represent a longer time.
+  return std::min({covered_at_install_ + (now - installed_at_), 2 * key_lifetime_, kMaxCoverage});
 }
 
 void ClaimVoter::setKeyLifetime(Duration key_lifetime, TimePoint now) {
@@ -117,25 +117,25 @@
 std::uint32_t ClaimVoter::unwritten(Duration age, TimePoint now) const {
   std::uint32_t count = 0;
   for (const auto& [key, entry] : votes_) {
-    const bool settled = entry.vote.released || entry.vote.in_table || entry.vote.carried;
-    if (!settled && now - entry.first_seen > age) ++count;
+    const bool resolved = entry.vote.released || entry.vote.in_table || entry.vote.carried;
+    if (!resolved && now - entry.first_seen > age) ++count;
   }
   return count;
 }
 
-bool ClaimVoter::hasRoomFor(const ClaimPrepare& prepare) const {
+bool ClaimVoter::hasCapacityFor(const ClaimPrepare& prepare) const {
   const ClaimVote vote{prepare.key, prepare.token, false, false, prepare.body_hash};
-  return votes_.size() < kMaximumClaimVotes && bytes_ + bytesOf(vote) <= kMaximumClaimVoteBytes;
+  return votes_.size() < kMaxClaimVotes && bytes_ + bytesOf(vote) <= kMaxClaimVoteBytes;
 }
 
 std::size_t ClaimVoter::bytesOf(const ClaimVote& vote) {
   return vote.key.size() + vote.token.size() + vote.body_hash.size() + vote.result.size();
 }
 
-void ClaimVoter::put(const ClaimVote& vote, TimePoint now) {
-  const auto [place, added] = votes_.try_emplace(vote.key);
-  if (!added) bytes_ -= bytesOf(place->second.vote);
-  place->second = Entry{vote, now};
+void ClaimVoter::storeVote(const ClaimVote& vote, TimePoint now) {
+  const auto [slot, added] = votes_.try_emplace(vote.key);
+  if (!added) bytes_ -= bytesOf(slot->second.vote);
+  slot->second = Entry{vote, now};
   bytes_ += bytesOf(vote);
 }
 
--- a/src/claim/claim_voter.h
+++ b/src/claim/claim_voter.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file One member's part in a claim group: it votes once for each key in each epoch. Pure decision code.
+/// @file Voter of a claim group: it votes once per key and epoch. Decision logic only, without I/O.
 
 #include <map>
 #include <string>
@@ -8,44 +8,47 @@
 
 namespace crankspur {
 
-/// Most claims that one voter holds; further keys get no vote. All of them fit into one frame.
-inline constexpr std::size_t kMaximumClaimVotes = 8000;
-/// Most bytes of keys, tokens and recorded answers that one voter holds. An answer that does not fit is not
-/// recorded, a key that does not fit gets no vote.
-inline constexpr std::size_t kMaximumClaimVoteBytes = std::size_t{6} * 1024 * 1024;
+/// Maximum number of claims that one voter stores; further keys receive no vote. All of them fit into one
+/// frame.
+inline constexpr std::size_t kMaxClaimVotes = 8000;
+/// Maximum total size of keys, tokens and recorded responses that one voter stores. A response that does not
+/// fit is not recorded; a key that does not fit receives no vote.
+inline constexpr std::size_t kMaxClaimVoteBytes = std::size_t{6} * 1024 * 1024;
 
-/// The votes of one process. They live in memory only; a restart makes it another member.
+/// The votes of one process. They are held in memory only; after a restart the process is a different member.
 class ClaimVoter {
 public:
-  /// @param key_lifetime how long callers may use a key after its first use. Votes are kept twice as long.
+  /// @param key_lifetime how long callers may use a key after its first use. Votes are retained twice as
+  /// long.
   ClaimVoter(ClaimGroupMember self, Duration key_lifetime)
       : self_(std::move(self)), key_lifetime_(key_lifetime) {}
 
-  /// Votes for the claim unless the key is held by another token.
+  /// Votes for the claim unless another token holds the key.
   ClaimReply onPrepare(const ClaimPrepare& prepare, TimePoint now);
-  /// Gives the vote back if the token has it.
+  /// Withdraws the vote if it is for the token.
   void onRelease(const ClaimRelease& release);
-  /// Notes what became of the claim if the token has the vote.
+  /// Records the state of the claim if the vote is for the token.
   void onRecord(const ClaimRecord& record);
-  /// Ends voting in the epoch for good and tells all votes.
+  /// Ends voting in the epoch permanently and returns all votes.
   ClaimSealed onSeal(const ClaimSeal& seal, TimePoint now);
   /// Begins an epoch.
-  /// @return false when the epoch is sealed or not newer than the present one, or this process is not among
-  /// its members.
+  /// @return false when the epoch is sealed or not newer than the current one, or when this process is not a
+  /// member.
   bool onInstall(const ClaimInstall& install, TimePoint now);
-  /// Forgets votes for keys whose lifetime ended long ago.
+  /// Removes votes older than twice the lifetime of keys.
   void expire(TimePoint now);
-  /// Takes another lifetime of keys. A longer one must be covered anew, as votes were kept for the older.
+  /// Changes the lifetime of keys. Coverage of a longer one builds up only from now on, since votes were
+  /// retained for the previous lifetime only.
   void setKeyLifetime(Duration key_lifetime, TimePoint now);
-  /// @return claims first seen longer than `age` ago that are not given back and of which the table may hold
-  /// no row.
+  /// @return the number of unreleased claims first seen longer than `age` ago that may have no row in the
+  /// table.
   std::uint32_t unwritten(Duration age, TimePoint now) const;
-  /// @return for how long back its group knows of every claim.
+  /// @return how far back the group has all claims.
   Duration covered(TimePoint now) const;
   std::size_t size() const { return votes_.size(); }
-  /// @return the epoch in which it votes; 0 when in none.
+  /// @return the epoch in which it votes; 0 when it does not vote.
   std::uint64_t epoch() const { return epoch_ > sealed_ ? epoch_ : 0; }
-  /// @return votes held, sorted by key.
+  /// @return all votes, sorted by key.
   std::vector<ClaimVote> votes() const;
 
 private:
@@ -54,9 +57,9 @@
     TimePoint first_seen{};
   };
 
-  bool hasRoomFor(const ClaimPrepare& prepare) const;
+  bool hasCapacityFor(const ClaimPrepare& prepare) const;
   static std::size_t bytesOf(const ClaimVote& vote);
-  void put(const ClaimVote& vote, TimePoint now);
+  void storeVote(const ClaimVote& vote, TimePoint now);
 
   ClaimGroupMember self_;
   Duration key_lifetime_;
--- a/src/claim/group_claim.cc
+++ b/src/claim/group_claim.cc
@@ -28,34 +28,34 @@
   return members;
 }
 
-void GroupClaim::onBallot(const ClaimReply& reply, TimePoint now) {
+void GroupClaim::onReply(const ClaimReply& reply, TimePoint now) {
   if (outcome_ || reply.key != key_ || reply.token != token_) return;
   const ClaimGroupMember voter{reply.voter, reply.voter_incarnation};
-  const auto place =
+  const auto position =
       std::find_if(row_.members.begin(), row_.members.end(),
                    [&](const ClaimGroupMember& member) { return member.address == voter.address; });
-  if (place == row_.members.end()) return;
-  // A member that restarted has forgotten its votes: whatever it says, it is no voter of this epoch.
-  const bool counts = *place == voter && reply.epoch == row_.epoch;
-  if (counts && reply.granted) {
+  if (position == row_.members.end()) return;
+  // A restarted member has lost its votes, so it is no longer a voter of this epoch, whatever it replies.
+  const bool is_current = *position == voter && reply.epoch == row_.epoch;
+  if (is_current && reply.granted) {
     granted_.insert(voter.address);
     covered_ = covered_ && reply.covered >= key_lifetime_;
   } else {
     denied_.insert(voter.address);
     outdated_ = outdated_ || reply.epoch > row_.epoch;
-    if (counts) noteHolder(reply);
+    if (is_current) recordHolder(reply);
   }
-  decideIfClear(now);
+  decideIfConclusive(now);
 }
 
-void GroupClaim::noteHolder(const ClaimReply& reply) {
+void GroupClaim::recordHolder(const ClaimReply& reply) {
   holder_seen_ = true;
   const std::string& hash = reply.holder_body_hash;
   key_reused_ = key_reused_ || (!hash.empty() && hash != body_hash_);
   if (reply.holder_has_result) recorded_result_ = reply.holder_result;
 }
 
-void GroupClaim::decideIfClear(TimePoint now) {
+void GroupClaim::decideIfConclusive(TimePoint now) {
   if (now >= deadline_) return onTimer(now);
   if (granted_.size() >= row_.majority()) {
     outcome_ = covered_ ? GroupClaimOutcome::Granted : GroupClaimOutcome::GrantedForTable;
--- a/src/claim/group_claim.h
+++ b/src/claim/group_claim.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file A claimant's part in a claim group: a claim is won by the votes of a majority. Pure decision code.
+/// @file Claimant of a claim group: a majority of votes grants a claim. Decision logic only, without I/O.
 
 #include <optional>
 #include <set>
@@ -11,48 +11,49 @@
 
 /// How a group claim ended.
 enum class GroupClaimOutcome {
-  Granted,          ///< Won, and the group knows every claim of the keys' lifetime: dispatch may begin.
-  GrantedForTable,  ///< Won, but the group is too young: the table must agree as well before dispatch.
-  HeldByOther,      ///< Another claimant holds the key at a voter.
-  Unavailable,      ///< No majority answered in this epoch in time; nothing was dispatched.
+  Granted,          ///< Granted by a group that has all claims of a key lifetime: dispatch may begin.
+  GrantedForTable,  ///< Granted, but the group lacks coverage: the table must grant it as well.
+  HeldByOther,      ///< Another claimant holds the key at one or more voters.
+  Unavailable,      ///< No majority responded in this epoch in time; nothing was dispatched.
 };
 
-/// One claim attempt at one epoch of a group.
+/// One claim attempt in one epoch of a group.
 class GroupClaim {
 public:
-  /// @param token unique to this object over all processes and their restarts.
-  /// @param row the group as known; an older epoch than the present one wins nothing.
-  /// @param body_hash tells the request's content from another one under the same key.
+  /// @param token unique to this object across all processes and their restarts.
+  /// @param row last known row of the group; claims in an outdated epoch are never granted.
+  /// @param body_hash distinguishes requests with different content under one key.
   GroupClaim(std::string key, std::string token, ClaimGroupRow row, Duration key_lifetime, TimePoint deadline,
              std::string body_hash = {});
 
-  /// @return the message for every member that has not answered; to be repeated until decided.
+  /// @return the message for each of unanswered(); to be sent repeatedly until the claim is decided.
   ClaimPrepare prepare() const;
-  /// @return members that have not answered.
+  /// @return members that have not responded; empty once the claim is decided.
   std::vector<ClaimGroupMember> unanswered() const;
-  /// Counts a voter's answer. Answers of other processes, epochs, keys or tokens do not count.
-  void onBallot(const ClaimReply& reply, TimePoint now);
+  /// Counts a voter's reply. Replies from non-members or for other keys or tokens are ignored; those of
+  /// another incarnation or epoch count as denials.
+  void onReply(const ClaimReply& reply, TimePoint now);
   /// Decides Unavailable (or HeldByOther) once the deadline has passed.
   void onTimer(TimePoint now);
-  /// Gives up at once, unless the claim is decided.
+  /// Abandons the claim immediately unless it is decided.
   void abandon();
   /// @return the outcome once decided; it never changes.
   std::optional<GroupClaimOutcome> outcome() const { return outcome_; }
   const std::string& key() const { return key_; }
   const std::string& token() const { return token_; }
-  /// @return the answer that the holder's work gave, if a voter told it.
+  /// @return the response of the holder's work, if a voter reported it.
   const std::optional<std::string>& recordedResult() const { return recorded_result_; }
-  /// @return whether a voter told that the holder's request has other content.
+  /// @return whether a voter reported that the holder's request has different content.
   bool keyReused() const { return key_reused_; }
-  /// @return whether a voter that votes in a newer epoch answered: the row is out of date.
+  /// @return whether a voter replied from a newer epoch, so that the row is out of date.
   bool outdated() const { return outdated_; }
-  /// @return the message for every member after any outcome but a grant, or after a grant whose work surely
-  /// did not and will not run.
+  /// @return the message for all members after any outcome but a grant, or after a grant whose work did not
+  /// run and never will.
   ClaimRelease release() const;
 
 private:
-  void noteHolder(const ClaimReply& reply);
-  void decideIfClear(TimePoint now);
+  void recordHolder(const ClaimReply& reply);
+  void decideIfConclusive(TimePoint now);
 
   std::string key_;
   std::string token_;
@@ -62,7 +63,7 @@
   std::set<std::string> granted_;  ///< Addresses of members.
   std::set<std::string> denied_;
   bool holder_seen_ = false;
-  bool covered_ = true;  ///< By every voter that granted.
+  bool covered_ = true;  ///< Whether each voter that granted covers the key lifetime.
   std::string body_hash_;
   std::optional<std::string> recorded_result_;
   bool key_reused_ = false;
--- a/src/membership/spread_queue.cc
+++ b/src/membership/dissemination_queue.cc
@@ -1,10 +1,10 @@
-#include "membership/spread_queue.h"
+#include "membership/dissemination_queue.h"
 
 #include <algorithm>
 
 namespace crankspur {
 
-std::vector<std::string> SpreadQueue::take(std::size_t count, std::uint32_t limit) {
+std::vector<std::string> DisseminationQueue::take(std::size_t count, std::uint32_t limit) {
   using Entry = std::map<std::string, std::uint32_t>::iterator;
   std::vector<Entry> entries;
   entries.reserve(sent_.size());
--- a/src/membership/member_table.cc
+++ b/src/membership/member_table.cc
@@ -19,9 +19,9 @@
   return "dead";
 }
 
-bool supersedes(const MemberRecord& news, const MemberRecord& held) {
-  if (news.incarnation != held.incarnation) return news.incarnation > held.incarnation;
-  return news.state > held.state;
+bool supersedes(const MemberRecord& update, const MemberRecord& current) {
+  if (update.incarnation != current.incarnation) return update.incarnation > current.incarnation;
+  return update.state > current.state;
 }
 
 void MemberTable::setDeadline(Member& member, std::optional<TimePoint> deadline) {
@@ -33,38 +33,38 @@
   }
 }
 
-bool MemberTable::insert(const MemberRecord& news, Duration suspicion_timeout, TimePoint now) {
-  if (news.state == MemberState::Dead || members_.size() >= maximum_) return false;
-  Member& member = members_.emplace(news.name, Member{news, now, std::nullopt}).first->second;
-  if (news.state == MemberState::Suspect) setDeadline(member, now + suspicion_timeout);
+bool MemberTable::insert(const MemberRecord& update, Duration suspicion_timeout, TimePoint now) {
+  if (update.state == MemberState::Dead || members_.size() >= max_members_) return false;
+  Member& member = members_.emplace(update.name, Member{update, now, std::nullopt}).first->second;
+  if (update.state == MemberState::Suspect) setDeadline(member, now + suspicion_timeout);
   ++live_count_;
-  changes_.push_back({news, MemberState::Dead});
+  changes_.push_back({update, MemberState::Dead});
   return true;
 }
 
-bool MemberTable::apply(const MemberRecord& news, Duration suspicion_timeout, TimePoint now) {
-  const auto found = members_.find(news.name);
-  if (found == members_.end()) return insert(news, suspicion_timeout, now);
+bool MemberTable::apply(const MemberRecord& update, Duration suspicion_timeout, TimePoint now) {
+  const auto found = members_.find(update.name);
+  if (found == members_.end()) return insert(update, suspicion_timeout, now);
   Member& member = found->second;
-  if (!supersedes(news, member.record)) return false;
+  if (!supersedes(update, member.record)) return false;
   const MemberState previous = member.record.state;
-  const bool same_process = news.incarnation == member.record.incarnation;
+  const bool same_process = update.incarnation == member.record.incarnation;
   const std::uint64_t known_version = member.record.bundle_version;
-  member.record = news;
-  if (same_process) member.record.bundle_version = std::max(known_version, news.bundle_version);
+  member.record = update;
+  if (same_process) member.record.bundle_version = std::max(known_version, update.bundle_version);
   member.changed_at = now;
-  if (news.state == MemberState::Suspect) {
+  if (update.state == MemberState::Suspect) {
     setDeadline(member, now + suspicion_timeout);
   } else {
     setDeadline(member, std::nullopt);
   }
-  if (previous == MemberState::Dead && news.state != MemberState::Dead) ++live_count_;
-  if (previous != MemberState::Dead && news.state == MemberState::Dead) --live_count_;
+  if (previous == MemberState::Dead && update.state != MemberState::Dead) ++live_count_;
+  if (previous != MemberState::Dead && update.state == MemberState::Dead) --live_count_;
   changes_.push_back({member.record, previous});
   return true;
 }
 
-void MemberTable::noteBundleVersion(const std::string& name, std::uint64_t version) {
+void MemberTable::recordBundleVersion(const std::string& name, std::uint64_t version) {
   const auto found = members_.find(name);
   if (found != members_.end()) found->second.record.bundle_version = version;
 }
@@ -96,7 +96,7 @@
   return earliest;
 }
 
-void MemberTable::forgetDead(Duration retention, TimePoint now) {
+void MemberTable::removeDead(Duration retention, TimePoint now) {
   std::erase_if(members_, [&](const auto& entry) {
     const Member& member = entry.second;
     return member.record.state == MemberState::Dead && now - member.changed_at > retention;
--- a/src/membership/probe_order.cc
+++ b/src/membership/probe_order.cc
@@ -19,15 +19,15 @@
 }  // namespace
 
 std::optional<std::string> ProbeOrder::next(const MemberTable& table, RandomSource& random) {
-  const bool in_zone = random.chance(share_);
+  const bool in_zone = random.chance(own_zone_share_);
   std::vector<std::string>& first = in_zone ? own_zone_round_ : other_zones_round_;
   std::vector<std::string>& second = in_zone ? other_zones_round_ : own_zone_round_;
-  if (auto name = nextOf(first, in_zone, table, random)) return name;
-  return nextOf(second, !in_zone, table, random);
+  if (auto name = nextInRound(first, in_zone, table, random)) return name;
+  return nextInRound(second, !in_zone, table, random);
 }
 
-std::optional<std::string> ProbeOrder::nextOf(std::vector<std::string>& round, bool in_zone,
-                                              const MemberTable& table, RandomSource& random) {
+std::optional<std::string> ProbeOrder::nextInRound(std::vector<std::string>& round, bool in_zone,
+                                                   const MemberTable& table, RandomSource& random) {
   for (int pass = 0; pass < 2; ++pass) {
     while (!round.empty()) {
       std::string name = std::move(round.back());
@@ -48,8 +48,8 @@
   shuffle(round, random);
 }
 
-std::vector<std::string> ProbeOrder::draw(const MemberTable& table, const std::string& excluded,
-                                          std::size_t count, RandomSource& random) {
+std::vector<std::string> ProbeOrder::sample(const MemberTable& table, const std::string& excluded,
+                                            std::size_t count, RandomSource& random) {
   std::vector<std::string> names;
   for (const auto& [name, member] : table.members()) {
     if (member.record.state == MemberState::Alive && name != excluded) names.push_back(name);
@@ -59,7 +59,7 @@
   return names;
 }
 
-std::optional<std::string> ProbeOrder::drawDead(const MemberTable& table, RandomSource& random) {
+std::optional<std::string> ProbeOrder::sampleDead(const MemberTable& table, RandomSource& random) {
   std::vector<std::string> names;
   for (const auto& [name, member] : table.members()) {
     if (!isLive(member)) names.push_back(name);
--- a/src/membership/state_exchange.cc
+++ b/src/membership/state_exchange.cc
@@ -9,10 +9,11 @@
 
 namespace {
 
-/// A partial answer carries at least this many records and is charged as many.
-constexpr std::size_t kSmallestPart = 8;
-/// A partial answer takes at most this share of what is left, so that more askers get something.
-constexpr double kPartOfLevel = 0.25;
+/// Minimum number of records that a partial response may carry and is charged for.
+constexpr std::size_t kMinPartialRecords = 8;
+/// Maximum fraction of the remaining budget that one partial response uses, so that more requesters are
+/// served.
+constexpr double kPartialShare = 0.25;
 
 std::size_t bucketOf(const std::string& name) {
   return hashBytes(name) % kFingerprintBuckets;
@@ -36,13 +37,14 @@
 }
 
 std::vector<MemberRecord> differingRecords(const MemberTable& table, const MemberRecord& self,
-                                           const std::vector<std::uint64_t>& theirs, RandomSource& random) {
+                                           const std::vector<std::uint64_t>& peer_fingerprints,
+                                           RandomSource& random) {
   const std::vector<std::uint64_t> own = liveFingerprints(table, self);
-  const bool comparable = theirs.size() == own.size();
+  const bool comparable = peer_fingerprints.size() == own.size();
   std::vector<std::vector<MemberRecord>> buckets(kFingerprintBuckets);
   for (const auto& [name, member] : table.members()) {
     const std::size_t bucket = bucketOf(name);
-    const bool same = comparable && own[bucket] == theirs[bucket];
+    const bool same = comparable && own[bucket] == peer_fingerprints[bucket];
     if (!same && member.record.state != MemberState::Dead) buckets[bucket].push_back(member.record);
   }
   std::vector<MemberRecord> records;
@@ -54,25 +56,25 @@
   return records;
 }
 
-void StateAnswerBudget::refill(TimePoint now) {
+void StateResponseBudget::refill(TimePoint now) {
   if (now > refilled_at_)
     level_ = std::min(kBurst, level_ + toSeconds(now - refilled_at_) * kRecordsPerSecond);
   refilled_at_ = std::max(now, refilled_at_);
 }
 
-bool StateAnswerBudget::takeWhole(std::size_t records, TimePoint now) {
+bool StateResponseBudget::takeComplete(std::size_t records, TimePoint now) {
   refill(now);
   if (level_ < kBurst / 2) return false;
-  level_ -= static_cast<double>(std::max(records, kSmallestPart));
+  level_ -= static_cast<double>(std::max(records, kMinPartialRecords));
   return true;
 }
 
-std::size_t StateAnswerBudget::takePart(std::size_t wanted, TimePoint now) {
+std::size_t StateResponseBudget::takePartial(std::size_t wanted, TimePoint now) {
   refill(now);
-  if (level_ < static_cast<double>(kSmallestPart)) return 0;
-  const auto share = static_cast<std::size_t>(level_ * kPartOfLevel);
-  const std::size_t granted = std::clamp(share, kSmallestPart, kRecordsPerStateMessage);
-  level_ -= static_cast<double>(std::clamp(wanted, kSmallestPart, granted));
+  if (level_ < static_cast<double>(kMinPartialRecords)) return 0;
+  const auto share = static_cast<std::size_t>(level_ * kPartialShare);
+  const std::size_t granted = std::clamp(share, kMinPartialRecords, kRecordsPerStateMessage);
+  level_ -= static_cast<double>(std::clamp(wanted, kMinPartialRecords, granted));
   return granted;
 }
 
--- a/src/membership/state_exchange.h
+++ b/src/membership/state_exchange.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Parts of the exchange of whole tables between members: fingerprints that name what differs, and the
-/// budget of records that one node sends in answers.
+/// @file Anti-entropy between members: fingerprints that identify differing parts of the tables, and the rate
+/// limit on the records that one node sends in responses.
 
 #include <cstdint>
 #include <string>
@@ -11,27 +11,29 @@
 
 namespace crankspur {
 
-/// Buckets that member names are hashed to; a request carries one fingerprint of 8 bytes for each.
+/// Number of buckets that member names are hashed to. A request carries a fingerprint of 8 bytes per bucket.
 inline constexpr std::size_t kFingerprintBuckets = 64;
 
-/// @return for each bucket a hash over the members in it that are not dead, `self` included. Equal tables
-/// have equal fingerprints. Bundle versions and suspicions do not count.
+/// @return for each bucket a hash over its members that are not Dead, including `self`. Equal tables have
+/// equal fingerprints. Bundle versions and suspicions are not hashed.
 std::vector<std::uint64_t> liveFingerprints(const MemberTable& table, const MemberRecord& self);
 
-/// @param theirs fingerprints of the one who asks; of another length they count as all different.
-/// @return records of members that are not dead, from buckets that differ, in random order of buckets.
+/// @param peer_fingerprints fingerprints of the requester; if their number is different, all buckets differ.
+/// @return records of members that are not Dead in buckets that differ, starting at a random bucket.
 std::vector<MemberRecord> differingRecords(const MemberTable& table, const MemberRecord& self,
-                                           const std::vector<std::uint64_t>& theirs, RandomSource& random);
+                                           const std::vector<std::uint64_t>& peer_fingerprints,
+                                           RandomSource& random);
 
-/// Records that answers may carry: refills steadily, so that a herd of askers cannot make one node send more.
-class StateAnswerBudget {
+/// Token bucket of records in responses. It bounds what one node sends when many members request state at
+/// once (thundering herd).
+class StateResponseBudget {
 public:
-  /// @return whether an answer with all facts about engines may go out; it is then charged, and may overdraw
+  /// @return whether a response with all engine records may be sent; if so, it is charged and may overdraw
   /// the budget.
-  bool takeWhole(std::size_t records, TimePoint now);
-  /// Charges a partial answer.
-  /// @return how many records it may carry; 0: give no answer.
-  std::size_t takePart(std::size_t wanted, TimePoint now);
+  bool takeComplete(std::size_t records, TimePoint now);
+  /// Charges a partial response.
+  /// @return the number of records it may carry; 0: send no response.
+  std::size_t takePartial(std::size_t wanted, TimePoint now);
 
 private:
   void refill(TimePoint now);
--- a/src/membership/swim_membership.cc
+++ b/src/membership/swim_membership.cc
@@ -8,18 +8,18 @@
 
 namespace {
 
-constexpr std::size_t kMaximumMembers = 4096;
-constexpr std::size_t kMaximumEngines = 8192;
-constexpr std::size_t kMaximumMemberNameBytes = 128;
-/// Records of one incoming message that are looked at.
-constexpr std::size_t kAcceptedRecords = kRecordsPerStateMessage + 32;
-/// Members told at once when this node leaves.
+constexpr std::size_t kMaxMembers = 4096;
+constexpr std::size_t kMaxEngines = 8192;
+constexpr std::size_t kMaxMemberNameBytes = 128;
+/// Maximum number of records processed per incoming message.
+constexpr std::size_t kMaxRecordsPerMessage = kRecordsPerStateMessage + 32;
+/// Number of members notified immediately when this node leaves.
 constexpr std::size_t kLeaveFanOut = 6;
-/// An own probe fails after this many probe timeouts, indirect probes included.
+/// A probe fails after this many probe timeouts, including its indirect probes.
 constexpr int kProbeTimeoutsUntilFailure = 3;
 
-bool acceptable(const std::string& name) {
-  return !name.empty() && name.size() <= kMaximumMemberNameBytes;
+bool isValidName(const std::string& name) {
+  return !name.empty() && name.size() <= kMaxMemberNameBytes;
 }
 
 }  // namespace
@@ -29,9 +29,9 @@
     : self_(std::move(self)),
       options_(options),
       random_(random_seed),
-      table_(kMaximumMembers),
-      engines_(kMaximumEngines),
-      order_(self_.zone, options.own_zone_share),
+      table_(kMaxMembers),
+      engines_(kMaxEngines),
+      probe_order_(self_.zone, options.own_zone_share),
       next_probe_at_(now),
       next_dead_probe_at_(now),
       next_pull_at_(now) {
@@ -42,11 +42,11 @@
 
 void SwimMembership::seed(const std::vector<MemberRecord>& machines, TimePoint now) {
   for (const MemberRecord& machine : machines) {
-    if (machine.name != self_.name && acceptable(machine.name)) seedOne(machine, now);
+    if (machine.name != self_.name && isValidName(machine.name)) seedMachine(machine, now);
   }
 }
 
-void SwimMembership::seedOne(const MemberRecord& machine, TimePoint now) {
+void SwimMembership::seedMachine(const MemberRecord& machine, TimePoint now) {
   const bool leaving = machine.state == MemberState::Leaving;
   const Member* known = table_.find(machine.name);
   if (known == nullptr) {
@@ -58,9 +58,10 @@
   } else if (leaving && !listed_as_leaving_.contains(machine.name)) {
     MemberRecord record = known->record;
     record.state = MemberState::Leaving;
-    absorbMember(record, Source::Gossip, now);
+    mergeMember(record, Source::Gossip, now);
   }
-  // The list lags: only the change to leaving counts, or it would mark a restarted process again.
+  // The list lags: only the transition to leaving is applied, otherwise a restarted process would be marked
+  // again.
   if (leaving) {
     listed_as_leaving_.insert(machine.name);
   } else {
@@ -68,37 +69,37 @@
   }
 }
 
-void SwimMembership::absorb(const std::vector<MemberRecord>& members,
-                            const std::vector<EngineRecord>& engines, Source source, TimePoint now) {
-  for (std::size_t index = 0; index < std::min(members.size(), kAcceptedRecords); ++index) {
-    absorbMember(members[index], source, now);
+void SwimMembership::merge(const std::vector<MemberRecord>& members, const std::vector<EngineRecord>& engines,
+                           Source source, TimePoint now) {
+  for (std::size_t index = 0; index < std::min(members.size(), kMaxRecordsPerMessage); ++index) {
+    mergeMember(members[index], source, now);
   }
-  for (std::size_t index = 0; index < std::min(engines.size(), kAcceptedRecords); ++index) {
+  for (std::size_t index = 0; index < std::min(engines.size(), kMaxRecordsPerMessage); ++index) {
     const EngineRecord& record = engines[index];
-    if (!acceptable(record.name) || !engines_.apply(record)) continue;
-    engine_queue_.add(EngineFacts::keyOf(record));
-    engine_changes_.push_back(*engines_.find(EngineFacts::keyOf(record)));
+    if (!isValidName(record.name) || !engines_.apply(record)) continue;
+    engine_queue_.add(EngineRecordTable::keyOf(record));
+    engine_changes_.push_back(*engines_.find(EngineRecordTable::keyOf(record)));
   }
 }
 
-void SwimMembership::absorbMember(const MemberRecord& record, Source source, TimePoint now) {
-  if (!acceptable(record.name)) return;
+void SwimMembership::mergeMember(const MemberRecord& record, Source source, TimePoint now) {
+  if (!isValidName(record.name)) return;
   if (record.name == self_.name) {
-    absorbAboutSelf(record);
+    mergeSelf(record);
     return;
   }
   const Member* held = table_.find(record.name);
-  const bool appears =
+  const bool becomes_live =
       record.state != MemberState::Dead && (held == nullptr || held->record.state == MemberState::Dead);
-  const bool news = table_.apply(record, options_.suspicion_timeout, now);
-  // What whole tables bring is on its way by them; spreading it once more would fill every message for
-  // minutes.
-  if (news && source == Source::Gossip) member_queue_.add(record.name);
-  if (news && (appears || source == Source::State)) noteBehind();
-  if (!news && appears && source == Source::State) noteContested(record);
+  const bool changed = table_.apply(record, options_.suspicion_timeout, now);
+  // Records from complete tables reach other members by the same exchange; gossiping them as well would fill
+  // all messages for minutes.
+  if (changed && source == Source::Gossip) member_queue_.add(record.name);
+  if (changed && (becomes_live || source == Source::State)) markBehind();
+  if (!changed && becomes_live && source == Source::State) recordContested(record);
 }
 
-void SwimMembership::absorbAboutSelf(const MemberRecord& record) {
+void SwimMembership::mergeSelf(const MemberRecord& record) {
   if (!supersedes(record, self_)) return;
   if (record.state == MemberState::Leaving && record.incarnation == self_.incarnation) {
     const MemberState previous = self_.state;
@@ -117,13 +118,13 @@
 
 void SwimMembership::onPing(const Ping& ping, const std::string& from_address, TimePoint now) {
   if (ping.sender == self_.name) return;
-  absorb(ping.members, ping.engines, Source::Gossip, now);
-  table_.noteBundleVersion(ping.sender, ping.bundle_version);
+  merge(ping.members, ping.engines, Source::Gossip, now);
+  table_.recordBundleVersion(ping.sender, ping.bundle_version);
   const Member* sender = table_.find(ping.sender);
   const bool has_address = sender != nullptr && !sender->record.address.empty();
   const std::string address = has_address ? sender->record.address : from_address;
   if (ping.target.empty()) {
-    answerStateRequest(ping, address, now);
+    respondToStateRequest(ping, address, now);
   } else if (ping.target == self_.name) {
     sendAck(ping.sender, address, ping.sequence);
   } else {
@@ -133,27 +134,27 @@
 
 void SwimMembership::onAck(const PingAck& ack, TimePoint now) {
   const auto found = probes_.find(ack.sequence);
-  const bool awaited = found != probes_.end() && found->second.target == ack.sender;
-  const Probe probe = awaited ? found->second : Probe{};
+  const bool expected = found != probes_.end() && found->second.target == ack.sender;
+  const Probe probe = expected ? found->second : Probe{};
   const bool state = ack.sequence == 0 || probe.purpose != Purpose::Liveness;
   const Member* sender = table_.find(ack.sender);
   const bool was_dead = sender != nullptr && sender->record.state == MemberState::Dead;
-  absorb(ack.members, ack.engines, state ? Source::State : Source::Gossip, now);
-  table_.noteBundleVersion(ack.sender, ack.bundle_version);
-  if (!awaited) return;
+  merge(ack.members, ack.engines, state ? Source::State : Source::Gossip, now);
+  table_.recordBundleVersion(ack.sender, ack.bundle_version);
+  if (!expected) return;
   probes_.erase(found);
   if (probe.purpose == Purpose::Join) joined_ = true;
-  if (probe.purpose == Purpose::Pull) onPullAnswered();
+  if (probe.purpose == Purpose::Pull) onPullResponse();
   if (!probe.requester.empty()) relayAck(probe, ack);
-  // The other side of a cut: what it knows is asked for at once.
+  // A Dead member that responds is on the other side of a healed partition: its state is pulled immediately.
   if (was_dead && probe.requester.empty()) startProbe(ack.sender, Purpose::Pull, now);
 }
 
 void SwimMembership::onTimer(TimePoint now) {
-  forgivePause(now);
+  handleSuspension(now);
   checkProbes(now);
   checkSuspicions(now);
-  sendDirectFacts(now);
+  sendDirectBroadcast(now);
   if (now >= next_probe_at_) {
     probeNext(now);
     probeContested(now);
@@ -165,34 +166,34 @@
   if (now >= next_dead_probe_at_) {
     probeDead(now);
     next_dead_probe_at_ = now + jittered(options_.dead_probe_interval);
-    table_.forgetDead(options_.dead_retention, now);
+    table_.removeDead(options_.dead_retention, now);
   }
 }
 
 TimePoint SwimMembership::nextTimer() const {
   TimePoint next = std::min({next_probe_at_, next_dead_probe_at_, next_pull_at_});
   for (const auto& [sequence, probe] : probes_) {
-    next = std::min(next, probe.asked_others ? probe.fails_at : probe.ask_others_at);
+    next = std::min(next, probe.indirect_probes_sent ? probe.fails_at : probe.indirect_probes_at);
   }
   if (const auto deadline = table_.nextSuspicionDeadline()) next = std::min(next, *deadline);
-  return std::min(next, direct_facts_.nextTimer());
+  return std::min(next, direct_broadcast_.nextTimer());
 }
 
-void SwimMembership::forgivePause(TimePoint now) {
-  const Duration late = now - next_probe_at_;
-  if (late < options_.probe_interval * 2) return;
-  // This process was paused: its peers had no chance to answer, so nothing may be concluded.
+void SwimMembership::handleSuspension(TimePoint now) {
+  const Duration overdue = now - next_probe_at_;
+  if (overdue < options_.probe_interval * 2) return;
+  // This process was suspended and could not process responses: its probes and suspicions prove nothing.
   probes_.clear();
-  table_.delaySuspicions(late);
+  table_.delaySuspicions(overdue);
 }
 
 void SwimMembership::probeNext(TimePoint now) {
-  const std::optional<std::string> target = order_.next(table_, random_);
+  const std::optional<std::string> target = probe_order_.next(table_, random_);
   if (target) startProbe(*target, joined_ ? Purpose::Liveness : Purpose::Join, now);
 }
 
 void SwimMembership::probeDead(TimePoint now) {
-  const std::optional<std::string> target = ProbeOrder::drawDead(table_, random_);
+  const std::optional<std::string> target = ProbeOrder::sampleDead(table_, random_);
   if (target) startProbe(*target, Purpose::Liveness, now);
 }
 
@@ -201,8 +202,8 @@
   Probe probe;
   probe.target = target;
   probe.purpose = purpose;
-  probe.asked_others = purpose != Purpose::Liveness;
-  probe.ask_others_at = now + options_.probe_timeout;
+  probe.indirect_probes_sent = purpose != Purpose::Liveness;
+  probe.indirect_probes_at = now + options_.probe_timeout;
   probe.fails_at = now + options_.probe_timeout * kProbeTimeoutsUntilFailure;
   probes_[sequence] = probe;
   sendPing(target, purpose == Purpose::Liveness ? target : std::string(), sequence, purpose == Purpose::Pull);
@@ -213,7 +214,7 @@
   const std::uint64_t sequence = next_sequence_++;
   Probe probe;
   probe.target = ping.target;
-  probe.asked_others = true;
+  probe.indirect_probes_sent = true;
   probe.fails_at = now + options_.probe_timeout * kProbeTimeoutsUntilFailure;
   probe.requester = ping.sender;
   probe.requester_address = from_address;
@@ -231,17 +232,18 @@
       entry = probes_.erase(entry);
       continue;
     }
-    if (!probe.asked_others && now >= probe.ask_others_at) askOthers(entry->first, probe);
+    if (!probe.indirect_probes_sent && now >= probe.indirect_probes_at)
+      sendIndirectProbes(entry->first, probe);
     ++entry;
   }
   for (const Probe& probe : failed) failProbe(probe, now);
 }
 
-void SwimMembership::askOthers(std::uint64_t sequence, Probe& probe) {
-  probe.asked_others = true;
+void SwimMembership::sendIndirectProbes(std::uint64_t sequence, Probe& probe) {
+  probe.indirect_probes_sent = true;
   const Member* target = table_.find(probe.target);
   if (target == nullptr || target->record.state == MemberState::Dead) return;
-  const auto helpers = ProbeOrder::draw(table_, probe.target, options_.indirect_probes, random_);
+  const auto helpers = ProbeOrder::sample(table_, probe.target, options_.indirect_probes, random_);
   for (const std::string& helper : helpers) sendPing(helper, probe.target, sequence);
 }
 
@@ -252,7 +254,7 @@
   if (target->record.state == MemberState::Alive) {
     MemberRecord suspected = target->record;
     suspected.state = MemberState::Suspect;
-    absorbMember(suspected, Source::Gossip, now);
+    mergeMember(suspected, Source::Gossip, now);
   } else if (target->record.state == MemberState::Leaving) {
     table_.startSuspicion(probe.target, options_.suspicion_timeout, now);
   }
@@ -262,7 +264,7 @@
   for (const std::string& name : table_.expiredSuspicions(now)) {
     MemberRecord dead = table_.find(name)->record;
     dead.state = MemberState::Dead;
-    absorbMember(dead, Source::Gossip, now);
+    mergeMember(dead, Source::Gossip, now);
   }
 }
 
@@ -277,7 +279,7 @@
   self_.state = MemberState::Leaving;
   self_changes_.push_back({self_, previous});
   member_queue_.add(self_.name);
-  const auto receivers = ProbeOrder::draw(table_, self_.name, kLeaveFanOut, random_);
+  const auto receivers = ProbeOrder::sample(table_, self_.name, kLeaveFanOut, random_);
   for (const std::string& receiver : receivers) sendPing(receiver, receiver, next_sequence_++);
 }
 
@@ -286,24 +288,24 @@
 }
 
 void SwimMembership::announceEngine(const EngineRecord& record, TimePoint) {
-  // Also when it was announced before: the messages that carried it may all have been lost.
+  // Repeated announcements are queued again, since all messages that carried the record may have been lost.
   engines_.apply(record);
-  engine_queue_.add(EngineFacts::keyOf(record));
+  engine_queue_.add(EngineRecordTable::keyOf(record));
 }
 
-void SwimMembership::announceEngineAtOnce(const EngineRecord& record, TimePoint now) {
+void SwimMembership::announceEngineDirectly(const EngineRecord& record, TimePoint now) {
   announceEngine(record, now);
-  direct_facts_.add(record);
-  sendDirectFacts(now);
+  direct_broadcast_.add(record);
+  sendDirectBroadcast(now);
 }
 
-void SwimMembership::sendDirectFacts(TimePoint now) {
-  if (!direct_facts_.isDue(now)) return;
-  const std::vector<MemberRecord> receivers = DirectFacts::receivers(table_, self_.region, random_);
+void SwimMembership::sendDirectBroadcast(TimePoint now) {
+  if (!direct_broadcast_.isDue(now)) return;
+  const std::vector<MemberRecord> receivers = DirectBroadcast::receivers(table_, self_.region, random_);
   PingAck message;
   message.sender = self_.name;
   message.bundle_version = self_.bundle_version;
-  message.engines = direct_facts_.take(receivers.size(), now);
+  message.engines = direct_broadcast_.take(receivers.size(), now);
   for (const MemberRecord& receiver : receivers) send(receiver.name, receiver.address, message);
 }
 
@@ -315,14 +317,14 @@
   const Member* member = table_.find(receiver);
   const bool can_refute = member != nullptr && member->record.state != MemberState::Alive;
   if (can_refute) message.members.push_back(member->record);
-  const std::uint32_t limit = spreadLimit();
+  const std::uint32_t limit = transmissionLimit();
   for (const std::string& name : member_queue_.take(options_.records_per_message, limit)) {
-    const Member* spread = table_.find(name);
-    if (spread != nullptr && name != receiver) message.members.push_back(spread->record);
+    const Member* queued = table_.find(name);
+    if (queued != nullptr && name != receiver) message.members.push_back(queued->record);
   }
   for (const std::string& key : engine_queue_.take(options_.records_per_message, limit)) {
-    const EngineRecord* fact = engines_.find(key);
-    if (fact != nullptr) message.engines.push_back(*fact);
+    const EngineRecord* record = engines_.find(key);
+    if (record != nullptr) message.engines.push_back(*record);
   }
 }
 
@@ -361,10 +363,10 @@
   return Duration(static_cast<Duration::rep>(static_cast<double>(mean.count()) * factor));
 }
 
-std::uint32_t SwimMembership::spreadLimit() const {
+std::uint32_t SwimMembership::transmissionLimit() const {
   const double members = static_cast<double>(table_.liveCount() + 1);
   const auto rounds = static_cast<std::uint32_t>(std::ceil(std::log2(members + 1)));
-  return options_.spread_factor * std::max<std::uint32_t>(rounds, 1);
+  return options_.dissemination_factor * std::max<std::uint32_t>(rounds, 1);
 }
 
 std::vector<OutgoingGossip> SwimMembership::takeOutgoing() {
--- a/src/membership/swim_state_exchange.cc
+++ b/src/membership/swim_state_exchange.cc
@@ -1,5 +1,5 @@
-/// @file The part of SwimMembership that exchanges whole tables: joins, pulls, and members that others see
-/// alive.
+/// @file Exchange of complete tables by SwimMembership: joins, pulls, and members that are Dead in this table
+/// only.
 
 #include <algorithm>
 #include <iterator>
@@ -11,36 +11,37 @@
 
 namespace {
 
-/// Members that a joiner hears of first; it pulls the others from these.
-constexpr std::size_t kMembersForJoiner = 32;
-constexpr std::size_t kMaximumContested = 1024;
+/// Members in the response to a join; the joining node pulls the others from these.
+constexpr std::size_t kMaxMembersInJoinResponse = 32;
+constexpr std::size_t kMaxContested = 1024;
 
 }  // namespace
 
-void SwimMembership::answerStateRequest(const Ping& ping, const std::string& address, TimePoint now) {
+void SwimMembership::respondToStateRequest(const Ping& ping, const std::string& address, TimePoint now) {
   const bool join = ping.fingerprints.empty();
   std::vector<MemberRecord> members = differingRecords(table_, self_, ping.fingerprints, random_);
   std::vector<EngineRecord> engines;
   for (const auto& [key, record] : engines_.all()) {
     if (join && (record.leaving || record.dead)) engines.push_back(record);
   }
-  if (join && answer_budget_.takeWhole(std::min(members.size(), kMembersForJoiner) + engines.size(), now)) {
-    members.resize(std::min(members.size(), kMembersForJoiner));
+  if (join && response_budget_.takeComplete(
+                  std::min(members.size(), kMaxMembersInJoinResponse) + engines.size(), now)) {
+    members.resize(std::min(members.size(), kMaxMembersInJoinResponse));
     sendState(ping.sender, address, ping.sequence, members, engines);
     return;
   }
-  const std::size_t part = answer_budget_.takePart(members.size(), now);
+  const std::size_t part = response_budget_.takePartial(members.size(), now);
   if (part == 0) return;
   members.resize(std::min(part, members.size()));
-  // Without the facts about engines the join has not ended: it names others to ask.
+  // Without the engine records the join is not complete; the members are further nodes to send requests to.
   sendState(ping.sender, address, join ? 0 : ping.sequence, members, {});
 }
 
 void SwimMembership::sendState(const std::string& receiver, const std::string& address,
                                std::uint64_t sequence, const std::vector<MemberRecord>& members,
                                const std::vector<EngineRecord>& engines) {
-  const Member* asker = table_.find(receiver);
-  const bool asker_is_dead = asker != nullptr && asker->record.state == MemberState::Dead;
+  const Member* requester = table_.find(receiver);
+  const bool requester_is_dead = requester != nullptr && requester->record.state == MemberState::Dead;
   std::size_t sent = 0;
   do {
     PingAck ack;
@@ -48,7 +49,7 @@
     ack.sender = self_.name;
     ack.bundle_version = self_.bundle_version;
     ack.members.push_back(self_);
-    if (sent == 0 && asker_is_dead) ack.members.push_back(asker->record);
+    if (sent == 0 && requester_is_dead) ack.members.push_back(requester->record);
     const std::size_t end = sent + kRecordsPerStateMessage;
     for (std::size_t index = sent; index < std::min(end, members.size()); ++index) {
       ack.members.push_back(members[index]);
@@ -65,26 +66,26 @@
   const bool behind = pulls_until_caught_up_ > 0;
   next_pull_at_ = now + jittered(behind ? options_.probe_interval : options_.pull_interval);
   if (!joined_) return;
-  for (const std::string& member : ProbeOrder::draw(table_, self_.name, 1, random_)) {
+  for (const std::string& member : ProbeOrder::sample(table_, self_.name, 1, random_)) {
     startProbe(member, Purpose::Pull, now);
   }
 }
 
-void SwimMembership::noteBehind() {
-  news_since_pull_ = true;
-  pulls_until_caught_up_ = kPullsWithoutNews;
+void SwimMembership::markBehind() {
+  changed_since_pull_ = true;
+  pulls_until_caught_up_ = kPullsUntilCaughtUp;
   next_pull_at_ = std::min(next_pull_at_, next_probe_at_ + options_.probe_interval);
 }
 
-void SwimMembership::onPullAnswered() {
-  if (!std::exchange(news_since_pull_, false))
+void SwimMembership::onPullResponse() {
+  if (!std::exchange(changed_since_pull_, false))
     pulls_until_caught_up_ = std::max(0, pulls_until_caught_up_ - 1);
 }
 
-void SwimMembership::noteContested(const MemberRecord& record) {
-  if (contested_.size() >= kMaximumContested) return;
+void SwimMembership::recordContested(const MemberRecord& record) {
+  if (contested_.size() >= kMaxContested) return;
   contested_.insert(record.name);
-  noteBehind();
+  markBehind();
 }
 
 void SwimMembership::probeContested(TimePoint now) {
--- a/src/router/claim_flow.cc
+++ b/src/router/claim_flow.cc
@@ -78,7 +78,7 @@
     claimDecided(*entry, *outcome, now);
     return pumpClaim(id, now);
   }
-  if (work.entry == 0 && work.claim->settled()) {
+  if (work.entry == 0 && work.claim->isFinished()) {
     claim_timers_.erase({work.timer, id});
     claims_.erase(found);
     return;
--- a/src/router/group_claim_flow.cc
+++ b/src/router/group_claim_flow.cc
@@ -115,7 +115,7 @@
 
 bool RequestRouterImpl::waitsForTable(std::uint64_t id, ClaimWork& work, TimePoint now) {
   const bool only_record = work.entry == 0 && work.group == GroupWord::Grants && !work.in_table;
-  if (!only_record || work.claim->settled() || !table_health_.down() || table_health_.allow(now))
+  if (!only_record || work.claim->isFinished() || !table_health_.down() || table_health_.allow(now))
     return false;
   const std::uint64_t pause = random_.uniform(kShortestRecordPause, kLongestRecordPause);
   claim_timers_.erase({work.timer, id});
--- a/src/router_peer/peer_front.cc
+++ b/src/router_peer/peer_connections.cc
@@ -1,4 +1,4 @@
-#include "router_peer/peer_front.h"
+#include "router_peer/peer_connections.h"
 
 #include <algorithm>
 #include <utility>
@@ -9,14 +9,14 @@
 
 namespace {
 
-/// Routers named in one answer to a sidecar; the rest follow in later answers.
-constexpr std::size_t kRoutersPerAnswer = 16;
-/// A pull of a bundle that brought no body is given up after this.
+/// Maximum number of routers in one message to a sidecar; later messages carry the others.
+constexpr std::size_t kRoutersPerMessage = 16;
+/// Timeout of a bundle pull that has not received a body.
 constexpr Duration kPullTimeout = std::chrono::seconds(1);
-/// Connections to routers that were not used for this long are closed.
-constexpr Duration kIdleLimit = std::chrono::minutes(2);
+/// Connections to routers that are unused for this long are closed.
+constexpr Duration kIdleTimeout = std::chrono::minutes(2);
 constexpr Duration kIdleCheckInterval = std::chrono::seconds(15);
-/// Bytes of gossip that may wait for one router: what is late is useless.
+/// Write queue limit per router. Delayed gossip is useless, so a larger queue would not help.
 constexpr std::size_t kRouterQueueBytes = std::size_t{16} * 1024 * 1024;
 
 bool isClaimMessage(const Message& message) {
@@ -31,26 +31,27 @@
 }  // namespace
 
 /// One connection.
-struct PeerFront::Peer {
+struct PeerConnections::Peer {
   std::uint64_t id = 0;
   std::shared_ptr<FrameConnection> connection;
-  bool greeted = false;
+  bool hello_received = false;
   NodeRole role = NodeRole::Router;
   std::string name;
   std::string address;  ///< Where a router listens.
   TimePoint used_at{};
 };
 
-PeerFront::PeerFront(const boost::asio::any_io_executor& executor, Hello self, PeerFrontCallbacks callbacks)
+PeerConnections::PeerConnections(const boost::asio::any_io_executor& executor, Hello self,
+                                 PeerConnectionCallbacks callbacks)
     : executor_(executor), idle_timer_(executor), self_(std::move(self)), callbacks_(std::move(callbacks)) {}
 
-PeerFront::~PeerFront() = default;
+PeerConnections::~PeerConnections() = default;
 
-std::error_code PeerFront::listen(const std::string& address) {
+std::error_code PeerConnections::listen(const std::string& address) {
   std::error_code error;
   const auto hello = [this] {
     Hello current = self_;
-    current.bundle_version = heldVersion();
+    current.bundle_version = bundleVersion();
     return current;
   };
   const auto accept = [this](std::shared_ptr<FrameConnection> connection) {
@@ -66,7 +67,7 @@
   return error;
 }
 
-FrameConnection::Callbacks PeerFront::callbacksFor(const std::shared_ptr<Peer>& peer) {
+FrameConnection::Callbacks PeerConnections::callbacksFor(const std::shared_ptr<Peer>& peer) {
   FrameConnection::Callbacks callbacks;
   callbacks.on_hello = [this, peer](const Hello& hello) { onHello(peer, hello); };
   callbacks.on_message = [this, peer](Message message) { onMessage(peer, std::move(message)); };
@@ -74,14 +75,14 @@
   return callbacks;
 }
 
-std::shared_ptr<PeerFront::Peer> PeerFront::connectTo(const std::string& address) {
+std::shared_ptr<PeerConnections::Peer> PeerConnections::connectTo(const std::string& address) {
   const auto known = routers_by_address_.find(address);
   if (known != routers_by_address_.end()) return known->second;
   auto peer = std::make_shared<Peer>();
   peer->id = next_id_++;
   peer->address = address;
   Hello hello = self_;
-  hello.bundle_version = heldVersion();
+  hello.bundle_version = bundleVersion();
   ConnectionLimits limits;
   limits.write_queue_bytes = kRouterQueueBytes;
   peer->connection = connectFrames(executor_, address, hello, callbacksFor(peer), limits);
@@ -90,8 +91,8 @@
   return peer;
 }
 
-void PeerFront::onHello(const std::shared_ptr<Peer>& peer, const Hello& hello) {
-  peer->greeted = true;
+void PeerConnections::onHello(const std::shared_ptr<Peer>& peer, const Hello& hello) {
+  peer->hello_received = true;
   peer->role = hello.role;
   peer->name = hello.node_name;
   if (hello.role == NodeRole::Router && !hello.address.empty()) {
@@ -99,16 +100,17 @@
     routers_by_address_.try_emplace(hello.address, peer);
     callbacks_.on_router(hello);
   }
-  // Sidecars are asked as well: when every router restarts while the platform is down, only they still know.
+  // Sidecars are queried as well: if all routers restart while the platform is unavailable, only sidecars
+  // still have the list.
   if (backends_.empty()) peer->connection->send(BackendListRequest{self_.node_name});
   pullIfNewer(*peer, hello.bundle_version);
-  if (hello.role == NodeRole::Sidecar) tellSidecar(*peer, 0);
+  if (hello.role == NodeRole::Sidecar) sendStateToSidecar(*peer, 0);
 }
 
-void PeerFront::onMessage(const std::shared_ptr<Peer>& peer, Message message) {
+void PeerConnections::onMessage(const std::shared_ptr<Peer>& peer, Message message) {
   peer->used_at = clock_.now();
   if (auto* submit = std::get_if<SubmitRequest>(&message)) {
-    // A sidecar that holds a newer bundle has it for this router, too.
+    // A sidecar may have a newer bundle than this router.
     pullIfNewer(*peer, submit->bundle_version);
     callbacks_.on_submit(peer->id, std::move(*submit));
   } else if (auto* cancel = std::get_if<Cancel>(&message)) {
@@ -118,22 +120,22 @@
   }
 }
 
-void PeerFront::onControlMessage(Peer& peer, Message message) {
+void PeerConnections::onControlMessage(Peer& peer, Message message) {
   if (peer.role == NodeRole::Router) counts_.control_bytes_received += encodeFrame(message).size();
   if (auto* ping = std::get_if<Ping>(&message)) {
     pullIfNewer(peer, ping->bundle_version);
-    if (peer.role == NodeRole::Sidecar) return answerSidecarPing(peer, *ping);
+    if (peer.role == NodeRole::Sidecar) return respondToSidecarPing(peer, *ping);
     callbacks_.on_ping(std::move(*ping), peer.address);
   } else if (auto* ack = std::get_if<PingAck>(&message)) {
     pullIfNewer(peer, ack->bundle_version);
     if (peer.role == NodeRole::Router) callbacks_.on_ack(std::move(*ack));
   } else if (const auto* request = std::get_if<BundleRequest>(&message)) {
-    answerBundleRequest(peer, *request);
+    respondToBundleRequest(peer, *request);
   } else if (auto* body = std::get_if<BundleBody>(&message)) {
     if (pulling_from_ == peer.id) pulling_from_ = 0;
-    if (body->version > heldVersion()) callbacks_.on_bundle(std::move(*body));
+    if (body->version > bundleVersion()) callbacks_.on_bundle(std::move(*body));
   } else if (const auto* update = std::get_if<BundleUpdate>(&message)) {
-    takeBundleUpdate(peer, *update);
+    applyBundleUpdate(peer, *update);
   } else if (std::holds_alternative<BackendListRequest>(message)) {
     if (!backends_.empty()) peer.connection->send(BackendList{self_.node_name, backends_});
   } else if (auto* list = std::get_if<BackendList>(&message)) {
@@ -149,23 +151,23 @@
   }
 }
 
-void PeerFront::onClosed(const std::shared_ptr<Peer>& peer) {
+void PeerConnections::onClosed(const std::shared_ptr<Peer>& peer) {
   peers_.erase(peer->id);
   if (pulling_from_ == peer->id) pulling_from_ = 0;
   const auto known = routers_by_address_.find(peer->address);
   if (known != routers_by_address_.end() && known->second == peer) routers_by_address_.erase(known);
-  if (peer->greeted && peer->role == NodeRole::Sidecar) callbacks_.on_sidecar_lost(peer->id);
+  if (peer->hello_received && peer->role == NodeRole::Sidecar) callbacks_.on_sidecar_lost(peer->id);
   reportWhenClosed();
 }
 
-void PeerFront::sendToSidecars(const std::vector<SendToSidecar>& messages) {
+void PeerConnections::sendToSidecars(const std::vector<SendToSidecar>& messages) {
   for (const SendToSidecar& item : messages) {
     const auto peer = peers_.find(item.sidecar);
     if (peer != peers_.end()) peer->second->connection->send(item.message);
   }
 }
 
-void PeerFront::sendToRouter(const std::string& address, const Message& message) {
+void PeerConnections::sendToRouter(const std::string& address, const Message& message) {
   if (stopped_ || address.empty()) return;
   const std::shared_ptr<Peer> peer = connectTo(address);
   peer->used_at = clock_.now();
@@ -173,44 +175,44 @@
   peer->connection->send(message);
 }
 
-void PeerFront::setBundle(std::shared_ptr<const SignedBundle> bundle) {
+void PeerConnections::setBundle(std::shared_ptr<const SignedBundle> bundle) {
   bundles_.setBundle(std::move(bundle));
   for (const auto& [id, peer] : peers_) {
-    if (peer->greeted && peer->role == NodeRole::Sidecar) tellSidecar(*peer, 0);
+    if (peer->hello_received && peer->role == NodeRole::Sidecar) sendStateToSidecar(*peer, 0);
   }
 }
 
-void PeerFront::announceLeaving(const MemberRecord& self) {
+void PeerConnections::announceLeaving(const MemberRecord& self) {
   leaving_ = true;
   leaving_record_ = self;
   for (const auto& [id, peer] : peers_) {
-    if (peer->greeted && peer->role == NodeRole::Sidecar) tellSidecar(*peer, 0);
+    if (peer->hello_received && peer->role == NodeRole::Sidecar) sendStateToSidecar(*peer, 0);
   }
 }
 
-void PeerFront::answerSidecarPing(Peer& peer, const Ping& ping) {
-  tellSidecar(peer, ping.sequence);
+void PeerConnections::respondToSidecarPing(Peer& peer, const Ping& ping) {
+  sendStateToSidecar(peer, ping.sequence);
 }
 
-void PeerFront::tellSidecar(Peer& peer, std::uint64_t sequence) {
+void PeerConnections::sendStateToSidecar(Peer& peer, std::uint64_t sequence) {
   PingAck ack;
   ack.sequence = sequence;
   ack.sender = self_.node_name;
-  ack.bundle_version = heldVersion();
+  ack.bundle_version = bundleVersion();
   if (leaving_) ack.members.push_back(leaving_record_);
-  const std::size_t told = std::min(kRoutersPerAnswer, routers_.size());
-  for (std::size_t count = 0; count < told; ++count) {
-    const MemberRecord& router = routers_[next_router_told_++ % routers_.size()];
+  const std::size_t router_count = std::min(kRoutersPerMessage, routers_.size());
+  for (std::size_t count = 0; count < router_count; ++count) {
+    const MemberRecord& router = routers_[next_router_to_report_++ % routers_.size()];
     if (!leaving_ || router.name != leaving_record_.name) ack.members.push_back(router);
   }
   peer.connection->send(ack);
 }
 
-void PeerFront::answerBundleRequest(Peer& peer, const BundleRequest& request) {
-  if (const std::optional<Message> answer = bundles_.answer(request)) peer.connection->send(*answer);
+void PeerConnections::respondToBundleRequest(Peer& peer, const BundleRequest& request) {
+  if (const std::optional<Message> response = bundles_.answer(request)) peer.connection->send(*response);
 }
 
-void PeerFront::takeBundleUpdate(Peer& peer, const BundleUpdate& update) {
+void PeerConnections::applyBundleUpdate(Peer& peer, const BundleUpdate& update) {
   std::optional<BundleBody> body = bundles_.take(update);
   if (!body && bundles_.needsWholeBody()) {
     peer.connection->send(bundles_.request());
@@ -220,7 +222,7 @@
   if (body) callbacks_.on_bundle(std::move(*body));
 }
 
-void PeerFront::pullIfNewer(Peer& peer, std::uint64_t version) {
+void PeerConnections::pullIfNewer(Peer& peer, std::uint64_t version) {
   const TimePoint now = clock_.now();
   if (!bundles_.wants(version, now)) return;
   const bool pulling = pulling_from_ != 0 && now < pull_ends_ && version <= pulling_version_;
@@ -231,12 +233,12 @@
   peer.connection->send(bundles_.request());
 }
 
-void PeerFront::closeIdle() {
+void PeerConnections::closeIdle() {
   const TimePoint now = clock_.now();
   std::vector<std::shared_ptr<Peer>> idle;
   for (const auto& [id, peer] : peers_) {
-    const bool unused = now - peer->used_at > kIdleLimit;
-    if (peer->greeted && peer->role == NodeRole::Router && unused) idle.push_back(peer);
+    const bool unused = now - peer->used_at > kIdleTimeout;
+    if (peer->hello_received && peer->role == NodeRole::Router && unused) idle.push_back(peer);
   }
   for (const std::shared_ptr<Peer>& peer : idle) peer->connection->close(true);
   idle_timer_.expires_after(kIdleCheckInterval);
@@ -245,7 +247,7 @@
   });
 }
 
-void PeerFront::stop(std::function<void()> on_closed) {
+void PeerConnections::stop(std::function<void()> on_closed) {
   stopped_ = true;
   on_closed_ = std::move(on_closed);
   idle_timer_.cancel();
@@ -254,14 +256,14 @@
   reportWhenClosed();
 }
 
-void PeerFront::reportWhenClosed() {
+void PeerConnections::reportWhenClosed() {
   if (peers_.empty() && on_closed_) std::exchange(on_closed_, nullptr)();
 }
 
-PeerFrontCounts PeerFront::counts() const {
-  PeerFrontCounts counts = counts_;
+PeerConnectionCounts PeerConnections::counts() const {
+  PeerConnectionCounts counts = counts_;
   for (const auto& [id, peer] : peers_) {
-    if (!peer->greeted) continue;
+    if (!peer->hello_received) continue;
     ++(peer->role == NodeRole::Sidecar ? counts.sidecars : counts.routers);
   }
   return counts;
--- a/src/router_process/control_connection.cc
+++ b/src/router_process/control_connection.cc
@@ -15,7 +15,7 @@
   return hello;
 }
 
-void connectControl(PeerFrontCallbacks& callbacks, boost::asio::io_context& context,
+void connectControl(PeerConnectionCallbacks& callbacks, boost::asio::io_context& context,
                     const std::unique_ptr<ControlThread>& control) {
   const auto hand_on = [&context, &control](auto handler) {
     return [&context, &control, handler](auto&& message) {
--- a/src/router_process/control_thread.cc
+++ b/src/router_process/control_thread.cc
@@ -312,7 +312,7 @@
 void ControlThread::announceEngines() {
   for (const EngineRecord& record : table_.takeAnnouncements()) membership_->announceEngine(record, now());
   const std::vector<EngineRecord> urgent = table_.takeUrgentAnnouncements();
-  for (const EngineRecord& record : urgent) membership_->announceEngineAtOnce(record, now());
+  for (const EngineRecord& record : urgent) membership_->announceEngineDirectly(record, now());
   if (urgent.empty()) return;
   sendGossip();
   armMembershipTimer();
--- a/src/router_process/control_thread.h
+++ b/src/router_process/control_thread.h
@@ -11,7 +11,7 @@
 #include "bundle/bundle.h"
 #include "membership/membership.h"
 #include "router/engine_table.h"
-#include "router_peer/peer_front.h"
+#include "router_peer/peer_connections.h"
 #include "router_process/backend_poller.h"
 #include "router_process/cache_event_feed.h"
 #include "router_process/claim_group_driver.h"
@@ -26,7 +26,7 @@
 /// The front with the thread that it lives on.
 struct FrontThread {
   EventLoopThread thread;
-  std::unique_ptr<PeerFront> front;
+  std::unique_ptr<PeerConnections> front;
 };
 
 /// What /status shows of the control state.
@@ -131,7 +131,7 @@
 
 /// Makes a front hand every control message to the control state, on the control state's loop.
 /// @param control filled before the first message; must outlive the front.
-void connectControl(PeerFrontCallbacks& callbacks, boost::asio::io_context& context,
+void connectControl(PeerConnectionCallbacks& callbacks, boost::asio::io_context& context,
                     const std::unique_ptr<ControlThread>& control);
 
 }  // namespace crankspur
--- a/src/router_process/router_admin.cc
+++ b/src/router_process/router_admin.cc
@@ -178,7 +178,7 @@
   });
 }
 
-void RouterAdmin::setGauges(const PeerFrontCounts& counts) {
+void RouterAdmin::setGauges(const PeerConnectionCounts& counts) {
   const ControlStatus status = control_.status();
   metrics_.control_bytes_sent.Set(static_cast<double>(counts.control_bytes_sent));
   metrics_.control_bytes_received.Set(static_cast<double>(counts.control_bytes_received));
--- a/src/router_process/router_admin.h
+++ b/src/router_process/router_admin.h
@@ -26,7 +26,7 @@
   void respondStatus(const Writer& writer);
   void explain(const std::string& request_id, std::size_t shard, const Writer& writer);
   void refreshGauges();
-  void setGauges(const PeerFrontCounts& counts);
+  void setGauges(const PeerConnectionCounts& counts);
   std::size_t inFlight() const;
 
   boost::asio::io_context& context_;
--- a/src/router_process/router_process.cc
+++ b/src/router_process/router_process.cc
@@ -113,8 +113,8 @@
   }
 
   bool listenForPeers() {
-    front_.front = std::make_unique<PeerFront>(front_.thread.executor(), routerHello(settings_, incarnation_),
-                                               frontCallbacks());
+    front_.front = std::make_unique<PeerConnections>(front_.thread.executor(),
+                                                     routerHello(settings_, incarnation_), frontCallbacks());
     if (const std::error_code error = front_.front->listen(settings_.listen)) {
       refuseAddress("listen", settings_.listen, error);
       return false;
@@ -122,12 +122,12 @@
     if (settings_.advertise.empty()) {
       settings_.advertise = withPort(settings_.listen, front_.front->port());
     }
-    front_.front->setAdvertised(settings_.advertise);
+    front_.front->setAdvertisedAddress(settings_.advertise);
     return true;
   }
 
-  PeerFrontCallbacks frontCallbacks() {
-    PeerFrontCallbacks callbacks;
+  PeerConnectionCallbacks frontCallbacks() {
+    PeerConnectionCallbacks callbacks;
     callbacks.on_submit = [this](SidecarId sidecar, SubmitRequest request) {
       TrafficShard& shard = shardOf(request);
       shard.postSubmit(sidecar, std::move(request));
--- a/tests/sim/claim/claim_group_world.cc
+++ b/tests/sim/claim/claim_group_world.cc
@@ -79,7 +79,7 @@
     ClaimantState& claimant = world_.claimants[static_cast<std::size_t>(envelope_.from)];
     if (claimant.claim->outcome()) return;
     claimant.ballots.insert(ballotDigest(ballot));
-    claimant.claim->onBallot(ballot, kNow);
+    claimant.claim->onReply(ballot, kNow);
   }
   void operator()(const ClaimRelease& release) { member().voter.onRelease(release); }
   void operator()(const ClaimSeal& seal) {
@@ -278,7 +278,7 @@
       if (world_.changes[number].heard.contains(mark)) continue;
       World& after = add();
       after.changes[number].heard.insert(mark);
-      after.changes[number].change->onMemberGone(member);
+      after.changes[number].change->onMemberStopped(member);
     }
   }
 
--- a/tests/unit/claim/claim_group_service_test.cc
+++ b/tests/unit/claim/claim_group_service_test.cc
@@ -12,7 +12,7 @@
 
 constexpr Duration kLifetime = minutes(1);
 
-/// Routers that reach each other at once, and a table.
+/// Routers that exchange messages without delay, and a table service.
 struct Group {
   TimePoint now{seconds(1000)};
   std::map<std::string, std::unique_ptr<ClaimGroupService>> routers;
@@ -42,23 +42,23 @@
         ++rank;
         router->tick(now);
       }
-      settle();
+      deliverAll();
     }
   }
 
-  void settle() {
-    for (bool moved = true; moved;) {
-      moved = false;
+  void deliverAll() {
+    for (bool progressed = true; progressed;) {
+      progressed = false;
       for (const auto& [name, router] : routers) {
         for (const ClaimGroupAction& action : router->takeActions()) {
-          perform(name, action);
-          moved = true;
+          execute(name, action);
+          progressed = true;
         }
       }
     }
   }
 
-  void perform(const std::string& name, const ClaimGroupAction& action) {
+  void execute(const std::string& name, const ClaimGroupAction& action) {
     ClaimGroupService& router = *routers.at(name);
     if (const auto* send = std::get_if<SendClaimMessage>(&action)) {
       const auto to = routers.find(send->address);
@@ -84,13 +84,13 @@
     }
   }
 
-  /// Claims the key at the router. @return the decision.
+  /// Claims the key through the router. @return the decision.
   GroupClaimDecision claim(const std::string& name, const std::string& key,
                            const std::string& body_hash = "hash") {
     const std::uint64_t id = ++next_claim_;
     const std::string token = name + std::to_string(id);
     routers.at(name)->begin({id, key, token, body_hash, now + seconds(4)}, now);
-    settle();
+    deliverAll();
     for (int tenths = 0; tenths < 50 && !decisions.contains(id); ++tenths) run(milliseconds(100));
     REQUIRE(decisions.contains(id));
     return decisions.at(id);
@@ -101,10 +101,10 @@
     for (const ClaimGroupMember& member : row.members) names.push_back(member.address);
     return names;
   }
-  std::string outsider() const {
+  std::string nonMember() const {
     for (const auto& [name, router] : routers) {
-      const std::vector<std::string> inside = members();
-      if (std::find(inside.begin(), inside.end(), name) == inside.end()) return name;
+      const std::vector<std::string> member_names = members();
+      if (std::find(member_names.begin(), member_names.end(), name) == member_names.end()) return name;
     }
     return {};
   }
@@ -115,23 +115,23 @@
 
 }  // namespace
 
-TEST_CASE("a group begins where the operators wish for one, and not elsewhere", "[claim]") {
-  Group wanted;
-  CHECK(wanted.routers.at("a")->inForce());  // Until the table has said that there is none.
-  wanted.run(seconds(8));
-  CHECK(wanted.row.epoch == 1);
-  CHECK(wanted.row.members.size() == 3);
-  for (const auto& [name, router] : wanted.routers) CHECK(router->status(wanted.now).row.epoch == 1);
-  Group unwanted(0);
-  unwanted.run(seconds(8));
-  CHECK(unwanted.row.epoch == 0);
-  CHECK_FALSE(unwanted.routers.at("a")->inForce());
+TEST_CASE("a group is created only where the operators configure one", "[claim]") {
+  Group configured;
+  CHECK(configured.routers.at("a")->inForce());  // Assumed until the table shows that there is none.
+  configured.run(seconds(8));
+  CHECK(configured.row.epoch == 1);
+  CHECK(configured.row.members.size() == 3);
+  for (const auto& [name, router] : configured.routers) CHECK(router->status(configured.now).row.epoch == 1);
+  Group unconfigured(0);
+  unconfigured.run(seconds(8));
+  CHECK(unconfigured.row.epoch == 0);
+  CHECK_FALSE(unconfigured.routers.at("a")->inForce());
 }
 
-TEST_CASE("a claim goes to one claimant, and a duplicate gets the recorded answer", "[claim]") {
+TEST_CASE("a claim is granted to one claimant and a duplicate receives the recorded response", "[claim]") {
   Group group;
   group.run(seconds(8));
-  CHECK(group.claim(group.outsider(), "early").kind == Kind::GrantedForTable);
+  CHECK(group.claim(group.nonMember(), "early").kind == Kind::GrantedForTable);
   group.run(minutes(2));
   group.table_up = false;
   group.run(seconds(5));
@@ -140,18 +140,19 @@
   CHECK(group.claim("b", "key").kind == Kind::HeldByOther);
   CHECK(group.claim("b", "key", "else").kind == Kind::KeyReused);
   group.routers.at("a")->record({"key", won.token, true, true, "ok 17", false}, group.now);
-  group.settle();
+  group.deliverAll();
   const GroupClaimDecision again = group.claim("c", "key");
   CHECK(again.kind == Kind::AlreadyDone);
   CHECK(again.result == "ok 17");
-  // Given back, the key is free again.
+  // A released key can be claimed again.
   const GroupClaimDecision other = group.claim("a", "other");
   group.routers.at("a")->release("other", other.token, group.now);
-  group.settle();
+  group.deliverAll();
   CHECK(group.claim("d", "other").kind == Kind::Granted);
 }
 
-TEST_CASE("a restarted member is replaced and every claim is carried into epoch and table", "[claim]") {
+TEST_CASE("a restarted member is replaced and all claims are carried into the new epoch and the table",
+          "[claim]") {
   Group group;
   group.run(minutes(2));
   group.table_up = false;
@@ -160,9 +161,9 @@
   REQUIRE(won.kind == Kind::Granted);
   group.start(group.members()[0]);
   group.run(seconds(10));
-  CHECK(group.row.epoch == 1);  // Without the table no epoch begins.
+  CHECK(group.row.epoch == 1);  // No epoch begins while the table is unavailable.
   CHECK(group.claim("d", "key").kind == Kind::HeldByOther);
-  CHECK(group.claim("d", "next").kind == Kind::Granted);  // Two of three live.
+  CHECK(group.claim("d", "next").kind == Kind::Granted);  // Two of three members still vote.
   group.table_up = true;
   group.run(seconds(15));
   CHECK(group.row.epoch == 2);
@@ -171,7 +172,7 @@
   CHECK(group.claim("d", "last").kind == Kind::Granted);  // The coverage is inherited.
 }
 
-TEST_CASE("a group whose majority restarted refuses until every key it may have granted is too old",
+TEST_CASE("a group whose majority restarted rejects claims until all keys it may have granted have expired",
           "[claim]") {
   Group group;
   group.run(minutes(2));
@@ -186,21 +187,22 @@
   CHECK(group.claim("a", "key").kind == Kind::Granted);
 }
 
-TEST_CASE("a restarted router that finds the table down learns of the group from its peers", "[claim]") {
+TEST_CASE("a router that restarts while the table is down receives the group's row from its peers",
+          "[claim]") {
   Group group;
   group.run(minutes(2));
   group.table_up = false;
-  const std::string outsider = group.outsider();
-  group.start(outsider);
-  CHECK(group.routers.at(outsider)->inForce());
-  CHECK(group.claim(outsider, "key").kind == Kind::Granted);
+  const std::string nonMember = group.nonMember();
+  group.start(nonMember);
+  CHECK(group.routers.at(nonMember)->inForce());
+  CHECK(group.claim(nonMember, "key").kind == Kind::Granted);
 }
 
-TEST_CASE("a voter without room gives neither a vote nor a word about a holder", "[claim]") {
+TEST_CASE("a voter at capacity replies with neither a vote nor a holder", "[claim]") {
   ClaimVoter voter({"a", 1}, kLifetime);
   const TimePoint now{seconds(1000)};
   REQUIRE(voter.onInstall({{1, {{"a", 1}}, "first", 1}, kLifetime, Duration{0}, {}}, now));
-  for (std::size_t count = 0; count < kMaximumClaimVotes; ++count) {
+  for (std::size_t count = 0; count < kMaxClaimVotes; ++count) {
     REQUIRE(voter.onPrepare({1, std::to_string(count), "token"}, now).granted);
   }
   const ClaimReply reply = voter.onPrepare({1, "one more", "token"}, now);
@@ -211,7 +213,7 @@
   CHECK(voter.onPrepare({1, "one more", "token"}, now + 3 * kLifetime).granted);
 }
 
-TEST_CASE("a longer lifetime of keys must be covered anew", "[claim]") {
+TEST_CASE("coverage of a longer key lifetime builds up only after the change", "[claim]") {
   ClaimVoter voter({"a", 1}, kLifetime);
   const TimePoint now{seconds(1000)};
   REQUIRE(voter.onInstall({{1, {{"a", 1}}, "first", 1}, Duration{0}, Duration{0}, {}}, now));
@@ -221,18 +223,18 @@
   CHECK(voter.covered(now + 18 * kLifetime) == 10 * kLifetime);
 }
 
-TEST_CASE("more claims than the new members can hold are left to the table", "[claim]") {
+TEST_CASE("more claims than the new members can store are kept in the table only", "[claim]") {
   const ClaimGroupRow row{1, {{"a", 1}, {"b", 1}, {"c", 1}}, "first", 1};
   ClaimEpochChange change(row, row.members, "next", kLifetime);
   for (const char* name : {"a", "b"}) {
     ClaimSealed sealed{1, {name, 1}, true, kLifetime, {}};
-    for (std::size_t count = 0; count < kMaximumClaimVotes; ++count) {
+    for (std::size_t count = 0; count < kMaxClaimVotes; ++count) {
       sealed.votes.push_back(ClaimVote{name + std::to_string(count), "token"});
     }
     change.onSealed(sealed);
   }
   REQUIRE(change.step() == EpochStep::WriteClaims);
-  CHECK(change.carried().size() == 2 * kMaximumClaimVotes);
+  CHECK(change.carried().size() == 2 * kMaxClaimVotes);
   CHECK(change.install().carried.empty());
   CHECK(change.install().covered == Duration{0});
 }
--- a/tests/unit/claim/claim_test.cc
+++ b/tests/unit/claim/claim_test.cc
@@ -15,7 +15,7 @@
 
 const TimePoint kStart{seconds(100)};
 
-/// One row of the table service, with its compare-and-set.
+/// One row of the table service with compare-and-set.
 struct Table {
   ClaimRow row;
 
@@ -28,7 +28,7 @@
   }
 };
 
-/// A claim and the table it works on.
+/// A claim and the table that it operates on.
 struct Claimant {
   Table& table;
   std::unique_ptr<Claim> claim;
@@ -37,11 +37,11 @@
   Claimant(Table& shared, const std::string& token, const std::string& body = "body")
       : table(shared), claim(makeClaim("key", token, kStart + seconds(2), 1, body)) {}
 
-  /// Carries out what is due until nothing is, moving time to the claim's timers up to `until`.
+  /// Executes all due operations, advancing time to the claim's timers up to `until`.
   void run(TimePoint until) {
     while (true) {
       if (const auto action = claim->poll(now)) {
-        answer(*action);
+        respond(*action);
       } else if (claim->nextTimer() <= until) {
         now = std::max(now, claim->nextTimer());
       } else {
@@ -49,7 +49,7 @@
       }
     }
   }
-  void answer(const ClaimAction& action) {
+  void respond(const ClaimAction& action) {
     if (action.kind == ClaimAction::Kind::Read) return claim->onRead(table.row, now);
     const bool committed = table.write(action);
     claim->onWritten(committed, now, committed ? table.row.row_version : 0);
@@ -63,22 +63,22 @@
 
 }  // namespace
 
-TEST_CASE("a claim is granted once; its record answers every later claimant", "[claim]") {
+TEST_CASE("a claim is granted once and later claimants receive the recorded response", "[claim]") {
   Table table;
   Claimant first(table, "a");
   REQUIRE(first.outcome() == Kind::Granted);
-  Claimant during(table, "b");
-  CHECK(during.outcome() == Kind::HeldByOther);
-  CHECK(during.now - kStart >= seconds(1));  // The holder is given a moment to finish.
+  Claimant concurrent(table, "b");
+  CHECK(concurrent.outcome() == Kind::HeldByOther);
+  CHECK(concurrent.now - kStart >= seconds(1));  // The holder is given time to finish.
   first.claim->complete("the answer", first.now);
   first.run(kStart + seconds(10));
-  CHECK(first.claim->settled());
+  CHECK(first.claim->isFinished());
   Claimant later(table, "c");
   CHECK(later.outcome() == Kind::AlreadyDone);
   CHECK(later.claim->outcome()->result == "the answer");
 }
 
-TEST_CASE("the same key with other content is told apart", "[claim]") {
+TEST_CASE("a key reused with different content is rejected", "[claim]") {
   Table table;
   Claimant first(table, "a", "one keel");
   REQUIRE(first.outcome() == Kind::Granted);
@@ -88,22 +88,22 @@
   CHECK(Claimant(table, "c", "two keels").outcome() == Kind::KeyReused);
 }
 
-TEST_CASE("a claim write whose answer was lost is read back", "[claim]") {
+TEST_CASE("the row is read back after the response to a claim write was lost", "[claim]") {
   Table table;
   Claimant claimant(table, "a");
   const auto write = claimant.claim->poll(kStart);
   REQUIRE(write);
-  SECTION("it took effect: granted by the token") {
+  SECTION("it committed: granted by the token") {
     table.write(*write);
     claimant.claim->onFailed(kStart);
     CHECK(claimant.outcome() == Kind::Granted);
   }
-  SECTION("it did not: written again") {
+  SECTION("it did not commit: written again") {
     claimant.claim->onFailed(kStart);
     CHECK(claimant.outcome() == Kind::Granted);
-    CHECK_FALSE(table.write(*write));  // The first one arrives late and is void.
+    CHECK_FALSE(table.write(*write));  // The delayed first write fails its condition.
   }
-  SECTION("another claimant came first") {
+  SECTION("another claimant wrote first") {
     claimant.claim->onFailed(kStart);
     Claimant other(table, "b");
     REQUIRE(other.outcome() == Kind::Granted);
@@ -111,35 +111,35 @@
   }
 }
 
-TEST_CASE("a grant that arrives after the deadline is no grant and is released", "[claim]") {
+TEST_CASE("a grant that arrives after the deadline is not used and is released", "[claim]") {
   Table table;
   Claimant paused(table, "a");
   const auto write = paused.claim->poll(kStart);
   REQUIRE(table.write(*write));
   paused.now = kStart + seconds(3);
-  SECTION("as an answer") {
+  SECTION("as a response") {
     paused.claim->onWritten(true, paused.now, 1);
   }
-  SECTION("as a lost answer") {
+  SECTION("as a lost response") {
     paused.claim->onFailed(paused.now);
   }
   REQUIRE(paused.claim->outcome());
   CHECK(paused.claim->outcome()->kind == Kind::Unavailable);
   paused.claim->release(paused.now);
   paused.run(kStart + seconds(60));
-  CHECK(paused.claim->settled());
+  CHECK(paused.claim->isFinished());
   CHECK(table.row.phase == Phase::Released);
   CHECK(Claimant(table, "b").outcome() == Kind::Granted);
 }
 
-TEST_CASE("a release also voids a claim write that is still on its way", "[claim]") {
+TEST_CASE("a release invalidates a claim write that is still in flight", "[claim]") {
   Table table;
   table.row = GENERATE(ClaimRow{}, ClaimRow{Phase::Released, "older", "body", "", 4});
   Claimant claimant(table, "a");
   std::optional<ClaimAction> write = claimant.claim->poll(kStart);
   if (table.row.row_version != 0) {
-    claimant.answer(*write);  // Not absent: refused, then read.
-    claimant.answer(*claimant.claim->poll(kStart));
+    claimant.respond(*write);  // The row is not absent: the write fails, then the row is read.
+    claimant.respond(*claimant.claim->poll(kStart));
     write = claimant.claim->poll(kStart);
   }
   REQUIRE(write);
@@ -147,12 +147,12 @@
   REQUIRE(claimant.claim->outcome()->kind == Kind::Unavailable);
   claimant.claim->release(kStart + seconds(2));
   claimant.run(kStart + seconds(60));
-  CHECK(claimant.claim->settled());
+  CHECK(claimant.claim->isFinished());
   CHECK_FALSE(table.write(*write));
   CHECK(Claimant(table, "b").outcome() == Kind::Granted);
 }
 
-TEST_CASE("while the table is down a claim is Unavailable at its deadline, not later", "[claim]") {
+TEST_CASE("a claim is Unavailable exactly at its deadline while the table is down", "[claim]") {
   Table table;
   Claimant claimant(table, "a");
   while (!claimant.claim->outcome()) {
@@ -168,43 +168,43 @@
   CHECK(claimKey("a%2Fb", "c") != claimKey("a/b", "c"));
 }
 
-TEST_CASE("random schedules of losses, late writes and pauses never run one key twice", "[claim]") {
+TEST_CASE("random schedules of lost responses, delayed writes and pauses never run a key twice", "[claim]") {
   constexpr int kClaimants = 3;
   for (std::uint64_t seed = 0; seed < 3000; ++seed) {
     RandomSource random(seed);
     Table table;
     std::vector<Claimant> claimants;
     for (int i = 0; i < kClaimants; ++i) claimants.emplace_back(table, "t" + std::to_string(i));
-    std::vector<std::optional<ClaimAction>> waiting(kClaimants);
-    std::vector<ClaimAction> late;  // Writes given up on that are still on their way.
+    std::vector<std::optional<ClaimAction>> pending(kClaimants);
+    std::vector<ClaimAction> delayed_writes;  // Abandoned writes that are still in flight.
     std::vector<bool> ran(kClaimants, false);
-    std::vector<bool> told_not_run(kClaimants, false);
+    std::vector<bool> reported_not_run(kClaimants, false);
     for (int step = 0; step < 80; ++step) {
-      const auto who = static_cast<std::size_t>(random.uniform(0, kClaimants - 1));
-      Claimant& claimant = claimants[who];
+      const auto index = static_cast<std::size_t>(random.uniform(0, kClaimants - 1));
+      Claimant& claimant = claimants[index];
       claimant.now += milliseconds(random.uniform(0, 200));
-      if (!late.empty() && random.chance(0.2)) {
-        table.write(late.back());
-        late.pop_back();
+      if (!delayed_writes.empty() && random.chance(0.2)) {
+        table.write(delayed_writes.back());
+        delayed_writes.pop_back();
       }
-      if (!waiting[who]) waiting[who] = claimant.claim->poll(claimant.now);
-      if (!waiting[who] || random.chance(0.3)) continue;
-      const ClaimAction action = *std::exchange(waiting[who], std::nullopt);
+      if (!pending[index]) pending[index] = claimant.claim->poll(claimant.now);
+      if (!pending[index] || random.chance(0.3)) continue;
+      const ClaimAction action = *std::exchange(pending[index], std::nullopt);
       const bool is_write = action.kind == ClaimAction::Kind::CompareAndSet;
       if (random.chance(0.3)) {
         if (is_write && random.chance(0.5)) table.write(action);
-        if (is_write && random.chance(0.5)) late.push_back(action);
+        if (is_write && random.chance(0.5)) delayed_writes.push_back(action);
         claimant.claim->onFailed(claimant.now);
       } else {
-        claimant.answer(action);
+        claimant.respond(action);
       }
       const auto outcome = claimant.claim->outcome();
-      if (!outcome || ran[who] || told_not_run[who]) continue;
+      if (!outcome || ran[index] || reported_not_run[index]) continue;
       if (outcome->kind == Kind::Granted) {
-        ran[who] = true;
-        claimant.claim->complete("r" + std::to_string(who), claimant.now);
+        ran[index] = true;
+        claimant.claim->complete("r" + std::to_string(index), claimant.now);
       } else if (outcome->kind == Kind::Unavailable) {
-        told_not_run[who] = true;
+        reported_not_run[index] = true;
         claimant.claim->release(claimant.now);
       }
     }
--- a/tests/unit/membership/direct_facts_test.cc
+++ b/tests/unit/membership/direct_broadcast_test.cc
@@ -1,4 +1,4 @@
-#include "membership/direct_facts.h"
+#include "membership/direct_broadcast.h"
 
 #include <fmt/format.h>
 
@@ -25,7 +25,7 @@
   return record;
 }
 
-/// Node 0 of the fleet, which knows all others from the machine list.
+/// Node 0, with all other nodes seeded from the machine list.
 std::unique_ptr<Membership> makeNode() {
   auto node = makeMembership(router(0), {}, 1, kStart);
   std::vector<MemberRecord> machines;
@@ -35,8 +35,8 @@
   return node;
 }
 
-/// @return receivers of messages that carry the engine's fact.
-std::set<std::string> told(Membership& node, const std::string& engine) {
+/// @return receivers of direct messages that carry a record of the engine.
+std::set<std::string> receiversOf(Membership& node, const std::string& engine) {
   std::set<std::string> receivers;
   for (const OutgoingGossip& gossip : node.takeOutgoing()) {
     const auto* message = std::get_if<PingAck>(&gossip.message);
@@ -50,26 +50,26 @@
 
 }  // namespace
 
-TEST_CASE("a fact that is announced at once goes to the whole region and to two of each other",
+TEST_CASE("a directly announced record is sent to all of the region and two members of each other region",
           "[direct_facts]") {
   const auto node = makeNode();
-  node->announceEngineAtOnce({"engine-1", 7, true, false}, kStart);
+  node->announceEngineDirectly({"engine-1", 7, true, false}, kStart);
   std::map<std::string, int> by_region;
-  for (const std::string& name : told(*node, "engine-1")) {
+  for (const std::string& name : receiversOf(*node, "engine-1")) {
     ++by_region[router(std::stoi(name.substr(name.find('-') + 1))).region];
   }
   CHECK(by_region["region-0"] == kRouters / kRegions - 1);
   for (const char* region : {"region-1", "region-2", "region-3"}) CHECK(by_region[region] == 2);
 }
 
-TEST_CASE("facts that follow wait for the byte rate and then go together", "[direct_facts]") {
+TEST_CASE("further records wait for the byte rate and are then sent in one message", "[direct_facts]") {
   const auto node = makeNode();
-  node->announceEngineAtOnce({"engine-1", 7, true, false}, kStart);
+  node->announceEngineDirectly({"engine-1", 7, true, false}, kStart);
   node->takeOutgoing();
-  node->announceEngineAtOnce({"engine-2", 7, true, false}, kStart + 10ms);
-  node->announceEngineAtOnce({"engine-3", 7, true, false}, kStart + 20ms);
-  CHECK(told(*node, "engine-2").empty());
-  // 90 receivers of one record each take 3 s of 4,000 bytes a second.
+  node->announceEngineDirectly({"engine-2", 7, true, false}, kStart + 10ms);
+  node->announceEngineDirectly({"engine-3", 7, true, false}, kStart + 20ms);
+  CHECK(receiversOf(*node, "engine-2").empty());
+  // One record to 90 receivers uses 3 s of the rate of 4,000 bytes per second.
   TimePoint now = kStart + 20ms;
   std::set<std::string> second;
   while (second.empty() && now < kStart + 10s) {
@@ -85,7 +85,7 @@
   CHECK(now - kStart < 4s);
 }
 
-TEST_CASE("a receiver takes the fact and spreads it", "[direct_facts]") {
+TEST_CASE("a receiver applies the record and disseminates it", "[direct_facts]") {
   const auto receiver = makeMembership(router(1), {}, 2, kStart);
   receiver->seed({router(0)}, kStart);
   PingAck message;
@@ -96,9 +96,10 @@
   REQUIRE(changes.size() == 1);
   CHECK(changes[0].leaving);
   receiver->onTimer(kStart);
-  bool spread = false;
+  bool disseminated = false;
   for (const OutgoingGossip& gossip : receiver->takeOutgoing()) {
-    if (const auto* ping = std::get_if<Ping>(&gossip.message)) spread = spread || !ping->engines.empty();
+    if (const auto* ping = std::get_if<Ping>(&gossip.message))
+      disseminated = disseminated || !ping->engines.empty();
   }
-  CHECK(spread);
+  CHECK(disseminated);
 }
--- a/tests/unit/membership/membership_test.cc
+++ b/tests/unit/membership/membership_test.cc
@@ -8,7 +8,7 @@
 #include <optional>
 #include <set>
 
-#include "membership/engine_facts.h"
+#include "membership/engine_record_table.h"
 #include "membership/state_exchange.h"
 
 using namespace crankspur;
@@ -38,7 +38,7 @@
   Membership& node(const std::string& name) { return *nodes_.at(name); }
   TimePoint now() const { return now_; }
 
-  /// Runs until the condition holds or `limit` has passed. @return the time it took.
+  /// Runs until the condition holds or `limit` has passed. @return the elapsed time if the condition held.
   std::optional<Duration> runUntil(Duration limit, const std::function<bool()>& condition) {
     const TimePoint start = now_;
     while (now_ - start < limit) {
@@ -51,24 +51,24 @@
     runUntil(time, [] { return false; });
   }
   bool allSee(const std::function<bool(const MemberRecord&)>& counts, std::size_t wanted) {
-    const auto sees = [&](const Membership& node) {
+    const auto passes = [&](const Membership& node) {
       std::size_t seen = 0;
       for (const MemberRecord& member : node.liveMembers()) seen += counts(member) ? 1 : 0;
       return seen == wanted;
     };
-    // The node that did not see it last time is most likely the one that still does not.
-    const auto doubted = nodes_.find(doubted_);
-    if (doubted != nodes_.end() && !sees(*doubted->second)) return false;
-    const auto blind =
-        std::find_if(nodes_.begin(), nodes_.end(), [&](const auto& node) { return !sees(*node.second); });
-    if (blind != nodes_.end()) doubted_ = blind->first;
-    return blind == nodes_.end();
+    // The node that failed the last check most likely still fails it, so it is checked first.
+    const auto last_failed = nodes_.find(last_failed_);
+    if (last_failed != nodes_.end() && !passes(*last_failed->second)) return false;
+    const auto failed =
+        std::find_if(nodes_.begin(), nodes_.end(), [&](const auto& node) { return !passes(*node.second); });
+    if (failed != nodes_.end()) last_failed_ = failed->first;
+    return failed == nodes_.end();
   }
   bool allSeeLive(std::size_t wanted) {
     return allSee([](const MemberRecord& member) { return member.state == MemberState::Alive; }, wanted);
   }
 
-  std::function<bool(const std::string& from, const std::string& to)> cut = [](auto&, auto&) {
+  std::function<bool(const std::string& from, const std::string& to)> is_blocked = [](auto&, auto&) {
     return false;
   };
   std::size_t messages = 0;
@@ -105,7 +105,7 @@
       };
       std::visit(measure, gossip.message);
       ++messages;
-      if (!cut(from, gossip.member)) deliveries_.push_back({now_ + kDelay, from, std::move(gossip)});
+      if (!is_blocked(from, gossip.member)) deliveries_.push_back({now_ + kDelay, from, std::move(gossip)});
     }
   }
   void setTimer(const std::string& name, TimePoint at) {
@@ -150,9 +150,9 @@
   std::map<std::string, std::unique_ptr<Membership>> nodes_;
   std::map<std::string, std::string> zones_;
   std::map<std::string, TimePoint> timers_;
-  std::set<std::pair<TimePoint, std::string>> due_;  ///< The same timers in the order of their times.
-  std::deque<Delivery> deliveries_;  ///< All take equally long, so the first sent is the first.
-  std::string doubted_;
+  std::set<std::pair<TimePoint, std::string>> due_;  ///< The timers, ordered by time.
+  std::deque<Delivery> deliveries_;  ///< The delay is constant, so they are in order of arrival.
+  std::string last_failed_;
 };
 
 std::string nameOf(int index) {
@@ -168,19 +168,19 @@
 
 }  // namespace
 
-TEST_CASE("forty nodes that know one seed find each other", "[membership]") {
+TEST_CASE("forty nodes with one seed discover each other", "[membership]") {
   VirtualNetwork network;
   startAll(network, 40);
   CHECK(network.runUntil(30s, [&] { return network.allSeeLive(40); }).has_value());
 }
 
-TEST_CASE("a node that starts before its seed joins soon after the seed is there", "[membership]") {
+TEST_CASE("a node that starts before its seed joins soon after the seed becomes reachable", "[membership]") {
   MembershipOptions options;
   options.join_interval = 100ms;
   VirtualNetwork network(options);
   network.start("b", "z1", {});
   bool seed_is_up = false;
-  network.cut = [&seed_is_up](auto&, auto&) { return !seed_is_up; };
+  network.is_blocked = [&seed_is_up](auto&, auto&) { return !seed_is_up; };
   network.start("a", "z1", {"b"});
   network.run(230ms);
   seed_is_up = true;
@@ -190,7 +190,7 @@
   CHECK(*time < 150ms);
 }
 
-TEST_CASE("a killed node becomes dead to all and its restart is taken as new", "[membership]") {
+TEST_CASE("a killed node becomes dead at all nodes and rejoins after its restart", "[membership]") {
   VirtualNetwork network;
   startAll(network, 20);
   REQUIRE(network.runUntil(30s, [&] { return network.allSeeLive(20); }));
@@ -204,16 +204,17 @@
   CHECK(network.runUntil(30s, [&] { return network.allSeeLive(20); }).has_value());
 }
 
-TEST_CASE("parted halves take each other for dead and rejoin after an hour without a storm", "[membership]") {
+TEST_CASE("partitioned halves mark each other dead and rejoin after an hour within the traffic limit",
+          "[membership]") {
   VirtualNetwork network;
   startAll(network, 24);
   REQUIRE(network.runUntil(30s, [&] { return network.allSeeLive(24); }));
   const auto half = [](const std::string& name) { return std::stoi(name.substr(7)) % 2; };
-  network.cut = [&](const std::string& from, const std::string& to) { return half(from) != half(to); };
+  network.is_blocked = [&](const std::string& from, const std::string& to) { return half(from) != half(to); };
   REQUIRE(network.runUntil(60s, [&] { return network.allSeeLive(12); }));
   network.run(1h);
   CHECK(network.allSeeLive(12));
-  network.cut = [](auto&, auto&) { return false; };
+  network.is_blocked = [](auto&, auto&) { return false; };
   network.bytes = 0;
   const auto time = network.runUntil(3min, [&] { return network.allSeeLive(24); });
   REQUIRE(time.has_value());
@@ -221,7 +222,7 @@
   CHECK(bytes_per_node < 18'000);
 }
 
-TEST_CASE("a falsely suspected node refutes and stays alive", "[membership]") {
+TEST_CASE("a falsely suspected node refutes the suspicion and stays alive", "[membership]") {
   VirtualNetwork network;
   startAll(network, 10);
   REQUIRE(network.runUntil(30s, [&] { return network.allSeeLive(10); }));
@@ -229,11 +230,12 @@
   for (const MemberRecord& member : network.node(nameOf(1)).liveMembers()) {
     if (member.name == nameOf(3)) incarnation = member.incarnation;
   }
-  Ping rumour;
-  rumour.sender = nameOf(2);
-  rumour.target = nameOf(1);
-  rumour.members.push_back({nameOf(3), nameOf(3), zoneOf(3), "region", incarnation, MemberState::Suspect, 0});
-  network.node(nameOf(1)).onPing(rumour, nameOf(2), network.now());
+  Ping false_suspicion;
+  false_suspicion.sender = nameOf(2);
+  false_suspicion.target = nameOf(1);
+  false_suspicion.members.push_back(
+      {nameOf(3), nameOf(3), zoneOf(3), "region", incarnation, MemberState::Suspect, 0});
+  network.node(nameOf(1)).onPing(false_suspicion, nameOf(2), network.now());
   const auto refuted = [&](const MemberRecord& member) {
     return member.name == nameOf(3) && member.incarnation > incarnation && member.state == MemberState::Alive;
   };
@@ -242,7 +244,7 @@
   CHECK(network.allSeeLive(10));
 }
 
-TEST_CASE("leaving marks, engine facts and bundle versions reach all", "[membership]") {
+TEST_CASE("leaving marks, engine records and bundle versions reach all nodes", "[membership]") {
   VirtualNetwork network;
   startAll(network, 30);
   REQUIRE(network.runUntil(30s, [&] { return network.allSeeLive(30); }));
@@ -276,40 +278,40 @@
   CHECK(network.runUntil(60s, holder_known).has_value());
 }
 
-TEST_CASE("a fact about an engine counts although the incarnation before it was a higher number",
+TEST_CASE("an engine record is applied although the previous incarnation was a higher number",
           "[membership]") {
-  EngineFacts facts(2);
-  CHECK(facts.apply({"engine-1", 900, false, true}));
-  CHECK(facts.apply({"engine-1", 77, true, false}));
-  CHECK_FALSE(facts.apply({"engine-1", 77, true, false}));
-  REQUIRE(facts.find(EngineFacts::keyOf({"engine-1", 77, false, false})) != nullptr);
-  CHECK(facts.find(EngineFacts::keyOf({"engine-1", 77, false, false}))->leaving);
+  EngineRecordTable table(2);
+  CHECK(table.apply({"engine-1", 900, false, true}));
+  CHECK(table.apply({"engine-1", 77, true, false}));
+  CHECK_FALSE(table.apply({"engine-1", 77, true, false}));
+  REQUIRE(table.find(EngineRecordTable::keyOf({"engine-1", 77, false, false})) != nullptr);
+  CHECK(table.find(EngineRecordTable::keyOf({"engine-1", 77, false, false}))->leaving);
   for (std::uint64_t incarnation = 1; incarnation <= 100; ++incarnation) {
-    facts.apply({"engine-1", incarnation, false, false});
+    table.apply({"engine-1", incarnation, false, false});
   }
-  CHECK(facts.all().size() <= 4);
-  CHECK(facts.apply({"engine-2", 1, false, false}));
-  CHECK_FALSE(facts.apply({"engine-3", 1, false, false}));
+  CHECK(table.all().size() <= 4);
+  CHECK(table.apply({"engine-2", 1, false, false}));
+  CHECK_FALSE(table.apply({"engine-3", 1, false, false}));
 }
 
-TEST_CASE("a fact about a whole machine outlasts any number of its processes, by the newest list",
+TEST_CASE("a record of a whole machine outlasts all its incarnations and follows the newest list",
           "[membership]") {
-  EngineFacts facts(2);
+  EngineRecordTable table(2);
   const EngineRecord mark{"engine-1", kWholeMachine, true, false, 10};
-  CHECK(facts.apply(mark));
+  CHECK(table.apply(mark));
   for (std::uint64_t incarnation = 1; incarnation <= 100; ++incarnation) {
-    facts.apply({"engine-1", incarnation, false, false});
+    table.apply({"engine-1", incarnation, false, false});
   }
-  REQUIRE(facts.find(EngineFacts::keyOf(mark)) != nullptr);
-  CHECK(facts.find(EngineFacts::keyOf(mark))->leaving);
-  CHECK(facts.all().size() <= 5);
-  CHECK_FALSE(facts.apply({"engine-1", kWholeMachine, false, false, 10}));
-  CHECK(facts.apply({"engine-1", kWholeMachine, false, false, 11}));
-  CHECK_FALSE(facts.apply(mark));
-  CHECK_FALSE(facts.find(EngineFacts::keyOf(mark))->leaving);
+  REQUIRE(table.find(EngineRecordTable::keyOf(mark)) != nullptr);
+  CHECK(table.find(EngineRecordTable::keyOf(mark))->leaving);
+  CHECK(table.all().size() <= 5);
+  CHECK_FALSE(table.apply({"engine-1", kWholeMachine, false, false, 10}));
+  CHECK(table.apply({"engine-1", kWholeMachine, false, false, 11}));
+  CHECK_FALSE(table.apply(mark));
+  CHECK_FALSE(table.find(EngineRecordTable::keyOf(mark))->leaving);
 }
 
-TEST_CASE("messages stay bounded while sixty nodes join and quiet traffic is small", "[membership]") {
+TEST_CASE("messages stay bounded while sixty nodes join and idle traffic is low", "[membership]") {
   VirtualNetwork network;
   startAll(network, 60);
   REQUIRE(network.runUntil(60s, [&] { return network.allSeeLive(60); }));
@@ -320,8 +322,7 @@
   CHECK(static_cast<double>(network.bytes) / 60 / 60 < 2'000);
 }
 
-TEST_CASE("a herd learns of all in bounded messages, no faster than the budget of answers lets it",
-          "[membership]") {
+TEST_CASE("a thundering herd converges with bounded messages within the response budget", "[membership]") {
   VirtualNetwork network;
   for (int index = 0; index < 150; ++index) {
     network.start(nameOf(index), zoneOf(index), {nameOf(0), nameOf(1), nameOf(2)});
@@ -333,22 +334,23 @@
   CHECK(static_cast<double>(network.bytes) / 150 / toSeconds(*time) < 18'000);
 }
 
-TEST_CASE("a region of a quarter that rejoins after an hour is known to all within a minute",
-          "[membership]") {
+TEST_CASE(
+    "a region with a quarter of the nodes that rejoins after an hour is live everywhere within a minute",
+    "[membership]") {
   VirtualNetwork network;
   startAll(network, 40);
   REQUIRE(network.runUntil(60s, [&] { return network.allSeeLive(40); }));
   const auto side = [](const std::string& name) { return std::stoi(name.substr(7)) % 4 == 0; };
-  network.cut = [&](const std::string& from, const std::string& to) { return side(from) != side(to); };
+  network.is_blocked = [&](const std::string& from, const std::string& to) { return side(from) != side(to); };
   network.run(1h);
-  network.cut = [](auto&, auto&) { return false; };
+  network.is_blocked = [](auto&, auto&) { return false; };
   network.bytes = 0;
   const auto time = network.runUntil(60s, [&] { return network.allSeeLive(40); });
   REQUIRE(time.has_value());
   CHECK(static_cast<double>(network.bytes) / 40 / toSeconds(*time) < 18'000);
 }
 
-TEST_CASE("one member sends no more than its budget whoever asks", "[membership]") {
+TEST_CASE("one member sends no more than its response budget to any number of requesters", "[membership]") {
   const TimePoint now(1h);
   const auto node = makeMembership({"a", "a", "z", "r", 1}, {}, 1, now);
   for (int index = 0; index < 300; ++index) {
@@ -370,14 +372,14 @@
   CHECK(records < 256);
 }
 
-TEST_CASE("fingerprints name just the buckets that differ", "[membership]") {
+TEST_CASE("fingerprints identify only the buckets that differ", "[membership]") {
   RandomSource random(1);
   MemberTable table(4096);
   const MemberRecord self{"a", "a", "z", "r", 1};
   for (int index = 0; index < 340; ++index) table.apply({nameOf(index), "x", "z", "r", 5}, 3s, TimePoint(1h));
   const auto before = liveFingerprints(table, self);
   CHECK(differingRecords(table, self, before, random).empty());
-  table.noteBundleVersion(nameOf(7), 9);
+  table.recordBundleVersion(nameOf(7), 9);
   table.apply({nameOf(8), "x", "z", "r", 5, MemberState::Suspect, 0}, 3s, TimePoint(1h));
   CHECK(differingRecords(table, self, before, random).empty());
   table.apply({nameOf(7), "x", "z", "r", 6}, 3s, TimePoint(1h));
@@ -388,7 +390,7 @@
   CHECK(differingRecords(table, self, {1, 2, 3}, random).size() == 340);
 }
 
-TEST_CASE("hostile records are dropped", "[membership]") {
+TEST_CASE("records with invalid names or beyond the limit per message are dropped", "[membership]") {
   const TimePoint now(1h);
   const auto node = makeMembership({"a", "a", "z", "r", 1}, {}, 1, now);
   Ping ping;
--- a/tests/unit/router_peer/peer_front_test.cc
+++ b/tests/unit/router_peer/peer_connections_test.cc
@@ -1,4 +1,4 @@
-#include "router_peer/peer_front.h"
+#include "router_peer/peer_connections.h"
 
 #include <array>
 #include <boost/asio/write.hpp>
@@ -21,23 +21,23 @@
   return hello;
 }
 
-PeerFrontCallbacks silentCallbacks() {
-  PeerFrontCallbacks callbacks;
+PeerConnectionCallbacks noOpCallbacks() {
+  PeerConnectionCallbacks callbacks;
   callbacks.on_submit = [](SidecarId, const SubmitRequest&) {};
   callbacks.on_cancel = [](SidecarId, const Cancel&) {};
   callbacks.on_sidecar_lost = [](SidecarId) {};
   return callbacks;
 }
 
-/// A front and the bare socket of one sidecar, which reads only when told to.
+/// The connections of a router, and the raw socket of one sidecar that reads only on readToEnd().
 struct Fixture {
   Fixture() {
-    REQUIRE_FALSE(front.listen("127.0.0.1:0"));
+    REQUIRE_FALSE(connections.listen("127.0.0.1:0"));
     socket.open(asio::ip::tcp::v4());
     socket.set_option(asio::socket_base::receive_buffer_size(65536));
-    socket.connect({asio::ip::make_address("127.0.0.1"), front.port()});
+    socket.connect({asio::ip::make_address("127.0.0.1"), connections.port()});
     asio::write(socket, asio::buffer(encodeFrame(makeHello("sidecar", NodeRole::Sidecar))));
-    runUntil([this] { return front.counts().sidecars == 1; });
+    runUntil([this] { return connections.counts().sidecars == 1; });
   }
 
   void runUntil(const std::function<bool()>& condition) { crankspur::runUntil(context, condition); }
@@ -51,7 +51,7 @@
   }
 
   asio::io_context context{1};
-  PeerFront front{context.get_executor(), makeHello("router", NodeRole::Router), silentCallbacks()};
+  PeerConnections connections{context.get_executor(), makeHello("router", NodeRole::Router), noOpCallbacks()};
   asio::ip::tcp::socket socket{context};
   std::array<char, 65536> chunk{};
   std::size_t received = 0;
@@ -59,33 +59,32 @@
 
 }  // namespace
 
-TEST_CASE("a stopped front reports its end only when a slow sidecar has read its last message",
-          "[router_peer]") {
+TEST_CASE("stopping completes only when a slow sidecar has read its last message", "[router_peer]") {
   Fixture fixture;
-  // More than the kernel's buffers hold, so that the last bytes can leave only while the sidecar reads.
+  // Exceeds the kernel's socket buffers, so that the last bytes are sent only while the sidecar reads.
   constexpr int kPieces = 8;
   const std::string text(std::size_t{1} << 20U, 'x');
   const SidecarId sidecar = 1;
   for (std::uint64_t piece = 0; piece < kPieces; ++piece) {
-    fixture.front.sendToSidecars({{sidecar, StreamPiece{"r", 1, piece * text.size(), 1, text}}});
+    fixture.connections.sendToSidecars({{sidecar, StreamPiece{"r", 1, piece * text.size(), 1, text}}});
   }
-  int ends = 0;
-  fixture.front.stop([&ends] { ++ends; });
-  // Everything that can be done without the sidecar is done.
+  int completions = 0;
+  fixture.connections.stop([&completions] { ++completions; });
+  // Run all handlers that do not depend on the sidecar.
   while (fixture.context.poll() > 0) {
   }
-  CHECK(ends == 0);
+  CHECK(completions == 0);
   fixture.readToEnd();
-  fixture.runUntil([&] { return ends > 0; });
-  CHECK(ends == 1);
+  fixture.runUntil([&] { return completions > 0; });
+  CHECK(completions == 1);
   CHECK(fixture.received > kPieces * text.size());
 }
 
-TEST_CASE("a stopped front without connections reports its end at once", "[router_peer]") {
+TEST_CASE("stopping without connections completes immediately", "[router_peer]") {
   asio::io_context context{1};
-  PeerFront front(context.get_executor(), makeHello("router", NodeRole::Router), silentCallbacks());
-  REQUIRE_FALSE(front.listen("127.0.0.1:0"));
-  int ends = 0;
-  front.stop([&ends] { ++ends; });
-  CHECK(ends == 1);
+  PeerConnections connections(context.get_executor(), makeHello("router", NodeRole::Router), noOpCallbacks());
+  REQUIRE_FALSE(connections.listen("127.0.0.1:0"));
+  int completions = 0;
+  connections.stop([&completions] { ++completions; });
+  CHECK(completions == 1);
 }
