--- a/src/router/claim_flow.cc
+++ b/src/router/claim_flow.cc
@@ -81,7 +81,7 @@
     onClaimDecided(*entry, *outcome, now);
     return advanceClaim(id, now);
   }
-  if (work.entry == 0 && work.claim->settled()) {
+  if (work.entry == 0 && work.claim->isFinished()) {
     claim_timers_.erase({work.timer, id});
     claims_.erase(found);
     return;
--- a/src/router/group_claim_flow.cc
+++ b/src/router/group_claim_flow.cc
@@ -117,7 +117,7 @@
 
 bool RequestRouterImpl::deferUntilTableResponds(std::uint64_t id, ClaimWork& work, TimePoint now) {
   const bool only_record = work.entry == 0 && work.group == GroupClaimState::Granted && !work.in_table;
-  if (!only_record || work.claim->settled() || !table_health_.isDown() || table_health_.allow(now))
+  if (!only_record || work.claim->isFinished() || !table_health_.isDown() || table_health_.allow(now))
     return false;
   const std::uint64_t delay = random_.uniform(kMinRecordRetryDelay, kMaxRecordRetryDelay);
   claim_timers_.erase({work.timer, id});
