--- a/src/gateway_control/gateway_control.cc
+++ b/src/gateway_control/gateway_control.cc
@@ -146,7 +146,7 @@
     schedulePublish();
   };
   callbacks.on_contact = [this](TimePoint as_of) { onContact(as_of); };
-  callbacks.on_trouble = [this] { onPlatformFailure(); };
+  callbacks.on_failure = [this] { onPlatformFailure(); };
   callbacks.on_connections_silent = [this] { onConnectionsSilent(); };
   return callbacks;
 }
--- a/src/gateway_control/platform_link.h
+++ b/src/gateway_control/platform_link.h
@@ -45,7 +45,7 @@
   /// Everything that the platform accepted from the operator by `as_of` has been delivered.
   std::function<void(TimePoint as_of)> on_contact;
   /// The platform did not respond, or rejected a call.
-  std::function<void()> on_trouble;
+  std::function<void()> on_failure;
   /// Open connections to several peers went silent together; new connections may still work.
   std::function<void()> on_connections_silent;
 };
--- a/src/gateway_control/table_mirror.cc
+++ b/src/gateway_control/table_mirror.cc
@@ -17,7 +17,7 @@
   rows_[row.key] = row;
 }
 
-void TableMirror::onWhole(const std::vector<std::string>& keys) {
+void TableMirror::onFullRead(const std::vector<std::string>& keys) {
   const std::set<std::string> present(keys.begin(), keys.end());
   std::erase_if(rows_, [&present](const auto& item) { return !present.contains(item.first); });
   fully_read_ = true;
--- a/src/gateway_control/table_mirror.h
+++ b/src/gateway_control/table_mirror.h
@@ -20,7 +20,7 @@
   void onRow(const RelayedRow& row);
   /// The complete table was read: rows that are not among `keys` are removed, and the history of earlier
   /// changes is not known.
-  void onWhole(const std::vector<std::string>& keys);
+  void onFullRead(const std::vector<std::string>& keys);
   /// All rows up to `version`, and everything written by `as_of`, have been passed.
   void onContact(std::uint64_t version, TimePoint as_of);
 
--- a/src/gateway_control/table_relay.h
+++ b/src/gateway_control/table_relay.h
@@ -44,8 +44,8 @@
 
   // Updates of this gateway's own copy of a table.
   void onRow(const std::string& table, const RelayedRow& row) { mirrors_[table].onRow(row); }
-  void onWhole(const std::string& table, const std::vector<std::string>& keys) {
-    mirrors_[table].onWhole(keys);
+  void onFullRead(const std::string& table, const std::vector<std::string>& keys) {
+    mirrors_[table].onFullRead(keys);
   }
   void onContact(const std::string& table, std::uint64_t version, TimePoint as_of);
   /// This gateway lost its own source of the table. Waiting requests are responded to immediately, so that
--- a/src/gateway_process/gateway_metrics.cc
+++ b/src/gateway_process/gateway_metrics.cc
@@ -4,8 +4,9 @@
 namespace {
 
 constexpr char kPrefix[] = "crankspur_gateway_";
-/// Routes beyond so many are counted together: a configuration may hold thousands.
-constexpr std::size_t kLabelledRoutes = 32;
+/// Number of routes with a label of their own. Further routes share the label "other", since a configuration
+/// may contain thousands.
+constexpr std::size_t kMaxLabeledRoutes = 32;
 
 prometheus::Histogram::BucketBoundaries secondsBuckets() {
   return {0.005, 0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.6, 0.8, 1, 1.5, 2, 3, 5, 10, 20};
@@ -80,7 +81,7 @@
 std::string GatewayMetrics::routeLabel(std::string_view route) {
   if (route.empty()) return "none";
   if (known_routes_.contains(route)) return std::string(route);
-  if (known_routes_.size() >= kLabelledRoutes) return "other";
+  if (known_routes_.size() >= kMaxLabeledRoutes) return "other";
   return *known_routes_.emplace(route).first;
 }
 
--- a/src/gateway_process/gateway_metrics.h
+++ b/src/gateway_process/gateway_metrics.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Counters, gauges and histograms of one gateway. The observer functions run on the traffic thread;
-/// gauges may be set from any thread.
+/// @file Prometheus metrics of one gateway. The observer functions run on the traffic thread; gauges may be
+/// set from any thread.
 
 #include <prometheus/counter.h>
 #include <prometheus/family.h>
@@ -17,10 +17,10 @@
 
 namespace crankspur::gateway {
 
-/// The metrics; each is registered as crankspur_gateway_NAME.
+/// Registers each metric as crankspur_gateway_NAME and updates it from the decisions that it observes.
 class GatewayMetrics : public RequestObserver {
 private:
-  // Before the metrics, which are registered there.
+  // Declared before the metrics because their initializers register them here.
   std::shared_ptr<prometheus::Registry> registry_ = std::make_shared<prometheus::Registry>();
   prometheus::Counter& counter(const std::string& name, const std::string& help);
   prometheus::Gauge& gauge(const std::string& name, const std::string& help);
@@ -38,7 +38,7 @@
   void onSuspected(const RequestSuspected& record) override;
   void onSuspicionWithdrawn(const SuspicionWithdrawn& record) override;
 
-  /// Sets how many back ends of the state the last published list holds.
+  /// Sets the number of back ends in `state` in the last published list.
   void setBackends(std::string_view state, std::size_t count);
 
 private:
--- a/src/gateway_process/gateway_process.cc
+++ b/src/gateway_process/gateway_process.cc
@@ -7,8 +7,8 @@
 
 struct GatewayProcess::Implementation {
   Implementation(const GatewayProcessSettings& settings, std::shared_ptr<const Dialect> dialect,
-                 GatewayFacts facts, RequestObserver& observer)
-      : loop(settings, std::move(dialect), std::move(facts), observer, thread.executor()) {}
+                 TrafficCallbacks callbacks, RequestObserver& observer)
+      : loop(settings, std::move(dialect), std::move(callbacks), observer, thread.executor()) {}
   ~Implementation() { thread.stop(); }
 
   EventLoopThread thread;
@@ -18,9 +18,9 @@
 };
 
 GatewayProcess::GatewayProcess(const GatewayProcessSettings& settings, std::shared_ptr<const Dialect> dialect,
-                               GatewayFacts facts, RequestObserver& observer)
+                               TrafficCallbacks callbacks, RequestObserver& observer)
     : implementation_(
-          std::make_unique<Implementation>(settings, std::move(dialect), std::move(facts), observer)) {}
+          std::make_unique<Implementation>(settings, std::move(dialect), std::move(callbacks), observer)) {}
 
 GatewayProcess::~GatewayProcess() = default;
 
@@ -40,9 +40,9 @@
       [this, shared = std::move(snapshot)] { implementation_->loop.onSnapshot(shared); });
 }
 
-void GatewayProcess::onCachedParts(CachedPartsUpdate news) {
+void GatewayProcess::onCachedParts(CachedPartsUpdate update) {
   implementation_->thread.post(
-      [this, owned = std::move(news)] { implementation_->loop.onCachedParts(owned); });
+      [this, owned = std::move(update)] { implementation_->loop.onCachedParts(owned); });
 }
 
 void GatewayProcess::onPeerLoad(std::vector<LoadDigest> digests) {
@@ -50,9 +50,9 @@
       [this, owned = std::move(digests)] { implementation_->loop.onPeerLoad(owned); });
 }
 
-void GatewayProcess::onCrashUpdate(CrashUpdate news) {
+void GatewayProcess::onCrashUpdate(CrashUpdate update) {
   implementation_->thread.post(
-      [this, owned = std::move(news)] { implementation_->loop.onCrashUpdate(owned); });
+      [this, owned = std::move(update)] { implementation_->loop.onCrashUpdate(owned); });
 }
 
 void GatewayProcess::onConnectionsSilent() {
--- a/src/gateway_process/gateway_process.h
+++ b/src/gateway_process/gateway_process.h
@@ -1,7 +1,7 @@
 #pragma once
-/// @file The traffic side of a gateway: the HTTP server that clients speak to, the exchanges with back ends
-/// and one traffic thread that drives the decisions of gateway/. The control side publishes what it knows and
-/// hears what traffic learns.
+/// @file Traffic side of a gateway: the HTTP server for clients, the HTTP exchanges with back ends, and one
+/// traffic thread that runs the decision code of gateway/. The control side publishes snapshots to it and
+/// receives its observations through callbacks.
 
 #include <cstdint>
 #include <functional>
@@ -20,7 +20,7 @@
 
 namespace crankspur::gateway {
 
-/// Parts of the construction of a gateway process.
+/// Construction parameters of a gateway process.
 struct GatewayProcessSettings {
   std::string listen_address;  ///< "IP:port" for clients; port 0 lets the system choose.
   std::string node_name;
@@ -28,58 +28,61 @@
   GatewaySettings decisions;
 };
 
-/// What traffic learns about back ends. Called on the traffic thread: post to your own.
-struct GatewayFacts {
-  /// No connection could be made, or exchanges broke in a row.
+/// Observations of the traffic side. All callbacks run on the traffic thread; implementations must post to
+/// their own thread.
+struct TrafficCallbacks {
+  /// A connection could not be established, or several exchanges in a row were interrupted.
   std::function<void(EngineSlot, std::uint64_t incarnation)> on_unreachable;
-  /// The back end answered that it is another incarnation than expected, or has other weights.
-  /// @param weights_version as its answer stated it.
+  /// The back end responded that it is not the expected incarnation, or that it has other weights.
+  /// @param weights_version version stated in its response.
   std::function<void(EngineSlot, std::uint64_t incarnation, std::optional<std::uint64_t> weights_version)>
       on_wrong_backend;
-  /// What this gateway has at each engine, for the other gateways; several times a second while it has any.
-  std::function<void(LoadDigest)> on_own_work;
-  /// How busy the traffic thread is; some times a second while requests come.
+  /// Load that this gateway has placed on each engine, to be sent to the other gateways. Called several times
+  /// a second while there is any.
+  std::function<void(LoadDigest)> on_own_load_digest;
+  /// Load of the traffic thread; called several times a second while requests arrive.
   std::function<void(OwnLoad)> on_own_load;
-  /// Which back ends ended under which requests, for the other gateways.
+  /// Back ends that crashed, with the requests that they were running, to be sent to the other gateways.
   std::function<void(CrashUpdate)> on_crash_update;
 };
 
-/// One gateway. Functions may be called from any thread unless they say otherwise.
+/// Traffic side of one gateway. Functions may be called from any thread unless stated otherwise.
 class GatewayProcess {
 public:
-  /// @param observer hears of each decision on the traffic thread; it must outlive the process.
+  /// @param observer is notified of each decision on the traffic thread; must outlive this object.
   GatewayProcess(const GatewayProcessSettings& settings, std::shared_ptr<const Dialect> dialect,
-                 GatewayFacts facts, RequestObserver& observer = noopObserver());
-  /// Ends the traffic thread; what is in flight is dropped.
+                 TrafficCallbacks callbacks, RequestObserver& observer = noopObserver());
+  /// Stops the traffic thread; requests in flight are dropped.
   ~GatewayProcess();
   GatewayProcess(const GatewayProcess&) = delete;
   GatewayProcess& operator=(const GatewayProcess&) = delete;
 
-  /// Listens and starts the traffic thread. Before the first snapshot every request is refused as not run.
+  /// Starts to listen and starts the traffic thread. Until the first snapshot is published, every request is
+  /// rejected as not run.
   std::error_code start();
-  /// @return the port that clients reach, once started.
+  /// @return the port for clients; valid after start().
   std::uint16_t port() const;
 
   void publish(std::shared_ptr<const GatewaySnapshot> snapshot);
-  /// Tells which parts of prompts a back end or a store of KV cache holds.
-  void onCachedParts(CachedPartsUpdate news);
-  /// Tells what other gateways have at each engine.
+  /// Updates which prompt parts a back end or a KV store holds.
+  void onCachedParts(CachedPartsUpdate update);
+  /// Updates the load that other gateways have placed on each engine.
   void onPeerLoad(std::vector<LoadDigest> digests);
-  /// Tells which back ends ended under which requests, as other gateways saw it.
-  void onCrashUpdate(CrashUpdate news);
-  /// Tells that open connections to several peers have gone silent, while new ones may work.
+  /// Adds crashes of back ends, with the requests that they were running, as observed by other gateways.
+  void onCrashUpdate(CrashUpdate update);
+  /// Reports that open connections to several peers went silent together; new connections may still work.
   void onConnectionsSilent();
 
-  /// Begins the graceful stop: ready() turns false, open connections are still served and their answers close
-  /// them. Nothing in flight is cut.
+  /// Starts a graceful stop: ready() returns false, and open connections are still served but closed after
+  /// their next response. Requests in flight are not interrupted.
   void drain();
-  /// @return whether a snapshot with a configuration came and drain() was not called.
+  /// @return whether a snapshot with a configuration was published and drain() was not called.
   bool ready() const;
-  /// Takes no further connection and closes those without a request; requests in flight go on.
+  /// Stops accepting connections and closes those without a request; requests in flight continue.
   void stopAccepting();
-  /// @return requests whose answer has not ended, those being read included.
+  /// @return the number of requests whose response has not ended, including requests that are being read.
   std::size_t inFlight() const;
-  /// Closes connections without a request. To be called when the process is about to end.
+  /// Closes connections without a request. Call it when the process is about to exit.
   void closeIdleConnections();
   GatewayCounters counters() const;
 
--- a/src/gateway_process/observer_pair.h
+++ b/src/gateway_process/observer_pair.h
@@ -1,11 +1,11 @@
 #pragma once
-/// @file Tells two observers of each decision, in order.
+/// @file Request observer that forwards each decision to two observers, in order.
 
 #include "gateway/request_observer.h"
 
 namespace crankspur::gateway {
 
-/// Both must outlive the pair.
+/// Forwards to `first`, then to `second`. Both must outlive this object.
 class ObserverPair : public RequestObserver {
 public:
   ObserverPair(RequestObserver& first, RequestObserver& second) : first_(first), second_(second) {}
--- a/src/gateway_process/request_log.h
+++ b/src/gateway_process/request_log.h
@@ -1,12 +1,12 @@
 #pragma once
-/// @file Writes the decisions of a gateway as log lines: one line for each, with the inputs that decided it.
+/// @file Writes one log line for each decision of a gateway, with the inputs that the decision was based on.
 
 #include "base/event_log.h"
 #include "gateway/request_observer.h"
 
 namespace crankspur::gateway {
 
-/// The lines are events 1220 to 1230.
+/// Writes events 1220 to 1230.
 class RequestLog : public RequestObserver {
 public:
   /// @param log must outlive this object and never block.
--- a/src/gateway_process/traffic_loop.cc
+++ b/src/gateway_process/traffic_loop.cc
@@ -11,23 +11,24 @@
 namespace crankspur::gateway {
 namespace {
 
-/// A body that is kept until it is complete; a larger one is passed on as it comes.
-constexpr std::size_t kKeptBodyBytes = std::size_t{256} * 1024;
-/// Bytes waiting for a client that does not read, beyond which it is given up.
-constexpr std::size_t kQueuedBytes = std::size_t{4} * 1024 * 1024;
+/// A response body up to this size is buffered until it is complete; a larger one is forwarded as it arrives.
+constexpr std::size_t kMaxBufferedBodyBytes = std::size_t{256} * 1024;
+/// A client that does not read is disconnected once more than this many bytes are queued for it.
+constexpr std::size_t kMaxQueuedBytes = std::size_t{4} * 1024 * 1024;
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(500);
-/// Time after a back end's deadline until its exchange ends in any case.
+/// Time after a back end's deadline at which its exchange is ended unconditionally.
 constexpr Duration kExchangeSlack = std::chrono::seconds(2);
-/// A back end that lives answers a probe in some milliseconds.
+/// A live back end responds to a probe within a few milliseconds.
 constexpr Duration kProbeTimeout = std::chrono::milliseconds(300);
-constexpr Duration kDrainLook = std::chrono::milliseconds(100);
-constexpr std::size_t kClientConnections = 2500;
-/// What this gateway has at the engines is told in steps that grow with the gateways that hear it.
-constexpr Duration kWorkStepPerGateway = std::chrono::milliseconds(6);
-constexpr Duration kLeastWorkStep = std::chrono::milliseconds(40);
-constexpr Duration kLongestWorkStep = std::chrono::milliseconds(250);
-
-/// @return what the caller is told, besides the status.
+constexpr Duration kDrainPollInterval = std::chrono::milliseconds(100);
+constexpr std::size_t kMaxClientConnections = 2500;
+/// This gateway's load on the engines is sent at an interval that grows with the number of gateways that
+/// receive it.
+constexpr Duration kDigestIntervalPerGateway = std::chrono::milliseconds(6);
+constexpr Duration kMinDigestInterval = std::chrono::milliseconds(40);
+constexpr Duration kMaxDigestInterval = std::chrono::milliseconds(250);
+
+/// @return the error message for the client, in addition to the status.
 std::string_view describe(int status, RequestCause cause) {
   if (status == 503 && cause == RequestCause::quarantined) {
     return "back ends have crashed under this request: it is not run for some time";
@@ -46,7 +47,7 @@
   }
 }
 
-ErrorCode codeOf(int status) {
+ErrorCode errorCodeOf(int status) {
   switch (status) {
     case 400:
     case 404:
@@ -62,7 +63,7 @@
   }
 }
 
-bool isPossiblyRun(int status) {
+bool mayHaveRun(int status) {
   return status == 502 || status == 504;
 }
 
@@ -74,28 +75,29 @@
 }  // namespace
 
 TrafficLoop::TrafficLoop(const GatewayProcessSettings& settings, std::shared_ptr<const Dialect> dialect,
-                         GatewayFacts facts, RequestObserver& observer, boost::asio::any_io_executor executor)
+                         TrafficCallbacks callbacks, RequestObserver& observer,
+                         boost::asio::any_io_executor executor)
     : settings_(settings),
       dialect_(std::move(dialect)),
-      facts_(std::move(facts)),
+      callbacks_(std::move(callbacks)),
       executor_(std::move(executor)),
       gateway_(settings.decisions, settings.random_seed, observer),
       http_(http::makeClient(executor_)),
       timer_(executor_),
       drain_timer_(executor_),
-      work_timer_(executor_),
+      load_digest_timer_(executor_),
       crash_timer_(executor_),
       meter_timer_(executor_) {
   http_->setSilenceHandler([this] {
     gateway_.onConnectionsSilent(now());
-    pump();
+    executeActions();
   });
 }
 
 std::error_code TrafficLoop::listen() {
   std::error_code error;
   http::ServerLimits limits;
-  limits.connections = kClientConnections;
+  limits.connections = kMaxClientConnections;
   const auto handler = [this](http::Request request, std::shared_ptr<http::ResponseWriter> writer) {
     onRequest(std::move(request), std::move(writer));
   };
@@ -115,13 +117,13 @@
   return found == clients_.end() ? nullptr : &found->second;
 }
 
-// What comes from the control side.
+// Updates from the control side.
 
 void TrafficLoop::onSnapshot(std::shared_ptr<const GatewaySnapshot> snapshot) {
   if (snapshot->configuration != nullptr && snapshot->configuration != configuration_) {
     configuration_ = snapshot->configuration;
     http::ServerLimits limits;
-    limits.connections = kClientConnections;
+    limits.connections = kMaxClientConnections;
     limits.header_bytes = configuration_->limits.header_bytes;
     limits.body_bytes = configuration_->limits.body_bytes;
     limits.header_timeout = configuration_->limits.header_timeout;
@@ -129,11 +131,11 @@
     server_->setLimits(limits);
   }
   gateway_.onSnapshot(std::move(snapshot), now());
-  pump();
+  executeActions();
 }
 
-void TrafficLoop::onCachedParts(const CachedPartsUpdate& news) {
-  gateway_.onCachedParts(news, now());
+void TrafficLoop::onCachedParts(const CachedPartsUpdate& update) {
+  gateway_.onCachedParts(update, now());
 }
 
 void TrafficLoop::onPeerLoad(const std::vector<LoadDigest>& digests) {
@@ -142,71 +144,74 @@
 
 void TrafficLoop::onConnectionsSilent() {
   http_->leaveKept("");
-  gateway_.onTimer(now());  // After a suspension timers fire late.
+  gateway_.onTimer(now());  // Timers fire late after the machine was suspended.
   gateway_.onConnectionsSilent(now());
-  pump();
+  executeActions();
 }
 
-void TrafficLoop::tellWorkSoon() {
-  const bool news = !running_.empty() || told_work_;
-  if (!facts_.on_own_work || !news || std::exchange(work_waiting_, true)) return;
-  const Duration wanted = kWorkStepPerGateway * (gateway_.peerCount() + 1);
-  work_timer_.expires_after(std::clamp(wanted, kLeastWorkStep, kLongestWorkStep));
-  work_timer_.async_wait([this](boost::system::error_code error) {
-    if (!error) tellWork();
+void TrafficLoop::scheduleLoadDigest() {
+  const bool has_update = !exchanges_.empty() || sent_load_;
+  if (!callbacks_.on_own_load_digest || !has_update || std::exchange(load_digest_scheduled_, true)) return;
+  const Duration interval = kDigestIntervalPerGateway * (gateway_.peerCount() + 1);
+  load_digest_timer_.expires_after(std::clamp(interval, kMinDigestInterval, kMaxDigestInterval));
+  load_digest_timer_.async_wait([this](boost::system::error_code error) {
+    if (!error) sendLoadDigest();
   });
 }
 
-void TrafficLoop::tellCrashesSoon() {
-  if (!facts_.on_crash_update || !gateway_.hasCrashUpdate() || std::exchange(crashes_waiting_, true)) return;
+void TrafficLoop::scheduleCrashUpdate() {
+  if (!callbacks_.on_crash_update || !gateway_.hasCrashUpdate() ||
+      std::exchange(crash_update_scheduled_, true))
+    return;
   crash_timer_.expires_after(kCrashUpdateDelay);
   crash_timer_.async_wait([this](boost::system::error_code error) {
     if (error) return;
-    crashes_waiting_ = false;
-    facts_.on_crash_update(gateway_.takeCrashUpdate());
+    crash_update_scheduled_ = false;
+    callbacks_.on_crash_update(gateway_.takeCrashUpdate());
   });
 }
 
-/// The last digest before a pause is empty: nothing of this gateway's is left at any engine.
-void TrafficLoop::tellWork() {
-  work_waiting_ = false;
+/// Once this gateway has no load on any engine left, one empty digest reports that; then digests stop until
+/// there is load again.
+void TrafficLoop::sendLoadDigest() {
+  load_digest_scheduled_ = false;
   LoadDigest digest = gateway_.ownLoadDigest();
-  told_work_ = !digest.loads.empty();
-  facts_.on_own_work(std::move(digest));
-  tellWorkSoon();
+  sent_load_ = !digest.loads.empty();
+  callbacks_.on_own_load_digest(std::move(digest));
+  scheduleLoadDigest();
 }
 
-void TrafficLoop::meterRequest() {
+void TrafficLoop::recordRequest() {
   meter_.onRequest();
-  if (facts_.on_own_load && !std::exchange(metering_, true)) meterTick(now());
+  if (callbacks_.on_own_load && !std::exchange(meter_active_, true)) onMeterTick(now());
 }
 
-/// Ticks go on until requests have stayed out for a while; the last one tells that there is no load.
-void TrafficLoop::meterTick(TimePoint due) {
+/// Ticks continue until no request has arrived for some time; the last tick reports that there is no load.
+void TrafficLoop::onMeterTick(TimePoint due) {
   meter_.onTick(due, now());
-  facts_.on_own_load(meter_.load());
-  metering_ = !meter_.idle();
-  if (!metering_) return;
+  callbacks_.on_own_load(meter_.load());
+  meter_active_ = !meter_.idle();
+  if (!meter_active_) return;
   const TimePoint next = now() + LoadMeter::kTick;
   expireAt(meter_timer_, next, now());
   meter_timer_.async_wait([this, next](boost::system::error_code error) {
-    if (!error) meterTick(next);
+    if (!error) onMeterTick(next);
   });
 }
 
 void TrafficLoop::drain() {
   server_->closeAfterAnswers();
   countInFlight();
-  watchDrain();
+  pollDrain();
 }
 
-/// Requests that are being read change without a call from the server.
-void TrafficLoop::watchDrain() {
-  drain_timer_.expires_after(kDrainLook);
+/// Polls, because the server does not notify of changes in the number of requests that are being read.
+void TrafficLoop::pollDrain() {
+  drain_timer_.expires_after(kDrainPollInterval);
   drain_timer_.async_wait([this](boost::system::error_code error) {
     if (error) return;
     countInFlight();
-    watchDrain();
+    pollDrain();
   });
 }
 
@@ -217,7 +222,7 @@
 // Clients.
 
 void TrafficLoop::onRequest(http::Request request, std::shared_ptr<http::ResponseWriter> writer) {
-  meterRequest();
+  recordRequest();
   const ClientId id = next_client_++;
   IncomingRequest incoming;
   incoming.host = hostOf(request);
@@ -231,11 +236,11 @@
   client.writer->onClientGone([this, id] {
     if (clients_.erase(id) == 0) return;
     gateway_.onClientGone(id, now());
-    pump();
+    executeActions();
   });
   clients_.emplace(id, std::move(client));
   gateway_.onRequest(id, std::move(incoming), now());
-  pump();
+  executeActions();
 }
 
 void TrafficLoop::onUnreadableRequest(const http::UnreadRequest& unread) {
@@ -243,27 +248,27 @@
   gateway_.onUnreadableRequest(client ? client->request_id : std::string(), unread.status, now());
 }
 
-void TrafficLoop::pump() {
-  if (pumping_) return;
-  pumping_ = true;
+void TrafficLoop::executeActions() {
+  if (executing_actions_) return;
+  executing_actions_ = true;
   while (true) {
     std::vector<GatewayAction> actions = gateway_.takeActions();
     if (actions.empty()) break;
     for (GatewayAction& action : actions) {
-      std::visit([this](auto& chosen) { carryOut(chosen); }, action);
+      std::visit([this](auto& concrete) { execute(concrete); }, action);
     }
   }
-  pumping_ = false;
+  executing_actions_ = false;
   armTimer();
-  tellWorkSoon();
-  tellCrashesSoon();
+  scheduleLoadDigest();
+  scheduleCrashUpdate();
   countInFlight();
   const std::lock_guard lock(counters_mutex_);
   counters_ = gateway_.counters();
 }
 
-/// The timer is moved only forward in time when it fires too early: a wake-up too many costs less than one
-/// more call for each request.
+/// The timer is re-armed only for an earlier time. If it turns out to fire too early, it is armed again then:
+/// an extra wake-up costs less than an extra call for each request.
 void TrafficLoop::armTimer() {
   const std::optional<TimePoint> next = gateway_.nextTimer();
   if (!next || *next >= timer_at_) return;
@@ -273,19 +278,19 @@
     if (error) return;
     timer_at_ = TimePoint::max();
     gateway_.onTimer(now());
-    pump();
+    executeActions();
   });
 }
 
 // Actions.
 
-void TrafficLoop::carryOut(const Refuse& action) {
+void TrafficLoop::execute(const Refuse& action) {
   Client* client = findClient(action.client);
   if (client == nullptr) return;
   const auto writer = client->writer;
   clients_.erase(action.client);
-  const std::string_view ran = isPossiblyRun(action.status) ? "unknown" : "not_run";
-  http::Response response = http::errorResponse(action.status, errorName(codeOf(action.status)),
+  const std::string_view ran = mayHaveRun(action.status) ? "unknown" : "not_run";
+  http::Response response = http::errorResponse(action.status, errorName(errorCodeOf(action.status)),
                                                 describe(action.status, action.cause), ran);
   if (action.retry_after > Duration(0)) {
     response.headers["Retry-After"] = fmt::format("{:.3f}", toSeconds(action.retry_after));
@@ -293,7 +298,7 @@
   writer->respond(std::move(response));
 }
 
-void TrafficLoop::carryOut(const Dispatch& action) {
+void TrafficLoop::execute(const Dispatch& action) {
   const Client* client = findClient(action.client);
   if (client == nullptr) return;
   http::Request request;
@@ -305,17 +310,17 @@
   http::ExchangeOptions options;
   options.connect_timeout = kConnectTimeout;
   options.idle_timeout = action.terms.deadline + kExchangeSlack;
-  Running& running = running_[action.exchange];
-  running.client = action.client;
-  const auto callbacks = callbacksOf(action.exchange, client->request_id);
-  running.exchange = http_->start(action.address, std::move(request), callbacks, options);
+  ActiveExchange& active = exchanges_[action.exchange];
+  active.client = action.client;
+  const auto callbacks = exchangeCallbacks(action.exchange, client->request_id);
+  active.exchange = http_->start(action.address, std::move(request), callbacks, options);
 }
 
-void TrafficLoop::carryOut(const CancelExchange& action) {
-  const auto found = running_.find(action.exchange);
-  if (found == running_.end()) return;
+void TrafficLoop::execute(const CancelExchange& action) {
+  const auto found = exchanges_.find(action.exchange);
+  if (found == exchanges_.end()) return;
   const auto exchange = found->second.exchange;
-  running_.erase(found);
+  exchanges_.erase(found);
   if (action.unanswered) {
     exchange->cancelUnanswered();
   } else {
@@ -323,47 +328,47 @@
   }
 }
 
-void TrafficLoop::carryOut(const DiscardResponse& action) {
-  running_.erase(action.exchange);
+void TrafficLoop::execute(const DiscardResponse& action) {
+  exchanges_.erase(action.exchange);
 }
 
-void TrafficLoop::carryOut(const ForwardResponse& action) {
-  const auto found = running_.find(action.exchange);
+void TrafficLoop::execute(const ForwardResponse& action) {
+  const auto found = exchanges_.find(action.exchange);
   Client* client = findClient(action.client);
-  if (found == running_.end() || client == nullptr) return;
+  if (found == exchanges_.end() || client == nullptr) return;
   http::Response response;
   response.status = found->second.status;
   response.headers = std::move(found->second.headers);
   response.body = std::move(found->second.body);
   http::removeConnectionHeaders(response.headers);
-  running_.erase(found);
+  exchanges_.erase(found);
   const auto writer = client->writer;
   clients_.erase(action.client);
   writer->respond(std::move(response));
 }
 
-void TrafficLoop::carryOut(const ForwardHead& action) {
-  const auto found = running_.find(action.exchange);
+void TrafficLoop::execute(const ForwardHead& action) {
+  const auto found = exchanges_.find(action.exchange);
   const Client* client = findClient(action.client);
-  if (found == running_.end() || client == nullptr) return;
+  if (found == exchanges_.end() || client == nullptr) return;
   http::Headers headers = std::move(found->second.headers);
   http::removeConnectionHeaders(headers);
   client->writer->begin(found->second.status, std::move(headers));
   if (!found->second.body.empty()) client->writer->write(std::exchange(found->second.body, {}));
 }
 
-void TrafficLoop::carryOut(ForwardBytes& action) {
+void TrafficLoop::execute(ForwardBytes& action) {
   const Client* client = findClient(action.client);
   if (client == nullptr) return;
   client->writer->write(std::move(action.bytes));
-  if (client->writer->queuedBytes() <= kQueuedBytes) return;
+  if (client->writer->queuedBytes() <= kMaxQueuedBytes) return;
   const auto writer = client->writer;
   clients_.erase(action.client);
   writer->abort();
   gateway_.onClientGone(action.client, now());
 }
 
-void TrafficLoop::carryOut(const EndResponse& action) {
+void TrafficLoop::execute(const EndResponse& action) {
   Client* client = findClient(action.client);
   if (client == nullptr) return;
   const auto writer = client->writer;
@@ -371,7 +376,7 @@
   writer->end();
 }
 
-void TrafficLoop::carryOut(const AbortResponse& action) {
+void TrafficLoop::execute(const AbortResponse& action) {
   Client* client = findClient(action.client);
   if (client == nullptr) return;
   const auto writer = client->writer;
@@ -379,16 +384,16 @@
   writer->abort();
 }
 
-void TrafficLoop::carryOut(const ReportUnreachable& action) {
-  if (facts_.on_unreachable) facts_.on_unreachable(action.slot, action.incarnation);
+void TrafficLoop::execute(const ReportUnreachable& action) {
+  if (callbacks_.on_unreachable) callbacks_.on_unreachable(action.slot, action.incarnation);
 }
 
-void TrafficLoop::carryOut(const ReportWrongBackend& action) {
-  if (facts_.on_wrong_backend)
-    facts_.on_wrong_backend(action.slot, action.incarnation, action.weights_version);
+void TrafficLoop::execute(const ReportWrongBackend& action) {
+  if (callbacks_.on_wrong_backend)
+    callbacks_.on_wrong_backend(action.slot, action.incarnation, action.weights_version);
 }
 
-void TrafficLoop::carryOut(const ProbeBackend& action) {
+void TrafficLoop::execute(const ProbeBackend& action) {
   http::Request request;
   request.method = "GET";
   request.target = action.path;
@@ -406,15 +411,15 @@
   probes_[action.probe] = http_->start(action.address, std::move(request), callbacks, options);
 }
 
-/// The gateway hears of the first outcome only.
+/// The gateway ignores all outcomes of a probe but the first.
 void TrafficLoop::onProbeResult(std::uint64_t probe, bool answered) {
   gateway_.onProbeResult(probe, answered, now());
-  pump();
+  executeActions();
 }
 
 // Back ends.
 
-http::ExchangeCallbacks TrafficLoop::callbacksOf(ExchangeId exchange, const std::string& request_id) {
+http::ExchangeCallbacks TrafficLoop::exchangeCallbacks(ExchangeId exchange, const std::string& request_id) {
   http::ExchangeCallbacks callbacks;
   callbacks.is_own = [dialect = dialect_, request_id](int status, const http::Headers& headers) {
     return !dialect->readResponse({status, headers, {}}, request_id).other_request;
@@ -431,37 +436,37 @@
 
 void TrafficLoop::onHead(ExchangeId exchange, const std::string& request_id, int status,
                          const http::Headers& headers) {
-  const auto found = running_.find(exchange);
-  if (found == running_.end()) return;
+  const auto found = exchanges_.find(exchange);
+  if (found == exchanges_.end()) return;
   found->second.status = status;
   found->second.headers = headers;
   gateway_.onHead(exchange, status, dialect_->readResponse({status, headers, {}}, request_id), now());
-  pump();
+  executeActions();
 }
 
 void TrafficLoop::onData(ExchangeId exchange, std::string_view bytes) {
-  const auto found = running_.find(exchange);
-  if (found == running_.end()) return;
+  const auto found = exchanges_.find(exchange);
+  if (found == exchanges_.end()) return;
   if (gateway_.streamsBody(exchange)) {
     gateway_.onBytes(exchange, bytes, now());
-    return pump();
+    return executeActions();
   }
   found->second.body += bytes;
-  if (found->second.body.size() <= kKeptBodyBytes) return;
+  if (found->second.body.size() <= kMaxBufferedBodyBytes) return;
   gateway_.onBodyBufferFull(exchange, now());
-  pump();
+  executeActions();
 }
 
 void TrafficLoop::onDone(ExchangeId exchange, std::error_code error, http::SendState state) {
-  if (!running_.contains(exchange)) return;
+  if (!exchanges_.contains(exchange)) return;
   if (error) {
-    running_.erase(exchange);
+    exchanges_.erase(exchange);
     gateway_.onLost(exchange, state == http::SendState::SentUnknown, now());
   } else {
     gateway_.onEnd(exchange, now());
   }
-  pump();
-  running_.erase(exchange);
+  executeActions();
+  exchanges_.erase(exchange);
 }
 
 }  // namespace crankspur::gateway
--- a/src/gateway_process/traffic_loop.h
+++ b/src/gateway_process/traffic_loop.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Internal to this package: drives one Gateway with real sockets, a clock and a timer, on one thread.
+/// @file Internal to this package: runs one Gateway with real sockets, a clock and timers on one thread.
 
 #include <absl/container/flat_hash_map.h>
 
@@ -15,77 +15,78 @@
 
 namespace crankspur::gateway {
 
-/// All of it runs on the executor's thread, but for the functions that say otherwise.
+/// Event loop of the traffic thread. Functions run on the executor's thread unless stated otherwise.
 class TrafficLoop {
 public:
   TrafficLoop(const GatewayProcessSettings& settings, std::shared_ptr<const Dialect> dialect,
-              GatewayFacts facts, RequestObserver& observer, boost::asio::any_io_executor executor);
+              TrafficCallbacks callbacks, RequestObserver& observer, boost::asio::any_io_executor executor);
 
-  /// To be called before the thread starts.
+  /// Starts to listen. Call it before the thread starts.
   std::error_code listen();
   std::uint16_t port() const { return server_->port(); }
 
   void onSnapshot(std::shared_ptr<const GatewaySnapshot> snapshot);
-  void onCachedParts(const CachedPartsUpdate& news);
+  void onCachedParts(const CachedPartsUpdate& update);
   void onPeerLoad(const std::vector<LoadDigest>& digests);
-  void onCrashUpdate(const CrashUpdate& news) { gateway_.onCrashUpdate(news, now()); }
-  /// Closes kept connections to back ends; requests on others that may be repeated move soon.
+  void onCrashUpdate(const CrashUpdate& update) { gateway_.onCrashUpdate(update, now()); }
+  /// Closes idle connections to back ends. Retryable requests on other connections soon move to another back
+  /// end.
   void onConnectionsSilent();
   void drain();
   void stopAccepting() { server_->stopAccepting(); }
   void closeIdleConnections() { server_->closeIdle(); }
 
-  /// From any thread.
+  /// May be called from any thread.
   std::size_t inFlight() const { return in_flight_.load(); }
-  /// From any thread.
+  /// May be called from any thread.
   GatewayCounters counters() const;
 
 private:
-  /// A client's request whose answer has not ended.
+  /// A client's request whose response has not ended.
   struct Client {
     std::shared_ptr<const http::Request> request;
     std::string request_id;
     std::shared_ptr<http::ResponseWriter> writer;
   };
-  /// An exchange that the gateway still hears of.
-  struct Running {
+  /// An exchange whose events are still forwarded to the gateway.
+  struct ActiveExchange {
     ClientId client = 0;
     std::shared_ptr<http::Exchange> exchange;
     int status = 0;
     http::Headers headers;
-    std::string body;  ///< Kept until the gateway says what becomes of it.
+    std::string body;  ///< Buffered until the gateway decides what to do with it.
     bool large = false;
   };
 
   TimePoint now() const { return clock_.now(); }
   void onRequest(http::Request request, std::shared_ptr<http::ResponseWriter> writer);
-  void pump();
+  void executeActions();
   void armTimer();
   void countInFlight();
-  void watchDrain();
+  void pollDrain();
 
   void onUnreadableRequest(const http::UnreadRequest& unread);
-  void tellWorkSoon();
-  void tellCrashesSoon();
-  void tellWork();
-  void meterRequest();
-  void meterTick(TimePoint due);
+  void scheduleLoadDigest();
+  void scheduleCrashUpdate();
+  void sendLoadDigest();
+  void recordRequest();
+  void onMeterTick(TimePoint due);
 
-  void carryOut(const Refuse& action);
-  void carryOut(const Dispatch& action);
-  void carryOut(const CancelExchange& action);
-  void carryOut(const DiscardResponse& action);
-  void carryOut(const ForwardResponse& action);
-  void carryOut(const ForwardHead& action);
-  void carryOut(ForwardBytes& action);
-  void carryOut(const EndResponse& action);
-  void carryOut(const AbortResponse& action);
-  void carryOut(const ReportUnreachable& action);
-  void carryOut(const ReportWrongBackend& action);
-  void carryOut(const ProbeBackend& action);
+  void execute(const Refuse& action);
+  void execute(const Dispatch& action);
+  void execute(const CancelExchange& action);
+  void execute(const DiscardResponse& action);
+  void execute(const ForwardResponse& action);
+  void execute(const ForwardHead& action);
+  void execute(ForwardBytes& action);
+  void execute(const EndResponse& action);
+  void execute(const AbortResponse& action);
+  void execute(const ReportUnreachable& action);
+  void execute(const ReportWrongBackend& action);
+  void execute(const ProbeBackend& action);
   void onProbeResult(std::uint64_t probe, bool answered);
 
-  http::ExchangeCallbacks callbacksOf(ExchangeId exchange, const std::string& request_id);
+  http::ExchangeCallbacks exchangeCallbacks(ExchangeId exchange, const std::string& request_id);
   void onHead(ExchangeId exchange, const std::string& request_id, int status, const http::Headers& headers);
   void onData(ExchangeId exchange, std::string_view bytes);
   void onDone(ExchangeId exchange, std::error_code error, http::SendState state);
@@ -93,7 +94,7 @@
 
   GatewayProcessSettings settings_;
   std::shared_ptr<const Dialect> dialect_;
-  GatewayFacts facts_;
+  TrafficCallbacks callbacks_;
   SteadyClock clock_;
   boost::asio::any_io_executor executor_;
   Gateway gateway_;
@@ -102,20 +103,20 @@
   boost::asio::steady_timer timer_;
   TimePoint timer_at_ = TimePoint::max();
   boost::asio::steady_timer drain_timer_;
-  boost::asio::steady_timer work_timer_;
-  bool work_waiting_ = false;     ///< work_timer_ is armed.
-  bool told_work_ = false;        ///< The last digest was not empty.
-  bool crashes_waiting_ = false;  ///< crash_timer_ is armed.
+  boost::asio::steady_timer load_digest_timer_;
+  bool load_digest_scheduled_ = false;   ///< load_digest_timer_ is armed.
+  bool sent_load_ = false;               ///< The last digest sent was not empty.
+  bool crash_update_scheduled_ = false;  ///< crash_timer_ is armed.
   boost::asio::steady_timer crash_timer_;
   LoadMeter meter_;
   boost::asio::steady_timer meter_timer_;
-  bool metering_ = false;  ///< meter_timer_ is armed.
+  bool meter_active_ = false;  ///< meter_timer_ is armed.
   ClientId next_client_ = 1;
   absl::flat_hash_map<ClientId, Client> clients_;
-  absl::flat_hash_map<ExchangeId, Running> running_;
+  absl::flat_hash_map<ExchangeId, ActiveExchange> exchanges_;
   absl::flat_hash_map<std::uint64_t, std::shared_ptr<http::Exchange>> probes_;
   std::shared_ptr<const Configuration> configuration_;
-  bool pumping_ = false;
+  bool executing_actions_ = false;
   std::atomic<std::size_t> in_flight_ = 0;
   mutable std::mutex counters_mutex_;
   GatewayCounters counters_;
--- a/tests/integration/gateway/gateway_site.h
+++ b/tests/integration/gateway/gateway_site.h
@@ -67,7 +67,7 @@
     GatewayProcessSettings settings;
     settings.listen_address = "127.0.0.1:0";
     settings.decisions = decisions;
-    process = std::make_unique<GatewayProcess>(settings, std::make_shared<TestDialect>(), GatewayFacts{});
+    process = std::make_unique<GatewayProcess>(settings, std::make_shared<TestDialect>(), TrafficCallbacks{});
     REQUIRE_FALSE(process->start());
     client = http::makeClient(context.get_executor());
     process->publish(snapshot(repeatability, streaming));
--- a/tests/unit/gateway_control/gateway_admin_test.cc
+++ b/tests/unit/gateway_control/gateway_admin_test.cc
@@ -87,7 +87,8 @@
   GatewayMetrics metrics;
   RequestLog lines{log};
   ObserverPair observers{lines, metrics};
-  GatewayProcess process{processSettings(), std::make_shared<RejectingDialect>(), GatewayFacts{}, observers};
+  GatewayProcess process{processSettings(), std::make_shared<RejectingDialect>(), TrafficCallbacks{},
+                         observers};
   FakePlatformLink platform;
   GatewayControl control{context.get_executor(), settings, 7, platform, outputs(), log};
   GatewayAdmin admin{settings, process, control, metrics, log};
--- a/tests/unit/gateway_control/table_mirror_test.cc
+++ b/tests/unit/gateway_control/table_mirror_test.cc
@@ -21,7 +21,7 @@
   TableMirror mirror;
   mirror.onRow({"a", "1", 4, false});
   mirror.onRow({"b", "2", 9, false});
-  mirror.onWhole({"a", "b"});
+  mirror.onFullRead({"a", "b"});
   mirror.onContact(10, kNow);
   return mirror;
 }
@@ -55,7 +55,7 @@
   CHECK_FALSE(TableMirror().known());
   CHECK_FALSE(mirror.changesAfter(9));
   mirror.onRow({"c", "3", 30, false});
-  mirror.onWhole({"c"});
+  mirror.onFullRead({"c"});
   mirror.onContact(31, kNow);
   CHECK_FALSE(mirror.changesAfter(30));
   CHECK(mirror.changesAfter(31)->empty());
--- a/tests/unit/gateway_control/table_relay_test.cc
+++ b/tests/unit/gateway_control/table_relay_test.cc
@@ -30,7 +30,7 @@
     reader_address = "127.0.0.1:" + std::to_string(reader.port());
     standby.setReaders({reader_address});
     reader.onRow("op", {"config", "one", 5, false});
-    reader.onWhole("op", {"config"});
+    reader.onFullRead("op", {"config"});
     reader.onContact("op", 7, clock.now());
   }
 
@@ -98,7 +98,7 @@
   const TimePoint contact = pair.clock.now() - 2s;
   TableRelay old{pair.context.get_executor(), *pair.client, pair.store, 3};
   REQUIRE_FALSE(old.listen("127.0.0.1:0"));
-  old.onWhole("op", {});
+  old.onFullRead("op", {});
   old.onContact("op", 8, contact);
   pair.standby.setReaders({"127.0.0.1:" + std::to_string(old.port())});
   pair.wait(8, 0s);
@@ -111,7 +111,7 @@
   ReaderAndStandby pair;
   TableRelay lost{pair.context.get_executor(), *pair.client, pair.store, 3};
   REQUIRE_FALSE(lost.listen("127.0.0.1:0"));
-  lost.onWhole("op", {});
+  lost.onFullRead("op", {});
   lost.onContact("op", 8, pair.clock.now() - 10s);
   pair.standby.setReaders({"127.0.0.1:" + std::to_string(lost.port()), pair.reader_address});
   pair.wait(6, 0s);
@@ -200,7 +200,7 @@
   ReaderAndStandby pair;
   TableRelay other{pair.context.get_executor(), *pair.client, pair.store, 3};
   REQUIRE_FALSE(other.listen("127.0.0.1:0"));
-  other.onWhole("op", {});
+  other.onFullRead("op", {});
   other.onContact("op", 7, pair.clock.now());
   other.onContact("op", 9, pair.clock.now());
   pair.standby.setReaders({pair.reader_address, "127.0.0.1:" + std::to_string(other.port())});
--- a/tests/unit/platform/rows_store.h
+++ b/tests/unit/platform/fake_platform_store.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file A store of the platform in a test's own loop: rows that the test writes, feeds that answer on a
-/// change.
+/// @file Fake of the platform's store on the event loop of a test. The test writes the rows; feed requests
+/// are held until there is a change.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -20,9 +20,10 @@
 
 namespace crankspur::platform {
 
-class RowsStore {
+/// Store with rows written by a test.
+class FakePlatformStore {
 public:
-  explicit RowsStore(boost::asio::io_context& context) : context_(context) {
+  explicit FakePlatformStore(boost::asio::io_context& context) : context_(context) {
     std::error_code error;
     const auto handler = [this](const http::Request& request,
                                 const std::shared_ptr<http::ResponseWriter>& writer) {
@@ -37,12 +38,12 @@
   void put(const std::string& table, const std::string& key, const std::string& document) {
     putEncoded(table, key, encodeBase64(document));
   }
-  /// @param value as it stands in answers; need not be base64.
+  /// @param value as contained in responses; may be invalid base64.
   void putEncoded(const std::string& table, const std::string& key, const std::string& value) {
-    change({table, key, value, ++version_, false});
+    appendRow({table, key, value, ++version_, false});
   }
   void remove(const std::string& table, const std::string& key) {
-    change({table, key, "", ++version_, true});
+    appendRow({table, key, "", ++version_, true});
   }
 
 private:
@@ -51,23 +52,23 @@
     std::string key;
     std::string value;
     std::uint64_t version = 0;
-    bool gone = false;
+    bool removed = false;
   };
-  struct Held {
+  struct HeldCall {
     std::string table;
     std::uint64_t after = 0;
     std::shared_ptr<http::ResponseWriter> writer;
   };
 
-  void change(Row row) {
+  void appendRow(Row row) {
     log_.push_back(std::move(row));
-    const std::list<Held> held = std::exchange(held_, {});
-    for (const Held& call : held) answerFeed(call);
+    const std::list<HeldCall> held_calls = std::exchange(held_calls_, {});
+    for (const HeldCall& call : held_calls) respondToFeed(call);
   }
 
-  static boost::json::object json(const Row& row) {
+  static boost::json::object toJson(const Row& row) {
     return {{"table", row.table}, {"part", ""},         {"key", row.key},
-            {"value", row.value}, {"ver", row.version}, {"gone", row.gone}};
+            {"value", row.value}, {"ver", row.version}, {"gone", row.removed}};
   }
 
   std::string body(const boost::json::array& rows) const {
@@ -75,29 +76,29 @@
         boost::json::object{{"rows", rows}, {"more", false}, {"ver", version_}, {"now_ms", 1}});
   }
 
-  void answerFeed(const Held& call) {
+  void respondToFeed(const HeldCall& call) {
     boost::json::array rows;
     for (const Row& row : log_) {
-      if (row.table == call.table && row.version > call.after) rows.push_back(json(row));
+      if (row.table == call.table && row.version > call.after) rows.push_back(toJson(row));
     }
-    if (rows.empty()) return held_.push_back(call);
+    if (rows.empty()) return held_calls_.push_back(call);
     call.writer->respond(http::jsonResponse(200, body(rows)));
   }
 
   void serve(const http::Request& request, const std::shared_ptr<http::ResponseWriter>& writer) {
     const std::string table = request.query("table");
     if (request.path() == "/rows-feed") {
-      const Held call{table, std::stoull(request.query("after")), writer};
-      if (request.query("waitMs") != "0") return answerFeed(call);
+      const HeldCall call{table, std::stoull(request.query("after")), writer};
+      if (request.query("waitMs") != "0") return respondToFeed(call);
       return writer->respond(http::jsonResponse(200, body({})));
     }
-    std::map<std::string, Row> present;
+    std::map<std::string, Row> current_rows;
     for (const Row& row : log_) {
-      if (row.table == table) present[row.key] = row;
+      if (row.table == table) current_rows[row.key] = row;
     }
     boost::json::array rows;
-    for (const auto& [key, row] : present) {
-      if (!row.gone) rows.push_back(json(row));
+    for (const auto& [key, row] : current_rows) {
+      if (!row.removed) rows.push_back(toJson(row));
     }
     writer->respond(http::jsonResponse(200, body(rows)));
   }
@@ -105,7 +106,7 @@
   boost::asio::io_context& context_;
   std::unique_ptr<http::Server> server_;
   std::vector<Row> log_;
-  std::list<Held> held_;
+  std::list<HeldCall> held_calls_;
   std::uint64_t version_ = 1;
 };
 
--- a/tests/unit/platform/header_dialect_test.cc
+++ b/tests/unit/platform/header_dialect_test.cc
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-TEST_CASE("a client's head is read in the gateway's terms", "[header_dialect]") {
+TEST_CASE("the head of a client's request is parsed", "[header_dialect]") {
   const HeaderDialect dialect;
   const auto read = dialect.readRequest(clientRequest());
   REQUIRE(read);
@@ -43,7 +43,8 @@
   CHECK_FALSE(read->resume_after);
 }
 
-TEST_CASE("a head without an id is malformed; odd hints only hide the prompt", "[header_dialect]") {
+TEST_CASE("a head without an id is malformed; malformed hints only leave the prompt unknown",
+          "[header_dialect]") {
   const HeaderDialect dialect;
   http::Request request = clientRequest();
   request.headers["Prefix-Hash"] = "5c1e07a2:800,zz:1";
@@ -58,7 +59,7 @@
   CHECK_FALSE(dialect.readRequest(request));
 }
 
-TEST_CASE("what a client may not set, the key and headers of one connection are not sent on",
+TEST_CASE("hop-by-hop headers, the API key and headers that clients may not set are not forwarded",
           "[header_dialect]") {
   const HeaderDialect dialect;
   gateway::ForwardTerms terms;
@@ -84,19 +85,19 @@
   CHECK(sent == expected);
 }
 
-TEST_CASE("a runner's head tells what became of the request", "[header_dialect]") {
+TEST_CASE("the head of a runner's response states the outcome of the request", "[header_dialect]") {
   const HeaderDialect dialect;
-  http::Response answer;
-  answer.status = 503;
-  CHECK_FALSE(dialect.readResponse(answer, "r1").not_run);
-  answer.headers["Not-Executed"] = "1";
-  CHECK(dialect.readResponse(answer, "r1").not_run);
-  answer = {421, {}, ""};
-  CHECK(dialect.readResponse(answer, "r1").wrong_backend);
-  answer = {200, {{"Attempt-Id", "r2"}, {"Server-Seal", "s"}, {"Weight-Versions", "4"}}, ""};
-  CHECK(dialect.readResponse(answer, "r1").other_request);
-  CHECK(dialect.readResponse(answer, "r2").genuine);
-  CHECK(dialect.readResponse(answer, "r2").weights_version == 4);
-  answer.headers["Content-Encoding"] = "gzip";
-  CHECK_FALSE(dialect.readResponse(answer, "r2").genuine);
+  http::Response response;
+  response.status = 503;
+  CHECK_FALSE(dialect.readResponse(response, "r1").not_run);
+  response.headers["Not-Executed"] = "1";
+  CHECK(dialect.readResponse(response, "r1").not_run);
+  response = {421, {}, ""};
+  CHECK(dialect.readResponse(response, "r1").wrong_backend);
+  response = {200, {{"Attempt-Id", "r2"}, {"Server-Seal", "s"}, {"Weight-Versions", "4"}}, ""};
+  CHECK(dialect.readResponse(response, "r1").other_request);
+  CHECK(dialect.readResponse(response, "r2").genuine);
+  CHECK(dialect.readResponse(response, "r2").weights_version == 4);
+  response.headers["Content-Encoding"] = "gzip";
+  CHECK_FALSE(dialect.readResponse(response, "r2").genuine);
 }
--- a/tests/unit/platform/holding_store.h
+++ b/tests/unit/platform/idle_platform_store.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file A store of the platform in a test's own loop: empty tables, feeds that are held until their wait is
-/// over, reads that are answered at once.
+/// @file Fake of the platform's store on the event loop of a test. Its tables are empty and never change:
+/// feed requests get a response at the end of their wait, reads immediately.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -12,9 +12,10 @@
 
 namespace crankspur::platform {
 
-class HoldingStore {
+/// Store whose tables never change.
+class IdlePlatformStore {
 public:
-  explicit HoldingStore(boost::asio::io_context& context) : context_(context) {
+  explicit IdlePlatformStore(boost::asio::io_context& context) : context_(context) {
     std::error_code error;
     const auto handler = [this](const http::Request& request,
                                 const std::shared_ptr<http::ResponseWriter>& writer) {
@@ -28,15 +29,13 @@
 
 private:
   void serve(const http::Request& request, const std::shared_ptr<http::ResponseWriter>& writer) {
-    const std::string answer = R"({"rows":[],"more":false,"ver":10,"now_ms":1})";
+    const std::string body = R"({"rows":[],"more":false,"ver":10,"now_ms":1})";
     const std::string wait = request.query("waitMs");
-    if (request.path() != "/rows-feed" || wait == "0")
-      return writer->respond(http::jsonResponse(200, answer));
+    if (request.path() != "/rows-feed" || wait == "0") return writer->respond(http::jsonResponse(200, body));
     const auto timer =
         std::make_shared<boost::asio::steady_timer>(context_, std::chrono::milliseconds(std::stoul(wait)));
-    timer->async_wait([timer, writer, answer](boost::system::error_code) {
-      writer->respond(http::jsonResponse(200, answer));
-    });
+    timer->async_wait(
+        [timer, writer, body](boost::system::error_code) { writer->respond(http::jsonResponse(200, body)); });
   }
 
   boost::asio::io_context& context_;
--- a/tests/unit/platform/runner_entries_test.cc
+++ b/tests/unit/platform/runner_entries_test.cc
@@ -1,6 +1,6 @@
-/// @file What a gateway makes of the entries in the table of runners. A runner may start again under its id:
-/// by its birth alone it is known as another one, which holds and knows nothing of before. An entry may come
-/// from a writer that is not the platform; it names no runner to use, and the others hold.
+/// @file Tests how a gateway interprets the table of runners. A runner may restart with the same id: only its
+/// start time tells the new start from the previous one, whose cache and state are lost. An entry may come
+/// from a writer other than the platform; it must be rejected without affecting other entries.
 
 #include <fmt/format.h>
 
@@ -10,7 +10,7 @@
 #include <memory>
 
 #include "platform/platform_translator.h"
-#include "unit/platform/rows_store.h"
+#include "unit/platform/fake_platform_store.h"
 #include "unit/run_until.h"
 
 using namespace crankspur;
@@ -35,33 +35,35 @@
   std::map<EventId, int> lines;
 };
 
-/// The platform side of a gateway before a store, and the runners that it tells of.
-struct EntriesSite {
-  EntriesSite() : store(context), translator(context.get_executor(), options(), log) {
+/// A platform translator connected to a fake store, and the runners that it reports.
+struct EntriesFixture {
+  EntriesFixture() : store(context), translator(context.get_executor(), options(), log) {
     store.put("op", "config", kConfiguration);
   }
 
   TranslatorOptions options() const {
-    TranslatorOptions made;
-    made.store_address = store.address();
-    return made;
+    TranslatorOptions result;
+    result.store_address = store.address();
+    return result;
   }
 
   void start() {
-    gateway::PlatformCallbacks news;
-    news.on_configuration = [this](const auto& configuration) { version = configuration->version; };
-    news.on_weights = [](const auto&) {};
-    news.on_backend = [this](const gateway::ListedBackend& listed) { listed_at[listed.address] = listed.id; };
-    news.on_backend_removed = [this](const std::string& id) { forget(id); };
-    news.on_full_list = [this](const std::vector<std::string>& ids) { ++whole_lists, whole_list = ids; };
-    news.on_contact = [](TimePoint) {};
-    news.on_trouble = [this] { ++troubles; };
-    news.on_connections_silent = [] {};
-    translator.start(std::move(news));
-    until([this] { return whole_lists > 0 && version > 0; });
+    gateway::PlatformCallbacks callbacks;
+    callbacks.on_configuration = [this](const auto& configuration) { version = configuration->version; };
+    callbacks.on_weights = [](const auto&) {};
+    callbacks.on_backend = [this](const gateway::ListedBackend& listed) {
+      listed_at[listed.address] = listed.id;
+    };
+    callbacks.on_backend_removed = [this](const std::string& id) { removeListed(id); };
+    callbacks.on_full_list = [this](const std::vector<std::string>& ids) { ++full_lists, full_list = ids; };
+    callbacks.on_contact = [](TimePoint) {};
+    callbacks.on_failure = [this] { ++failures; };
+    callbacks.on_connections_silent = [] {};
+    translator.start(std::move(callbacks));
+    until([this] { return full_lists > 0 && version > 0; });
   }
 
-  void forget(const std::string& id) {
+  void removeListed(const std::string& id) {
     std::erase_if(listed_at, [&id](const auto& item) { return item.second == id; });
   }
 
@@ -69,10 +71,10 @@
   void until(Condition condition) {
     runUntil(context, condition);
   }
-  /// Waits until everything written has been read: the last entry is a sound one of its own.
-  void settle() {
-    const std::string address = fmt::format("10.9.0.{}:1", ++settled);
-    store.put("servers", "last-" + std::to_string(settled), entry(address));
+  /// Waits until everything written so far has been read: writes one more valid entry and waits for it.
+  void waitUntilRead() {
+    const std::string address = fmt::format("10.9.0.{}:1", ++entries_written);
+    store.put("servers", "last-" + std::to_string(entries_written), entry(address));
     until([&] { return listed_at.contains(address); });
   }
   std::string at(const std::string& address) const {
@@ -81,53 +83,53 @@
   }
 
   boost::asio::io_context context;
-  RowsStore store;
+  FakePlatformStore store;
   CountingLog log;
   PlatformTranslator translator;
-  std::map<std::string, std::string> listed_at;  ///< Id by address.
-  std::vector<std::string> whole_list;
+  std::map<std::string, std::string> listed_at;  ///< Ids by address.
+  std::vector<std::string> full_list;
   std::uint64_t version = 0;
-  int whole_lists = 0;
-  int troubles = 0;
-  int settled = 0;
+  int full_lists = 0;
+  int failures = 0;
+  int entries_written = 0;
 };
 
 }  // namespace
 
-TEST_CASE("a runner that starts again under its id is another back end", "[runner_entries]") {
-  EntriesSite site;
-  site.store.put("servers", "r", entry("10.0.0.1:1"));
-  site.start();
-  site.settle();
-  const std::string before = site.at("10.0.0.1:1");
+TEST_CASE("a runner that restarts with the same id is a new back end", "[runner_entries]") {
+  EntriesFixture fixture;
+  fixture.store.put("servers", "r", entry("10.0.0.1:1"));
+  fixture.start();
+  fixture.waitUntilRead();
+  const std::string before = fixture.at("10.0.0.1:1");
   REQUIRE_FALSE(before.empty());
-  site.store.put("servers", "r", entry("10.0.0.1:1", R"(,"born":1000,"later":1)"));
-  site.settle();
-  CHECK(site.at("10.0.0.1:1") == before);
-  site.store.put("servers", "r", entry("10.0.0.1:1", R"(,"born":2000)"));
-  site.settle();
-  const std::string after = site.at("10.0.0.1:1");
+  fixture.store.put("servers", "r", entry("10.0.0.1:1", R"(,"born":1000,"later":1)"));
+  fixture.waitUntilRead();
+  CHECK(fixture.at("10.0.0.1:1") == before);
+  fixture.store.put("servers", "r", entry("10.0.0.1:1", R"(,"born":2000)"));
+  fixture.waitUntilRead();
+  const std::string after = fixture.at("10.0.0.1:1");
   CHECK_FALSE(after.empty());
   CHECK(after != before);
-  site.store.remove("servers", "r");
-  site.settle();
-  CHECK(site.at("10.0.0.1:1").empty());
+  fixture.store.remove("servers", "r");
+  fixture.waitUntilRead();
+  CHECK(fixture.at("10.0.0.1:1").empty());
 }
 
-TEST_CASE("a birth before the one known is another start too", "[runner_entries]") {
-  EntriesSite site;
-  site.store.put("servers", "r", entry("10.0.0.1:1", R"(,"born":2000)"));
-  site.start();
-  site.settle();
-  const std::string before = site.at("10.0.0.1:1");
-  site.store.put("servers", "r", entry("10.0.0.1:1", R"(,"born":1000)"));
-  site.settle();
-  CHECK_FALSE(site.at("10.0.0.1:1").empty());
-  CHECK(site.at("10.0.0.1:1") != before);
+TEST_CASE("an entry with an earlier start time is a new start, too", "[runner_entries]") {
+  EntriesFixture fixture;
+  fixture.store.put("servers", "r", entry("10.0.0.1:1", R"(,"born":2000)"));
+  fixture.start();
+  fixture.waitUntilRead();
+  const std::string before = fixture.at("10.0.0.1:1");
+  fixture.store.put("servers", "r", entry("10.0.0.1:1", R"(,"born":1000)"));
+  fixture.waitUntilRead();
+  CHECK_FALSE(fixture.at("10.0.0.1:1").empty());
+  CHECK(fixture.at("10.0.0.1:1") != before);
 }
 
-TEST_CASE("an entry of another writer names no runner, and the others hold", "[runner_entries]") {
-  const std::string bad = GENERATE(
+TEST_CASE("an entry of another writer is rejected and does not affect other entries", "[runner_entries]") {
+  const std::string invalid_entry = GENERATE(
       as<std::string>{}, "", "{", "[]", "\xff\xfe", R"({"service":"lm"})",
       entry("10.0.0.2:1", R"(,"born":"1000")"), entry("10.0.0.2:1", R"(,"born":1000.5)"),
       entry("10.0.0.2:1", ""), entry("10.0.0.2:1", R"(,"born":1000)", "lm", "resting"),
@@ -135,61 +137,61 @@
       entry("not an address"), entry("10.0.0.1:1", R"(,"born":9000)", "unheard"),
       R"({"service":"lm","address":"10.0.0.2:1","zone":"z","version":"v1","slots":"4","state":"ready",)"
       R"("coldRemainingMs":0,"sequence":1,"born":1000})");
-  INFO(bad);
-  EntriesSite site;
-  site.store.put("servers", "r1", entry("10.0.0.1:1"));
-  site.start();
-  site.settle();
-  const std::string sound = site.at("10.0.0.1:1");
-  SECTION("under an id of its own") {
-    site.store.put("servers", "r2", bad);
-    site.settle();
-    CHECK(site.at("10.0.0.2:1").empty());
-    CHECK(site.at("10.0.0.1:1") == sound);
+  INFO(invalid_entry);
+  EntriesFixture fixture;
+  fixture.store.put("servers", "r1", entry("10.0.0.1:1"));
+  fixture.start();
+  fixture.waitUntilRead();
+  const std::string valid_id = fixture.at("10.0.0.1:1");
+  SECTION("under a new id") {
+    fixture.store.put("servers", "r2", invalid_entry);
+    fixture.waitUntilRead();
+    CHECK(fixture.at("10.0.0.2:1").empty());
+    CHECK(fixture.at("10.0.0.1:1") == valid_id);
   }
-  SECTION("under an id that is in use: until a sound one comes") {
-    site.store.put("servers", "r1", bad);
-    site.settle();
-    CHECK(site.listed_at.size() == 2);  // Those of settle().
-    site.store.put("servers", "r1", entry("10.0.0.1:1"));
-    site.settle();
-    CHECK(site.at("10.0.0.1:1") == sound);
+  SECTION("under an id that is in use, until a valid entry is written") {
+    fixture.store.put("servers", "r1", invalid_entry);
+    fixture.waitUntilRead();
+    CHECK(fixture.listed_at.size() == 2);  // Entries written by waitUntilRead().
+    fixture.store.put("servers", "r1", entry("10.0.0.1:1"));
+    fixture.waitUntilRead();
+    CHECK(fixture.at("10.0.0.1:1") == valid_id);
   }
-  CHECK(site.log.lines[EventId::PlatformDocumentRefused] >= 1);
+  CHECK(fixture.log.lines[EventId::PlatformDocumentRefused] >= 1);
 }
 
 TEST_CASE("a row whose value cannot be decoded does not end the feed", "[runner_entries]") {
-  EntriesSite site;
-  site.store.putEncoded("servers", "r2", "?");
-  site.store.put("servers", "r1", entry("10.0.0.1:1"));
-  site.start();
-  site.settle();
-  CHECK_FALSE(site.at("10.0.0.1:1").empty());
-  CHECK(site.troubles == 0);
+  EntriesFixture fixture;
+  fixture.store.putEncoded("servers", "r2", "?");
+  fixture.store.put("servers", "r1", entry("10.0.0.1:1"));
+  fixture.start();
+  fixture.waitUntilRead();
+  CHECK_FALSE(fixture.at("10.0.0.1:1").empty());
+  CHECK(fixture.failures == 0);
 }
 
-TEST_CASE("a service that the configuration comes to name has its runners then", "[runner_entries]") {
-  EntriesSite site;
-  site.store.put("servers", "r1", entry("10.0.0.1:1", R"(,"born":1000)", "new"));
-  site.start();
-  site.settle();
-  CHECK(site.at("10.0.0.1:1").empty());
-  site.store.put("op", "config",
-                 R"({"version":2,"routes":[],"services":[{"name":"lm"},{"name":"new"}],"tenants":[]})");
-  site.until([&] { return !site.at("10.0.0.1:1").empty(); });
+TEST_CASE("runners of a service are used once the configuration contains the service", "[runner_entries]") {
+  EntriesFixture fixture;
+  fixture.store.put("servers", "r1", entry("10.0.0.1:1", R"(,"born":1000)", "new"));
+  fixture.start();
+  fixture.waitUntilRead();
+  CHECK(fixture.at("10.0.0.1:1").empty());
+  fixture.store.put("op", "config",
+                    R"({"version":2,"routes":[],"services":[{"name":"lm"},{"name":"new"}],"tenants":[]})");
+  fixture.until([&] { return !fixture.at("10.0.0.1:1").empty(); });
 }
 
-TEST_CASE("where no runner states its birth, ids alone tell them apart", "[runner_entries]") {
-  EntriesSite site;
-  site.store.put("servers", "r1", entry("10.0.0.1:1", ""));
-  site.store.put("servers", "r2", entry("10.0.0.2:1", ""));
-  site.store.put("servers", "r3", entry("10.0.0.3:1", ""));
-  site.start();
-  site.until([&] { return site.listed_at.size() == 3; });
-  CHECK(site.at("10.0.0.1:1") == "r1");
+TEST_CASE("if no runner states its start time, the id alone is the name", "[runner_entries]") {
+  EntriesFixture fixture;
+  fixture.store.put("servers", "r1", entry("10.0.0.1:1", ""));
+  fixture.store.put("servers", "r2", entry("10.0.0.2:1", ""));
+  fixture.store.put("servers", "r3", entry("10.0.0.3:1", ""));
+  fixture.start();
+  fixture.until([&] { return fixture.listed_at.size() == 3; });
+  CHECK(fixture.at("10.0.0.1:1") == "r1");
 }
 
-TEST_CASE("a runner's name holds its id and tells its starts apart", "[runner_entries]") {
+TEST_CASE("a runner's name contains its id and differs between starts", "[runner_entries]") {
   CHECK(runnerName("r-1", 0) == "r-1");
   CHECK(runnerName("r-1", 5) != runnerName("r-1", 6));
   for (const std::string id : {"r-1", "r#1", "", "#"}) {
--- a/tests/unit/platform/silent_connections_test.cc
+++ b/tests/unit/platform/silent_connections_test.cc
@@ -1,9 +1,9 @@
-/// @file Callers were refused for outdated keys while the store was well and new connections reached it.
-/// All open connections had gone silent for good, without a reset. A held call to the store was noticed only
-/// when its wait and its whole patience were over (3.7 s), and the next call went out on another kept
-/// connection, silent as well, and took its whole patience too: keys were outdated after 5 s. That each next
-/// call took a connection of before the silence was proved by lines for calls that got no answer (event
-/// 1403), all on connections that had served calls before.
+/// @file Guards against outdated API keys while the store works and is reachable by new connections. Requests
+/// were rejected for outdated keys after all open connections had gone silent for good, without a reset. The
+/// failure of a held call to the store was detected only at the end of its wait and timeout (3.7 s), and the
+/// next call reused another connection, which was silent as well and had to time out too: keys were outdated
+/// after 5 s. The log lines for calls without a response (event 1403) proved that each next call reused a
+/// connection opened before the silence.
 
 #include <boost/asio/io_context.hpp>
 #include <catch2/catch.hpp>
@@ -13,7 +13,7 @@
 #include "platform/platform_translator.h"
 #include "standins/fault_proxy/fault_proxy.h"
 #include "standins/fault_proxy/fault_settings.h"
-#include "unit/platform/holding_store.h"
+#include "unit/platform/idle_platform_store.h"
 
 using namespace crankspur;
 using namespace crankspur::platform;
@@ -21,41 +21,41 @@
 
 namespace {
 
-/// How long keys stay valid without word from the store, as on the deployments of the incident.
+/// Validity of keys without contact with the store, as configured in the deployments of the incident.
 constexpr Duration kKeyValidity = 5s;
 
-class NoLog : public EventLog {
+class NullLog : public EventLog {
 public:
   void write(EventId, const std::vector<LogField>&) override {}
 };
 
-/// The platform side of one gateway, and the oldest that its contact with the store ever was.
+/// The platform translator of one gateway, and the maximum age of its contact with the store.
 class Gateway {
 public:
   Gateway(boost::asio::io_context& context, const std::string& store, std::uint64_t seed)
       : translator_(context.get_executor(), options(store, seed), log_) {}
 
   void start() {
-    gateway::PlatformCallbacks news;
-    news.on_configuration = [](const auto&) {};
-    news.on_weights = [](const auto&) {};
-    news.on_backend = [](const auto&) {};
-    news.on_backend_removed = [](const auto&) {};
-    news.on_full_list = [](const auto&) {};
-    news.on_trouble = [] {};
-    news.on_connections_silent = [] {};
-    news.on_contact = [this](TimePoint as_of) {
-      noteAge();
+    gateway::PlatformCallbacks callbacks;
+    callbacks.on_configuration = [](const auto&) {};
+    callbacks.on_weights = [](const auto&) {};
+    callbacks.on_backend = [](const auto&) {};
+    callbacks.on_backend_removed = [](const auto&) {};
+    callbacks.on_full_list = [](const auto&) {};
+    callbacks.on_failure = [] {};
+    callbacks.on_connections_silent = [] {};
+    callbacks.on_contact = [this](TimePoint as_of) {
+      recordAge();
       contact_ = std::max(contact_, as_of);
     };
     contact_ = clock_.now();
-    translator_.start(std::move(news));
-    // As many calls at once leave as many connections that are kept.
+    translator_.start(std::move(callbacks));
+    // Concurrent calls leave several idle connections in the pool.
     for (int call = 0; call < 4; ++call) translator_.readLease("weights", [](const auto&) {});
   }
 
-  void noteAge() { oldest_ = std::max(oldest_, clock_.now() - contact_); }
-  Duration oldestContact() const { return oldest_; }
+  void recordAge() { max_age_ = std::max(max_age_, clock_.now() - contact_); }
+  Duration maxContactAge() const { return max_age_; }
   PlatformTranslator& translator() { return translator_; }
 
 private:
@@ -67,14 +67,14 @@
     return options;
   }
 
-  NoLog log_;
+  NullLog log_;
   SteadyClock clock_;
   TimePoint contact_{};
-  Duration oldest_{0};
+  Duration max_age_{0};
   PlatformTranslator translator_;
 };
 
-/// Gateways before a store; between all of them a proxy whose open connections can go silent.
+/// Gateways and a store, connected through a proxy that can silence open connections.
 class Site {
 public:
   Site() { REQUIRE_FALSE(proxy_.addRoute({"store", "127.0.0.1:0", store_.address()})); }
@@ -86,8 +86,8 @@
     return *gateways_.back();
   }
 
-  /// @return the address at which the gateway answers others, behind the proxy.
-  std::string reader(Gateway& gateway) {
+  /// @return the address, behind the proxy, at which the gateway serves other gateways.
+  std::string addReader(Gateway& gateway) {
     const std::uint16_t port = freePort();
     const std::string address = "127.0.0.1:" + std::to_string(port);
     REQUIRE_FALSE(gateway.translator().listen(address));
@@ -95,17 +95,18 @@
     return "127.0.0.1:" + std::to_string(proxy_.ports().back());
   }
 
-  /// Their calls are held since different moments when the connections go silent.
-  void addGatewaysApart(int count, Duration apart) {
+  /// Starts gateways one after the other, so that their calls have waited for different times when the
+  /// connections go silent.
+  void addGateways(int count, Duration interval) {
     for (int gateway = 0; gateway < count; ++gateway) {
       addGateway();
-      runFor(apart);
+      runFor(interval);
     }
   }
 
   void silenceOpenConnections() { proxy_.apply(silence()); }
 
-  /// As the kernel does once it has probed connections in vain.
+  /// Resets connections like the kernel after unsuccessful keep-alive probes.
   void resetOpenConnections() {
     standin::ControlCommand command;
     command.cut_now = true;
@@ -114,13 +115,13 @@
 
   void runFor(Duration time) { context_.run_for(std::chrono::microseconds(time)); }
 
-  Duration oldestContact() {
-    Duration oldest{0};
+  Duration maxContactAge() {
+    Duration max_age{0};
     for (const auto& gateway : gateways_) {
-      gateway->noteAge();
-      oldest = std::max(oldest, gateway->oldestContact());
+      gateway->recordAge();
+      max_age = std::max(max_age, gateway->maxContactAge());
     }
-    return oldest;
+    return max_age;
   }
 
 private:
@@ -135,31 +136,31 @@
   }
 
   boost::asio::io_context context_;
-  HoldingStore store_{context_};
+  IdlePlatformStore store_{context_};
   standin::FaultProxy proxy_{context_.get_executor(), 1};
   std::vector<std::unique_ptr<Gateway>> gateways_;
 };
 
 }  // namespace
 
-TEST_CASE("keys stay current while new connections reach the store, whatever becomes of open ones",
+TEST_CASE("keys stay current while new connections reach the store, even if open ones go silent",
           "[silent_connections]") {
   Site site;
-  site.addGatewaysApart(8, 320ms);
+  site.addGateways(8, 320ms);
   site.silenceOpenConnections();
   site.runFor(3s);
   site.silenceOpenConnections();
   site.runFor(5500ms);
-  CHECK(site.oldestContact() < kKeyValidity);
+  CHECK(site.maxContactAge() < kKeyValidity);
 }
 
-TEST_CASE("keys stay current at gateways that ask others for the store's tables, too",
+TEST_CASE("keys stay current at gateways that read the store's tables from other gateways",
           "[silent_connections]") {
   Site site;
   std::vector<std::string> readers;
   for (int index = 0; index < 2; ++index) {
     Gateway& gateway = site.addGateway();
-    readers.push_back(site.reader(gateway));
+    readers.push_back(site.addReader(gateway));
     site.runFor(900ms);
   }
   for (int index = 0; index < 4; ++index) {
@@ -170,18 +171,18 @@
   site.runFor(3s);
   site.silenceOpenConnections();
   site.runFor(5500ms);
-  CHECK(site.oldestContact() < kKeyValidity);
+  CHECK(site.maxContactAge() < kKeyValidity);
 }
 
-// The kernel's probes ended the silent connections after 3 s, sooner than the patience of some held calls.
-// The client took that for a server that closes an idle connection as the request is sent, and made each call
-// anew with its whole hold.
-TEST_CASE("keys stay current when silent connections are reset in the end", "[silent_connections]") {
+// The kernel's keep-alive probes reset the silent connections after 3 s, before some held calls timed out.
+// The client mistook the reset for a server that closes an idle connection while a request is sent, and
+// repeated each call with its full wait.
+TEST_CASE("keys stay current when silent connections are finally reset", "[silent_connections]") {
   Site site;
-  site.addGatewaysApart(8, 320ms);
+  site.addGateways(8, 320ms);
   site.silenceOpenConnections();
   site.runFor(3s);
   site.resetOpenConnections();
   site.runFor(4s);
-  CHECK(site.oldestContact() < kKeyValidity);
+  CHECK(site.maxContactAge() < kKeyValidity);
 }
--- a/tests/unit/platform/store_documents_test.cc
+++ b/tests/unit/platform/store_documents_test.cc
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-TEST_CASE("a configuration is read into routes, pools and tenants", "[store_documents]") {
+TEST_CASE("a configuration is parsed into routes, pools and tenants", "[store_documents]") {
   const auto parsed = readConfiguration(kConfiguration);
   REQUIRE(parsed.value);
   const gateway::Configuration& read = *parsed.value;
@@ -51,7 +51,7 @@
   CHECK(read.findTenantByKey("k3") == nullptr);
 }
 
-TEST_CASE("malformed documents are refused with the key that is wrong", "[store_documents]") {
+TEST_CASE("malformed documents are rejected with the key of the problem", "[store_documents]") {
   CHECK(readConfiguration("{").problem.find("body") == 0);
   CHECK(readConfiguration(R"({"routes":[],"services":[]})").problem.find("version") == 0);
   const auto bad_prefix = readConfiguration(
@@ -66,7 +66,7 @@
   CHECK_FALSE(gateway::CachedPartsPage(readCacheEvents("{}")).responded);
 }
 
-TEST_CASE("a runner's entry, report and cache are read", "[store_documents]") {
+TEST_CASE("a runner's entry, report and cache are parsed", "[store_documents]") {
   const auto entry =
       readRunnerEntry("i-1", R"({"service":"s","address":"10.0.0.1:8","zone":"z","version":"v1",
     "slots":4,"sequence":1,"born":1700000000123,"state":"draining","coldRemainingMs":1500.5,"models":[{"name":"m","version":3,"adapters":["a"]}]})");
@@ -89,7 +89,7 @@
   CHECK(readCacheContent(R"({"epoch":5,"nextPageToken":9,"held":[["w1","1",10,"m"]]})").parts.size() == 1);
 }
 
-TEST_CASE("a record of this program's own keeps its bytes and its age", "[store_documents]") {
+TEST_CASE("a stored record keeps its bytes and its age", "[store_documents]") {
   const std::string text("a\0b", 3);
   const RelayedRow row{"record/x", writeStoredRecord(text, 5000), 9, false};
   const gateway::StoredRecord record = readStoredRecord(row, 7500);
--- a/tests/unit/platform/table_feed_test.cc
+++ b/tests/unit/platform/table_feed_test.cc
@@ -7,7 +7,7 @@
 #include "bundle/signing.h"
 #include "http/client.h"
 #include "http/server.h"
-#include "platform/entry_service.h"
+#include "platform/discovery_service.h"
 #include "platform/store_client.h"
 #include "unit/run_until.h"
 
@@ -17,18 +17,18 @@
 
 namespace {
 
-/// A store of one table that answers as a script says.
-struct Store {
-  enum class Mode { Sound, Silent, Refusing, HistoryCompacted };
+/// Fake store with one table; `mode` controls its responses.
+struct FakeStore {
+  enum class Mode { Normal, Unresponsive, Rejecting, HistoryCompacted };
 
-  explicit Store(boost::asio::io_context& context) {
+  explicit FakeStore(boost::asio::io_context& context) {
     std::error_code error;
     server = http::listen(
         context.get_executor(), "127.0.0.1:0",
         [this](const http::Request& request, const std::shared_ptr<http::ResponseWriter>& writer) {
           ++calls;
           serve(request, *writer);
-          if (mode == Mode::Silent) kept.push_back(writer);
+          if (mode == Mode::Unresponsive) held_writers.push_back(writer);
         },
         error);
     REQUIRE_FALSE(error);
@@ -43,21 +43,21 @@
   void remove(const std::string& key) {
     ++version;
     rows.erase(key);
-    gone[key] = version;
+    removed[key] = version;
   }
 
   void serve(const http::Request& request, http::ResponseWriter& writer) {
-    if (mode == Mode::Silent) return;
-    if (mode == Mode::Refusing) return writer.respond({503, {}, ""});
+    if (mode == Mode::Unresponsive) return;
+    if (mode == Mode::Rejecting) return writer.respond({503, {}, ""});
     const bool feed = request.path() == "/rows-feed";
-    if (feed && std::exchange(mode, Mode::Sound) == Mode::HistoryCompacted)
+    if (feed && std::exchange(mode, Mode::Normal) == Mode::HistoryCompacted)
       return writer.respond({410, {}, ""});
     const std::uint64_t after = feed ? std::stoull(request.query("after")) : 0;
     std::string list;
     for (const auto& [key, text] : rows) {
       if (changed[key] > after) list += (list.empty() ? "" : ",") + text;
     }
-    for (const auto& [key, at] : gone) {
+    for (const auto& [key, at] : removed) {
       if (feed && at > after) list += (list.empty() ? "" : ",") + (R"({"key":")" + key + R"(","gone":true})");
     }
     writer.respond(http::jsonResponse(
@@ -65,16 +65,16 @@
   }
 
   std::unique_ptr<http::Server> server;
-  Mode mode = Mode::Sound;
+  Mode mode = Mode::Normal;
   std::uint64_t version = 10;
   std::map<std::string, std::string> rows;
   std::map<std::string, std::uint64_t> changed;
-  std::map<std::string, std::uint64_t> gone;
-  std::vector<std::shared_ptr<http::ResponseWriter>> kept;
+  std::map<std::string, std::uint64_t> removed;
+  std::vector<std::shared_ptr<http::ResponseWriter>> held_writers;
   int calls = 0;
 };
 
-/// A feed of the store, and what it told.
+/// A feed of the store, and what it delivered.
 struct Fixture {
   Fixture()
       : client(http::makeClient(context.get_executor())),
@@ -85,19 +85,19 @@
     TableFeedCallbacks result;
     result.on_row = [this](const RelayedRow& row) {
       if (row.gone) {
-        told.erase(row.key);
+        delivered.erase(row.key);
       } else {
-        told[row.key] = row.value;
+        delivered[row.key] = row.value;
       }
     };
-    result.on_whole = [this](const std::vector<std::string>& keys) {
-      ++wholes;
-      std::erase_if(told, [&keys](const auto& item) {
+    result.on_full_read = [this](const std::vector<std::string>& keys) {
+      ++full_reads;
+      std::erase_if(delivered, [&keys](const auto& item) {
         return std::find(keys.begin(), keys.end(), item.first) == keys.end();
       });
     };
     result.on_contact = [this](TimePoint as_of) { contact = as_of; };
-    result.on_trouble = [this] { ++troubles; };
+    result.on_failure = [this] { ++failures; };
     return result;
   }
 
@@ -109,63 +109,64 @@
   }
 
   boost::asio::io_context context;
-  Store store{context};
+  FakeStore store{context};
   std::unique_ptr<http::Client> client;
   StoreClient calls;
-  std::map<std::string, std::string> told;
-  int wholes = 0;
-  int troubles = 0;
+  std::map<std::string, std::string> delivered;
+  int full_reads = 0;
+  int failures = 0;
   TimePoint contact{};
   TableFeed feed;
 };
 
 }  // namespace
 
-TEST_CASE("a feed tells the table, then its changes and removals", "[table_feed]") {
+TEST_CASE("a feed delivers the table, then its changes and removals", "[table_feed]") {
   Fixture fixture;
   fixture.store.put("a", "1");
   fixture.feed.start();
-  fixture.runUntil([&] { return fixture.wholes == 1; });
-  CHECK(fixture.told == std::map<std::string, std::string>{{"a", "1"}});
+  fixture.runUntil([&] { return fixture.full_reads == 1; });
+  CHECK(fixture.delivered == std::map<std::string, std::string>{{"a", "1"}});
   fixture.store.put("b", "2");
-  fixture.runUntil([&] { return fixture.told.contains("b"); });
+  fixture.runUntil([&] { return fixture.delivered.contains("b"); });
   fixture.store.remove("a");
-  fixture.runUntil([&] { return !fixture.told.contains("a"); });
-  CHECK(fixture.troubles == 0);
+  fixture.runUntil([&] { return !fixture.delivered.contains("a"); });
+  CHECK(fixture.failures == 0);
 }
 
-TEST_CASE("a feed reads everything again once history is gone", "[table_feed]") {
+TEST_CASE("a feed reads the complete table again if the history was compacted", "[table_feed]") {
   Fixture fixture;
   fixture.store.put("a", "1");
   fixture.feed.start();
-  fixture.runUntil([&] { return fixture.wholes == 1; });
-  // What happened in the gap is not in the feed any more.
+  fixture.runUntil([&] { return fixture.full_reads == 1; });
+  // The feed no longer contains the changes in the gap.
   fixture.store.put("b", "2");
   fixture.store.rows.erase("a");
-  fixture.store.mode = Store::Mode::HistoryCompacted;
-  fixture.runUntil([&] { return fixture.wholes == 2; });
-  CHECK(fixture.told == std::map<std::string, std::string>{{"b", "2"}});
+  fixture.store.mode = FakeStore::Mode::HistoryCompacted;
+  fixture.runUntil([&] { return fixture.full_reads == 2; });
+  CHECK(fixture.delivered == std::map<std::string, std::string>{{"b", "2"}});
 }
 
-TEST_CASE("a feed outlasts refusals and silence, and vouches for nothing meanwhile", "[table_feed]") {
+TEST_CASE("a feed recovers from rejected and unanswered calls and confirms nothing in the meantime",
+          "[table_feed]") {
   Fixture fixture;
   fixture.store.put("a", "1");
   fixture.feed.start();
-  fixture.runUntil([&] { return fixture.wholes == 1; });
-  const auto mode = GENERATE(Store::Mode::Refusing, Store::Mode::Silent);
+  fixture.runUntil([&] { return fixture.full_reads == 1; });
+  const auto mode = GENERATE(FakeStore::Mode::Rejecting, FakeStore::Mode::Unresponsive);
   fixture.store.mode = mode;
-  fixture.runUntil([&] { return fixture.troubles > 0; });
+  fixture.runUntil([&] { return fixture.failures > 0; });
   const TimePoint contact = fixture.contact;
   fixture.store.put("b", "2");
-  fixture.runUntil([&] { return fixture.troubles > 1; });
+  fixture.runUntil([&] { return fixture.failures > 1; });
   CHECK(fixture.contact == contact);
-  CHECK_FALSE(fixture.told.contains("b"));
-  fixture.store.mode = Store::Mode::Sound;
-  fixture.runUntil([&] { return fixture.told.contains("b"); });
+  CHECK_FALSE(fixture.delivered.contains("b"));
+  fixture.store.mode = FakeStore::Mode::Normal;
+  fixture.runUntil([&] { return fixture.delivered.contains("b"); });
   CHECK(fixture.contact > contact);
 }
 
-TEST_CASE("a write under a condition tells done, conflict and unknown apart", "[table_feed]") {
+TEST_CASE("a conditional write distinguishes done, conflict and unknown", "[table_feed]") {
   boost::asio::io_context context;
   std::error_code error;
   int status = 200;
@@ -182,10 +183,11 @@
   const auto client = http::makeClient(context.get_executor());
   StoreClient store(*client, "127.0.0.1:" + std::to_string(server->port()));
   const auto write = [&] {
-    std::optional<gateway::TableResponse> answer;
-    store.write("t", "k", "value", 3, [&answer](gateway::TableResponse given) { answer = std::move(given); });
-    while (!answer) context.run_one_for(100ms);
-    return *answer;
+    std::optional<gateway::TableResponse> response;
+    store.write("t", "k", "value", 3,
+                [&response](gateway::TableResponse received) { response = std::move(received); });
+    while (!response) context.run_one_for(100ms);
+    return *response;
   };
   CHECK(write().outcome == gateway::TableOutcome::Done);
   CHECK(seen.body.find(R"("ver":3)") != std::string::npos);
@@ -205,78 +207,78 @@
   boost::asio::io_context context;
   bool ready = false;
   std::vector<std::string> addresses;
-  EntrySources sources;
+  DiscoverySources sources;
   sources.ready = [&ready] { return ready; };
   std::string zone;
-  sources.client_addresses = [&](const std::string& asked) {
-    zone = asked;
+  sources.client_addresses = [&](const std::string& client_zone) {
+    zone = client_zone;
     return addresses;
   };
-  const EntryService service(context.get_executor(), sources);
-  http::Request question;
-  question.target = "/readyz";
-  CHECK(service.answer(question).status == 503);
+  const DiscoveryService service(context.get_executor(), sources);
+  http::Request request;
+  request.target = "/readyz";
+  CHECK(service.handle(request).status == 503);
   ready = true;
-  CHECK(service.answer(question).status == 200);
-  question.target = "/lookup?name=h&region=r&zone=z";
-  CHECK(service.answer(question).status == 503);
+  CHECK(service.handle(request).status == 200);
+  request.target = "/lookup?name=h&region=r&zone=z";
+  CHECK(service.handle(request).status == 503);
   addresses.assign(80, "10.0.0.1:1");
-  const http::Response answer = service.answer(question);
-  CHECK(answer.status == 200);
-  CHECK(answer.body.find(R"("ttlS":2)") != std::string::npos);
-  CHECK(std::count(answer.body.begin(), answer.body.end(), '1') == 64 * 3);
+  const http::Response response = service.handle(request);
+  CHECK(response.status == 200);
+  CHECK(response.body.find(R"("ttlS":2)") != std::string::npos);
+  CHECK(std::count(response.body.begin(), response.body.end(), '1') == 64 * 3);
   CHECK(zone == "z");
-  question.target = "/other";
-  CHECK(service.answer(question).status == 404);
+  request.target = "/other";
+  CHECK(service.handle(request).status == 404);
 }
 
-TEST_CASE("a paced feed gathers changes that come together into one call", "[table_feed]") {
+TEST_CASE("a feed with a batch delay reads changes in quick succession with one call", "[table_feed]") {
   Fixture fixture;
-  fixture.feed.setPause(300ms);
+  fixture.feed.setBatchDelay(300ms);
   fixture.feed.start();
-  fixture.runUntil([&] { return fixture.wholes == 1; });
+  fixture.runUntil([&] { return fixture.full_reads == 1; });
   fixture.store.put("a", "1");
-  fixture.runUntil([&] { return fixture.told.contains("a"); });
+  fixture.runUntil([&] { return fixture.delivered.contains("a"); });
   const int calls = fixture.store.calls;
-  // Each of these would be a call of its own without the pause.
+  // Without the delay, each of these changes would cause a call.
   for (int change = 0; change < 5; ++change) {
     fixture.store.put("b", std::to_string(change));
     fixture.context.run_for(20ms);
   }
-  fixture.runUntil([&] { return fixture.told["b"] == "4"; });
+  fixture.runUntil([&] { return fixture.delivered["b"] == "4"; });
   CHECK(fixture.store.calls <= calls + 2);
 }
 
-TEST_CASE("a feed that hangs is asked anew at once when the store is known to answer again", "[table_feed]") {
+TEST_CASE("refresh() replaces a pending call immediately", "[table_feed]") {
   Fixture fixture;
   fixture.feed.start();
-  fixture.runUntil([&] { return fixture.wholes == 1; });
-  fixture.store.mode = Store::Mode::Silent;
-  fixture.store.kept.clear();
-  fixture.runUntil([&] { return !fixture.store.kept.empty(); });
-  fixture.store.mode = Store::Mode::Sound;
+  fixture.runUntil([&] { return fixture.full_reads == 1; });
+  fixture.store.mode = FakeStore::Mode::Unresponsive;
+  fixture.store.held_writers.clear();
+  fixture.runUntil([&] { return !fixture.store.held_writers.empty(); });
+  fixture.store.mode = FakeStore::Mode::Normal;
   fixture.store.put("a", "1");
-  fixture.feed.askAnew();
+  fixture.feed.refresh();
   const auto began = std::chrono::steady_clock::now();
-  fixture.runUntil([&] { return fixture.told.contains("a"); });
-  // The hanging call would be given up after 1.2 s only.
+  fixture.runUntil([&] { return fixture.delivered.contains("a"); });
+  // The pending call would time out only after 1.2 s.
   CHECK(std::chrono::steady_clock::now() - began < 1s);
-  // Its end, which comes later, changes nothing.
-  const int troubles = fixture.troubles;
-  fixture.store.kept.clear();
+  // Its later failure is ignored.
+  const int failures = fixture.failures;
+  fixture.store.held_writers.clear();
   fixture.context.run_for(1500ms);
-  CHECK(fixture.troubles == troubles);
+  CHECK(fixture.failures == failures);
 }
 
 namespace {
 
-/// A source whose answers the test gives, and a feed of it that has read the table.
-struct Calls : gateway::TableSource {
-  explicit Calls(boost::asio::io_context& context)
-      : feed(context.get_executor(), *this, "t", 100ms, news(), 1) {
+/// Source whose responses are sent by the test, and a feed that has completely read the table from it.
+struct FakeSource : gateway::TableSource {
+  explicit FakeSource(boost::asio::io_context& context)
+      : feed(context.get_executor(), *this, "t", 100ms, callbacks(), 1) {
     feed.start();
-    gateway::TableResponse whole = answerAt(10);
-    std::exchange(read_done, nullptr)(whole);
+    gateway::TableResponse full_read = responseAt(10);
+    std::exchange(read_done, nullptr)(full_read);
   }
 
   void read(const std::string&, const std::string&, gateway::TableCallback done) override {
@@ -287,20 +289,20 @@
     waits.push_back(wait);
     calls.push_back(std::move(done));
   }
-  void onLate(const std::string&) override { ++late; }
+  void onLate(const std::string&) override { ++late_calls; }
 
-  static gateway::TableResponse answerAt(std::uint64_t version) {
-    gateway::TableResponse answer;
-    answer.outcome = gateway::TableOutcome::Done;
-    answer.version = version;
-    return answer;
+  static gateway::TableResponse responseAt(std::uint64_t version) {
+    gateway::TableResponse response;
+    response.outcome = gateway::TableOutcome::Done;
+    response.version = version;
+    return response;
   }
-  TableFeedCallbacks news() {
+  TableFeedCallbacks callbacks() {
     TableFeedCallbacks result;
     result.on_row = [](const RelayedRow&) {};
-    result.on_whole = [](const std::vector<std::string>&) {};
+    result.on_full_read = [](const std::vector<std::string>&) {};
     result.on_contact = [this](TimePoint) { ++contacts; };
-    result.on_trouble = [this] { ++troubles; };
+    result.on_failure = [this] { ++failures; };
     result.on_silent_connection = [this] { ++silent_connections; };
     return result;
   }
@@ -308,56 +310,56 @@
   gateway::TableCallback read_done;
   std::vector<gateway::TableCallback> calls;
   std::vector<Duration> waits;
-  int late = 0;
+  int late_calls = 0;
   int contacts = 0;
-  int troubles = 0;
+  int failures = 0;
   int silent_connections = 0;
   TableFeed feed;
 };
 
 }  // namespace
 
-TEST_CASE("a late answer is joined by one call by another way, without a wait",
+TEST_CASE("a late response triggers one call on another connection, without a wait",
           "[table_feed][silent_connections]") {
   boost::asio::io_context context;
-  Calls source(context);
+  FakeSource source(context);
   REQUIRE(source.calls.size() == 1);
-  // Late is 0.6 s after the sending: a wait of 0.1 s and 0.5 s more.
+  // A response is late 0.6 s after the call was sent: a wait of 0.1 s plus 0.5 s.
   context.run_for(300ms);
-  CHECK(source.late == 0);
-  crankspur::runUntil(context, [&] { return source.late == 1; });
+  CHECK(source.late_calls == 0);
+  crankspur::runUntil(context, [&] { return source.late_calls == 1; });
   REQUIRE(source.calls.size() == 2);
   CHECK(source.waits[1] == Duration(0));
   context.run_for(1s);
   CHECK(source.calls.size() == 2);
 
-  SECTION("the second call is answered: the connection of the first was silent") {
-    source.calls[1](Calls::answerAt(10));
+  SECTION("the second call gets a response: the connection of the first was silent") {
+    source.calls[1](FakeSource::responseAt(10));
     CHECK(source.silent_connections == 1);
     CHECK(source.calls.size() == 3);
     CHECK(source.waits[2] == 100ms);
-    // What becomes of the first one changes nothing.
+    // The outcome of the first call is ignored.
     source.calls[0]({});
-    CHECK(source.troubles == 0);
+    CHECK(source.failures == 0);
     CHECK(source.calls.size() == 3);
   }
-  SECTION("the first call is answered after all: the store is slow") {
-    source.calls[0](Calls::answerAt(10));
+  SECTION("the first call gets a response after all: the store is slow") {
+    source.calls[0](FakeSource::responseAt(10));
     CHECK(source.silent_connections == 0);
     CHECK(source.contacts == 2);
     CHECK(source.calls.size() == 3);
   }
-  SECTION("one call fails: the other one may be answered yet") {
+  SECTION("one call fails: the other one may still get a response") {
     source.calls[0]({});
-    CHECK(source.troubles == 0);
-    source.calls[1](Calls::answerAt(10));
+    CHECK(source.failures == 0);
+    source.calls[1](FakeSource::responseAt(10));
     CHECK(source.contacts == 2);
     CHECK(source.silent_connections == 0);
   }
-  SECTION("both fail: the store is in trouble") {
+  SECTION("both calls fail: the store is unavailable") {
     source.calls[0]({});
     source.calls[1]({});
-    CHECK(source.troubles == 1);
+    CHECK(source.failures == 1);
     context.restart();
     context.run_for(200ms);
     CHECK(source.calls.size() == 3);
