--- a/apps/crankspurctl/main.cc
+++ b/apps/crankspurctl/main.cc
@@ -69,9 +69,9 @@
   return Duration(static_cast<std::int64_t>(seconds * 1e6));
 }
 
-OperatorCommand readCommand(const std::vector<char*>& words) {
+OperatorCommand readCommand(const std::vector<char*>& positional) {
   OperatorCommand command;
-  command.words.assign(words.begin() + 1, words.end());
+  command.positional.assign(positional.begin() + 1, positional.end());
   command.key = absl::GetFlag(FLAGS_key);
   command.out = absl::GetFlag(FLAGS_out);
   command.platform = absl::GetFlag(FLAGS_platform);
@@ -105,9 +105,9 @@
       return exitWith(ExitCode::Usage);
     }
   }
-  const std::vector<char*> words = absl::ParseCommandLine(argc, argv);
+  const std::vector<char*> positional = absl::ParseCommandLine(argc, argv);
   Report report;
-  const ExitCode code = runOperatorCommand(readCommand(words), report);
+  const ExitCode code = runOperatorCommand(readCommand(positional), report);
   fmt::print("{}", report.output);
   fmt::print(stderr, "{}", report.errors);
   return exitWith(code);
--- a/src/operator/admin_fetch.cc
+++ b/src/operator/admin_fetch.cc
@@ -6,34 +6,34 @@
 
 namespace crankspur {
 
-std::vector<AdminAnswer> fetchFromAll(const std::vector<std::string>& addresses, const std::string& target,
-                                      Duration timeout) {
+std::vector<AdminResponse> fetchFromAll(const std::vector<std::string>& addresses, const std::string& target,
+                                        Duration timeout) {
   boost::asio::io_context context(1);
   const std::unique_ptr<http::Client> client = http::makeClient(context.get_executor());
-  std::vector<AdminAnswer> answers(addresses.size());
-  std::size_t missing = addresses.size();
+  std::vector<AdminResponse> responses(addresses.size());
+  std::size_t pending = addresses.size();
   http::ExchangeOptions options;
   options.connect_timeout = timeout;
   options.idle_timeout = timeout;
   for (std::size_t index = 0; index < addresses.size(); ++index) {
-    answers[index].address = addresses[index];
+    responses[index].address = addresses[index];
     http::Request request;
     request.target = target;
     http::ExchangeCallbacks callbacks;
     callbacks.on_done = [&, index](std::error_code error, http::SendState, http::Response response) {
       if (!error) {
-        answers[index].response = std::move(response);
+        responses[index].response = std::move(response);
       }
-      if (--missing == 0) {
+      if (--pending == 0) {
         context.stop();
       }
     };
     client->start(addresses[index], std::move(request), std::move(callbacks), options);
   }
-  if (missing > 0) {
+  if (pending > 0) {
     context.run();
   }
-  return answers;
+  return responses;
 }
 
 }  // namespace crankspur
--- a/src/operator/admin_fetch.h
+++ b/src/operator/admin_fetch.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Asks the admin ports of several nodes the same question at once.
+/// @file Sends one request to the admin ports of several nodes in parallel.
 
 #include <optional>
 #include <string>
@@ -10,16 +10,16 @@
 
 namespace crankspur {
 
-/// What one node said.
-struct AdminAnswer {
+/// Response of one node.
+struct AdminResponse {
   std::string address;
-  std::optional<http::Response> response;  ///< Empty when the node did not answer in time.
+  std::optional<http::Response> response;  ///< Empty if the node did not respond in time.
 };
 
 /// @param addresses "IP:port" of admin ports.
-/// @param timeout for each node, without a byte of the answer.
-/// @return the answers in the order of `addresses`.
-std::vector<AdminAnswer> fetchFromAll(const std::vector<std::string>& addresses, const std::string& target,
-                                      Duration timeout);
+/// @param timeout maximum time to connect to a node and to wait for each further byte of its response.
+/// @return the responses in the order of `addresses`.
+std::vector<AdminResponse> fetchFromAll(const std::vector<std::string>& addresses, const std::string& target,
+                                        Duration timeout);
 
 }  // namespace crankspur
--- a/src/operator/bundle_commands.cc
+++ b/src/operator/bundle_commands.cc
@@ -15,13 +15,14 @@
 
 namespace {
 
-/// A document that was read and checked.
+/// A validated bundle document.
 struct CheckedDocument {
   std::string text;
   std::shared_ptr<const Bundle> bundle;
 };
 
-/// Reads and checks a document, or says why not.
+/// Reads and validates a document.
+/// @param code set on failure, after the reason was reported.
 std::optional<CheckedDocument> loadDocument(const std::string& path, Report& report, ExitCode& code) {
   std::optional<std::string> text = readFile(path);
   if (!text) {
@@ -39,7 +40,7 @@
   return CheckedDocument{std::move(*text), std::move(bundle)};
 }
 
-/// Signs a checked document and writes the signature beside it.
+/// Signs a validated document and writes the signature to a file next to it.
 ExitCode writeSignature(const std::string& path, const CheckedDocument& document, const std::string& key_path,
                         SignatureRole role, Report& report) {
   const std::optional<std::string> key = readLine(key_path);
@@ -60,8 +61,8 @@
   return ExitCode::Ok;
 }
 
-/// @return a reason to refuse the author's signature, or an empty string.
-std::string judgeAuthorSignature(const CheckedDocument& document, const std::string& signature,
+/// @return the reason why the author's signature is refused, or an empty string.
+std::string checkAuthorSignature(const CheckedDocument& document, const std::string& signature,
                                  const std::string& approver_public_key, const TrustedKeys& keys) {
   const std::string statement =
       signedStatement(SignatureRole::Author, document.bundle->version, document.text);
@@ -90,23 +91,23 @@
 }
 
 ExitCode reportOutcome(const RollOutcome& outcome, const BundleBody& body, Report& report) {
-  const BundleRow& present = outcome.present;
+  const BundleRow& current = outcome.current;
   switch (outcome.kind) {
     case RollOutcome::Kind::Accepted:
       report.print("version {} accepted", body.version);
       return ExitCode::Ok;
     case RollOutcome::Kind::AlreadyAccepted:
-      report.print("version {} was accepted earlier, rolled by {}", body.version, present.rolled_by);
+      report.print("version {} was accepted earlier, rolled by {}", body.version, current.rolled_by);
       return ExitCode::Ok;
     case RollOutcome::Kind::WrongVersion:
       return report.fail(ExitCode::Refused,
                          "version {} is accepted (rolled by {}); the next must be {}, not {}",
-                         present.version, present.rolled_by, present.version + 1, body.version);
+                         current.version, current.rolled_by, current.version + 1, body.version);
     case RollOutcome::Kind::LostRace:
       return report.fail(ExitCode::Refused,
-                         "lost the race: version {} was rolled first by {}; nothing changed", present.version,
-                         present.rolled_by);
-    case RollOutcome::Kind::RowDamaged:
+                         "lost the race: version {} was rolled first by {}; nothing changed", current.version,
+                         current.rolled_by);
+    case RollOutcome::Kind::RowInvalid:
       return report.fail(ExitCode::Refused, "the table's row {} is no bundle row; nothing changed",
                          bundleRowKey());
     case RollOutcome::Kind::Unavailable:
@@ -174,7 +175,7 @@
   if (!public_key) {
     return report.fail(ExitCode::Usage, "{}: is no private key", key_path);
   }
-  const std::string reason = judgeAuthorSignature(*document, *author_signature, *public_key, keys);
+  const std::string reason = checkAuthorSignature(*document, *author_signature, *public_key, keys);
   if (!reason.empty()) {
     return report.fail(ExitCode::Refused, "{}: {}", author_path, reason);
   }
--- a/src/operator/bundle_commands.h
+++ b/src/operator/bundle_commands.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file The commands around a bundle document: keygen, check, sign, approve, diff and roll.
+/// @file Commands for bundle documents: keygen, check, sign, approve, diff and roll.
 
 #include <string>
 
@@ -9,24 +9,24 @@
 
 namespace crankspur {
 
-/// Writes a new key pair to PREFIX.key (for its owner only) and PREFIX.pub.
+/// Writes a new key pair to PREFIX.key, readable by its owner only, and PREFIX.pub.
 ExitCode generateKeys(const std::string& prefix, Report& report);
 
-/// Checks a document and prints every problem with its place.
+/// Validates a document and prints every error with its location.
 ExitCode checkBundle(const std::string& path, Report& report);
 
-/// Checks and signs a document as its author; writes PATH.author.sig.
+/// Validates a document and signs it as its author; writes PATH.author.sig.
 ExitCode signBundleFile(const std::string& path, const std::string& key_path, Report& report);
 
-/// Signs off a document that its author signed; writes PATH.approver.sig. Refuses the author's own key, and,
-/// when `keys` names authors, an author's signature by none of them.
+/// Signs a document, already signed by its author, as approver; writes PATH.approver.sig. Refuses the
+/// author's own key and, if `keys` contains authors, a signature by any other author.
 ExitCode approveBundleFile(const std::string& path, const std::string& key_path, const TrustedKeys& keys,
                            Report& report);
 
-/// Prints what changes between two documents.
+/// Prints the differences between two documents.
 ExitCode diffBundleFiles(const std::string& before, const std::string& after, Report& report);
 
-/// Rolls a document with both signatures after verifying them as every node will.
+/// Rolls out a document after verifying both signatures in the same way as the nodes do.
 ExitCode rollBundleFile(const std::string& path, const TrustedKeys& keys, const std::string& rolled_by,
                         PlatformPort& platform, Report& report);
 
--- a/src/operator/bundle_diff.cc
+++ b/src/operator/bundle_diff.cc
@@ -8,64 +8,64 @@
 
 namespace {
 
-/// One field of an entry as text.
+/// A field of an entry, formatted as text.
 struct FieldText {
   std::string name;
   std::string value;
 };
 
-/// One entry of a bundle as text.
+/// An entry of a bundle, formatted as text.
 struct EntryText {
   std::vector<FieldText> fields;
 };
 
-/// Entries by kind and name, for example "tenant harbour".
+/// Entries, keyed by kind and name, for example "tenant harbour".
 using BundleText = std::map<std::string, EntryText>;
 
-std::string joined(const std::vector<std::string>& values) {
+std::string formatList(const std::vector<std::string>& values) {
   return fmt::format("[{}]", fmt::join(values, ", "));
 }
 
-std::string milliseconds(Duration duration) {
+std::string formatMilliseconds(Duration duration) {
   return fmt::format("{} ms", toMilliseconds(duration));
 }
 
 EntryText describe(const TenantPolicy& tenant) {
-  return {{{"api_key_sha256", joined(tenant.api_key_sha256)},
+  return {{{"api_key_sha256", formatList(tenant.api_key_sha256)},
            {"weight", fmt::to_string(tenant.weight)},
            {"default_priority", fmt::to_string(tenant.default_priority)},
            {"tokens_per_second", fmt::to_string(tenant.tokens_per_second)},
            {"max_in_flight", fmt::to_string(tenant.max_in_flight)},
            {"retry_budget", fmt::to_string(tenant.retry_budget)},
-           {"models", joined(tenant.models)},
-           {"operations", joined(tenant.operations)}}};
+           {"models", formatList(tenant.models)},
+           {"operations", formatList(tenant.operations)}}};
 }
 
 EntryText describe(const ModelPolicy& model) {
   return {{{"weights_version", model.weights_version},
-           {"adapters", joined(model.adapters)},
-           {"pools", joined(model.pools)},
+           {"adapters", formatList(model.adapters)},
+           {"pools", formatList(model.pools)},
            {"max_prompt_tokens", fmt::to_string(model.max_prompt_tokens)},
            {"max_answer_tokens", fmt::to_string(model.max_answer_tokens)}}};
 }
 
 EntryText describe(const OperationPolicy& operation) {
-  return {{{"pools", joined(operation.pools)},
+  return {{{"pools", formatList(operation.pools)},
            {"repeatable", fmt::to_string(operation.repeatable)},
-           {"timeout", milliseconds(operation.timeout)}}};
+           {"timeout", formatMilliseconds(operation.timeout)}}};
 }
 
 EntryText describe(const Knobs& knobs) {
   return {{{"decision_cached_token_value", fmt::to_string(knobs.decision_cached_token_value)},
            {"eviction_seconds_per_block", fmt::to_string(knobs.eviction_seconds_per_block)},
-           {"first_token_target", milliseconds(knobs.first_token_target)},
+           {"first_token_target", formatMilliseconds(knobs.first_token_target)},
            {"random_candidates", fmt::to_string(knobs.random_candidates)},
-           {"suspicion_timeout", milliseconds(knobs.suspicion_timeout)},
-           {"gossip_interval", milliseconds(knobs.gossip_interval)},
-           {"load_report_interval", milliseconds(knobs.load_report_interval)},
+           {"suspicion_timeout", formatMilliseconds(knobs.suspicion_timeout)},
+           {"gossip_interval", formatMilliseconds(knobs.gossip_interval)},
+           {"load_report_interval", formatMilliseconds(knobs.load_report_interval)},
            {"max_attempts", fmt::to_string(knobs.max_attempts)},
            {"parallel_weight_loads", fmt::to_string(knobs.parallel_weight_loads)},
-           {"claim_lifetime", milliseconds(knobs.claim_lifetime)},
+           {"claim_lifetime", formatMilliseconds(knobs.claim_lifetime)},
            {"claim_group_size", fmt::to_string(knobs.claim_group_size)}}};
 }
 
@@ -86,7 +86,7 @@
   return text;
 }
 
-/// Entries of one kind have the same fields in the same order.
+/// Compares two entries of one kind, which have the same fields in the same order.
 void diffFields(const std::string& entry, const EntryText& before, const EntryText& after,
                 std::vector<std::string>& lines) {
   for (std::size_t index = 0; index < before.fields.size(); ++index) {
--- a/src/operator/bundle_diff.h
+++ b/src/operator/bundle_diff.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file What changes between two bundles, entry by entry and field by field.
+/// @file Differences between two bundles by entry and field.
 
 #include <string>
 #include <vector>
@@ -8,8 +8,8 @@
 
 namespace crankspur {
 
-/// @return one line for each difference: "+ tenant a", "- model b", "~ tenant c weight: 1 -> 2". Empty when
-/// the bundles mean the same, whatever their text.
+/// @return one line per difference: "+ tenant a", "- model b", "~ tenant c weight: 1 -> 2". Empty if the
+/// bundles are equivalent, even if their text differs.
 std::vector<std::string> diffBundles(const Bundle& before, const Bundle& after);
 
 }  // namespace crankspur
--- a/src/operator/command.cc
+++ b/src/operator/command.cc
@@ -24,16 +24,16 @@
   return !error;
 }
 
-/// @return an address that is no IP:port, or an empty string.
-std::string findBadAddress(const OperatorCommand& command) {
+/// @return the first address that is not an IP:port, in quotes, or an empty string.
+std::string findInvalidAddress(const OperatorCommand& command) {
   if (!command.platform.empty() && !isAddress(command.platform)) {
     return "'" + command.platform + "'";
   }
-  const auto bad = std::find_if_not(command.nodes.begin(), command.nodes.end(), isAddress);
-  return bad == command.nodes.end() ? "" : "'" + *bad + "'";
+  const auto invalid = std::find_if_not(command.nodes.begin(), command.nodes.end(), isAddress);
+  return invalid == command.nodes.end() ? "" : "'" + *invalid + "'";
 }
 
-/// One command with its words after the command's name.
+/// A command with the positional arguments that follow its name.
 struct Invocation {
   const OperatorCommand& command;
   std::vector<std::string> arguments;
@@ -93,14 +93,14 @@
   const TimePoint end = clock.now() + command.wait;
   while (true) {
     Report report;
-    const auto answers = fetchFromAll(command.nodes, "/status", command.timeout);
-    const ExitCode code = printBundleStatus(*platform, answers, report);
+    const auto responses = fetchFromAll(command.nodes, "/status", command.timeout);
+    const ExitCode code = printBundleStatus(*platform, responses, report);
     if (code == ExitCode::Ok || clock.now() + kStatusInterval > end) {
       invocation.report.output += report.output;
       invocation.report.errors += report.errors;
       return code;
     }
-    platform->pause(kStatusInterval);
+    platform->sleepFor(kStatusInterval);
   }
 }
 
@@ -118,11 +118,11 @@
     return usageError(invocation.report, "explain needs --routers=IP:PORT,...");
   }
   const std::string& request_id = invocation.arguments[0];
-  const auto answers = fetchFromAll(command.nodes, explainTarget(request_id), command.timeout);
-  return printExplanation(request_id, answers, invocation.report);
+  const auto responses = fetchFromAll(command.nodes, explainTarget(request_id), command.timeout);
+  return printExplanation(request_id, responses, invocation.report);
 }
 
-/// A command's name, its number of further words and what runs it.
+/// Name, number of positional arguments and function of a command.
 struct CommandEntry {
   std::vector<std::string> name;
   std::size_t arguments;
@@ -144,31 +144,33 @@
   return entries;
 }
 
-bool startsWith(const std::vector<std::string>& words, const std::vector<std::string>& name) {
-  return words.size() >= name.size() && std::equal(name.begin(), name.end(), words.begin());
+bool startsWith(const std::vector<std::string>& positional, const std::vector<std::string>& name) {
+  return positional.size() >= name.size() && std::equal(name.begin(), name.end(), positional.begin());
 }
 
 }  // namespace
 
 ExitCode runOperatorCommand(const OperatorCommand& command, Report& report) {
-  const std::string bad_address = findBadAddress(command);
-  if (!bad_address.empty()) {
-    return usageError(report, fmt::format("{} is no IP:port", bad_address));
+  const std::string invalid_address = findInvalidAddress(command);
+  if (!invalid_address.empty()) {
+    return usageError(report, fmt::format("{} is no IP:port", invalid_address));
   }
   for (const CommandEntry& entry : commandEntries()) {
-    if (!startsWith(command.words, entry.name)) {
+    if (!startsWith(command.positional, entry.name)) {
       continue;
     }
     const std::vector<std::string> arguments(
-        command.words.begin() + static_cast<std::ptrdiff_t>(entry.name.size()), command.words.end());
+        command.positional.begin() + static_cast<std::ptrdiff_t>(entry.name.size()),
+        command.positional.end());
     if (arguments.size() != entry.arguments) {
       return usageError(report, fmt::format("{} takes {} arguments, not {}", fmt::join(entry.name, " "),
                                             entry.arguments, arguments.size()));
     }
     return entry.run({command, arguments, report});
   }
-  return usageError(report, command.words.empty() ? "a command is missing"
-                                                  : fmt::format("'{}' is no command", command.words[0]));
+  return usageError(report, command.positional.empty()
+                                ? "a command is missing"
+                                : fmt::format("'{}' is no command", command.positional[0]));
 }
 
 std::string operatorHelp() {
--- a/src/operator/exit_code.h
+++ b/src/operator/exit_code.h
@@ -1,15 +1,15 @@
 #pragma once
-/// @file Exit codes of crankspurctl. docs/OPERATIONS.md lists them; scripts rely on them.
+/// @file Exit codes of crankspurctl, documented in docs/OPERATIONS.md. Scripts rely on the values.
 
 namespace crankspur {
 
-/// How a command ended.
+/// Outcome of a command.
 enum class ExitCode {
   Ok = 0,
-  Refused = 1,      ///< The bundle, a signature, a version or a race said no; nothing was changed.
-  Usage = 2,        ///< The command line is wrong, or a named file cannot be used.
-  Unavailable = 3,  ///< The platform or a node did not answer; nothing was changed.
-  Unknown = 4,      ///< No answer came; the change may have taken effect. See "bundle status".
+  Refused = 1,      ///< Invalid bundle or signature, wrong version or lost race; nothing was changed.
+  Usage = 2,        ///< The command line is invalid, or a given file cannot be used.
+  Unavailable = 3,  ///< The platform or a node did not respond; nothing was changed.
+  Unknown = 4,      ///< No response; the change may have taken effect. Check with "bundle status".
 };
 
 }  // namespace crankspur
--- a/src/operator/explain.h
+++ b/src/operator/explain.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Prints why a request ran where it did, from the routers' decision records.
+/// @file Explains the placement of a request from the decision records of routers and the logs of gateways.
 
 #include <string>
 #include <vector>
@@ -9,13 +9,13 @@
 
 namespace crankspur {
 
-/// @return the target that asks a router for its record of a request.
+/// @return the HTTP target of a router's or gateway's record of a request.
 std::string explainTarget(const std::string& request_id);
 
 /// Prints each record found.
-/// @return Ok when one was found, Refused when every router answered and none keeps it, Unavailable when none
-/// was found and a router did not answer.
-ExitCode printExplanation(const std::string& request_id, const std::vector<AdminAnswer>& answers,
+/// @return Ok if at least one was found, Refused if every node responded but none has a record, Unavailable
+/// if none was found and a node did not respond.
+ExitCode printExplanation(const std::string& request_id, const std::vector<AdminResponse>& responses,
                           Report& report);
 
 }  // namespace crankspur
--- a/src/operator/key_files.cc
+++ b/src/operator/key_files.cc
@@ -12,10 +12,10 @@
 
 namespace {
 
-constexpr mode_t kOwnerOnly = 0600;
-constexpr mode_t kReadableByAll = 0644;
+constexpr mode_t kOwnerOnlyMode = 0600;
+constexpr mode_t kWorldReadableMode = 0644;
 
-/// @return empty, or why the write failed.
+/// @return an error message, or an empty string.
 std::string writeAll(const std::string& path, const std::string& content, int flags, mode_t mode) {
   const int file = ::open(path.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC | flags, mode);
   if (file < 0) {
@@ -32,11 +32,11 @@
 }  // namespace
 
 std::string writeNewFile(const std::string& path, const std::string& content, bool owner_only) {
-  return writeAll(path, content, O_EXCL, owner_only ? kOwnerOnly : kReadableByAll);
+  return writeAll(path, content, O_EXCL, owner_only ? kOwnerOnlyMode : kWorldReadableMode);
 }
 
 std::string writeFile(const std::string& path, const std::string& content) {
-  return writeAll(path, content, O_TRUNC, kReadableByAll);
+  return writeAll(path, content, O_TRUNC, kWorldReadableMode);
 }
 
 std::optional<std::string> readLine(const std::string& path) {
--- a/src/operator/node_status.cc
+++ b/src/operator/node_status.cc
@@ -12,11 +12,11 @@
 
 constexpr int kOk = 200;
 
-std::optional<NodeStatus> statusOf(const AdminAnswer& answer) {
-  if (!answer.response || answer.response->status != kOk) {
+std::optional<NodeStatus> statusOf(const AdminResponse& response) {
+  if (!response.response || response.response->status != kOk) {
     return std::nullopt;
   }
-  return parseNodeStatus(answer.response->body);
+  return parseNodeStatus(response.response->body);
 }
 
 std::optional<std::size_t> arraySize(const boost::json::object& object, std::string_view name) {
@@ -35,9 +35,9 @@
   return *reachable ? "reachable" : "unreachable";
 }
 
-TableLine statusLine(const AdminAnswer& answer, const std::optional<NodeStatus>& status) {
+TableLine statusLine(const AdminResponse& response, const std::optional<NodeStatus>& status) {
   if (!status) {
-    return {answer.address, "-", "-", "-", "-", "-", "-", "-", "-", "-", "no answer"};
+    return {response.address, "-", "-", "-", "-", "-", "-", "-", "-", "-", "no answer"};
   }
   return {status->name,
           status->role,
@@ -52,9 +52,9 @@
           status->stopping ? "stopping" : "serving"};
 }
 
-/// The accepted row as far as the platform tells it.
+/// The accepted bundle row, if the platform responded and has one.
 struct AcceptedRow {
-  bool answered = false;
+  bool responded = false;
   std::optional<BundleRow> row;
 };
 
@@ -75,7 +75,7 @@
   return {true, accepted};
 }
 
-std::string holdingText(std::uint64_t held, const AcceptedRow& accepted) {
+std::string bundleStateText(std::uint64_t held, const AcceptedRow& accepted) {
   if (!accepted.row) {
     return "-";
   }
@@ -117,37 +117,38 @@
   return status;
 }
 
-ExitCode printNodeStatus(const std::vector<AdminAnswer>& answers, Report& report) {
+ExitCode printNodeStatus(const std::vector<AdminResponse>& responses, Report& report) {
   std::vector<TableLine> lines = {{"NODE", "ROLE", "ZONE", "REGION", "BUNDLE", "IN_FLIGHT", "MEMBERS",
                                    "ENGINES", "PLATFORM", "CLAIMS", "STATE"}};
   ExitCode code = ExitCode::Ok;
-  for (const AdminAnswer& answer : answers) {
-    const std::optional<NodeStatus> status = statusOf(answer);
+  for (const AdminResponse& response : responses) {
+    const std::optional<NodeStatus> status = statusOf(response);
     code = status ? code : ExitCode::Unavailable;
-    lines.push_back(statusLine(answer, status));
+    lines.push_back(statusLine(response, status));
   }
   report.output += formatTable(lines);
   return code;
 }
 
-ExitCode printBundleStatus(PlatformPort& platform, const std::vector<AdminAnswer>& answers, Report& report) {
+ExitCode printBundleStatus(PlatformPort& platform, const std::vector<AdminResponse>& responses,
+                           Report& report) {
   const AcceptedRow accepted = readAccepted(platform, report);
   std::vector<TableLine> lines = {{"NODE", "ROLE", "ZONE", "BUNDLE", "HOLDS"}};
-  bool all_answered = accepted.answered;
+  bool all_responded = accepted.responded;
   bool all_hold = true;
-  for (const AdminAnswer& answer : answers) {
-    const std::optional<NodeStatus> status = statusOf(answer);
+  for (const AdminResponse& response : responses) {
+    const std::optional<NodeStatus> status = statusOf(response);
     if (!status) {
-      all_answered = false;
-      lines.push_back({answer.address, "-", "-", "-", "no answer"});
+      all_responded = false;
+      lines.push_back({response.address, "-", "-", "-", "no answer"});
       continue;
     }
     all_hold = all_hold && (!accepted.row || status->bundle_version >= accepted.row->version);
     lines.push_back({status->name, status->role, status->zone, fmt::to_string(status->bundle_version),
-                     holdingText(status->bundle_version, accepted)});
+                     bundleStateText(status->bundle_version, accepted)});
   }
   report.output += formatTable(lines);
-  if (!all_answered) {
+  if (!all_responded) {
     return ExitCode::Unavailable;
   }
   return all_hold ? ExitCode::Ok : ExitCode::Refused;
--- a/src/operator/node_status.h
+++ b/src/operator/node_status.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file What nodes say of themselves on GET /status, and the commands that print it.
+/// @file Parses the GET /status responses of nodes, and the commands that print them.
 
 #include <cstdint>
 #include <optional>
@@ -13,7 +13,7 @@
 
 namespace crankspur {
 
-/// The parts of a router's or sidecar's status that operators look at.
+/// The parts of a router's or sidecar's status that are printed for operators.
 struct NodeStatus {
   std::string name;
   std::string role;
@@ -24,20 +24,22 @@
   std::uint64_t requests_in_flight = 0;
   bool stopping = false;
   std::optional<bool> platform_reachable;  ///< Routers only.
-  std::string claim_mode;  ///< Who decides on claims: "table", "group_and_table" or "group"; routers only.
+  std::string claim_mode;  ///< Where claims are decided: "table", "group_and_table" or "group"; routers only.
   std::optional<std::size_t> members;  ///< Routers only.
   std::optional<std::size_t> engines;  ///< Routers only.
 };
 
-/// @return the status, or empty when the text is none.
+/// @return the status, or nullopt if the text is not a valid status.
 std::optional<NodeStatus> parseNodeStatus(std::string_view text);
 
-/// Prints a line for each node. Unavailable when one did not answer.
-ExitCode printNodeStatus(const std::vector<AdminAnswer>& answers, Report& report);
+/// Prints a line for each node.
+/// @return Unavailable if a node did not respond.
+ExitCode printNodeStatus(const std::vector<AdminResponse>& responses, Report& report);
 
-/// Prints the accepted bundle and the version that each node holds.
-/// @return Ok when every node holds the accepted version, Refused when one does not yet, Unavailable when the
-/// platform or a node did not answer.
-ExitCode printBundleStatus(PlatformPort& platform, const std::vector<AdminAnswer>& answers, Report& report);
+/// Prints the accepted bundle version and the version that each node holds.
+/// @return Ok if every node holds the accepted version, Refused if a node does not hold it yet, Unavailable
+/// if the platform or a node did not respond.
+ExitCode printBundleStatus(PlatformPort& platform, const std::vector<AdminResponse>& responses,
+                           Report& report);
 
 }  // namespace crankspur
--- a/src/operator/platform_port.cc
+++ b/src/operator/platform_port.cc
@@ -18,20 +18,20 @@
         objects_(makeObjectClient(context_.get_executor(), *client_, clock_, optionsFor(address))) {}
 
   ReadResult readRow(const std::string& key) override {
-    return waitFor<ReadResult>([&](auto done) { table_->read(key, std::move(done)); });
+    return runUntilDone<ReadResult>([&](auto done) { table_->read(key, std::move(done)); });
   }
 
   TransactionResult compareAndSet(const std::string& key, std::uint64_t expected_version,
                                   const std::string& value) override {
-    return waitFor<TransactionResult>(
+    return runUntilDone<TransactionResult>(
         [&](auto done) { table_->compareAndSet(key, expected_version, value, std::move(done)); });
   }
 
   PutObjectResult putObject(const std::string& key, const std::string& body) override {
-    return waitFor<PutObjectResult>([&](auto done) { objects_->put(key, body, std::move(done)); });
+    return runUntilDone<PutObjectResult>([&](auto done) { objects_->put(key, body, std::move(done)); });
   }
 
-  void pause(Duration duration) override {
+  void sleepFor(Duration duration) override {
     boost::asio::steady_timer timer(context_, duration);
     timer.async_wait([this](const boost::system::error_code&) { context_.stop(); });
     runContext();
@@ -46,7 +46,7 @@
   }
 
   template <typename Result, typename Start>
-  Result waitFor(Start start) {
+  Result runUntilDone(Start start) {
     std::optional<Result> result;
     start([this, &result](const Result& value) {
       result = value;
--- a/src/operator/platform_port.h
+++ b/src/operator/platform_port.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Blocking view of the platform, as a command that does one thing after the other needs it.
+/// @file Blocking interface to the platform for sequential commands.
 
 #include <string>
 
@@ -9,7 +9,7 @@
 
 namespace crankspur {
 
-/// The platform's services that operators' commands use.
+/// The platform services that operators' commands use.
 class PlatformPort {
 public:
   virtual ~PlatformPort() = default;
@@ -17,8 +17,8 @@
   virtual TransactionResult compareAndSet(const std::string& key, std::uint64_t expected_version,
                                           const std::string& value) = 0;
   virtual PutObjectResult putObject(const std::string& key, const std::string& body) = 0;
-  /// Waits before a repeated call.
-  virtual void pause(Duration duration) = 0;
+  /// Blocks for a time before a call is retried.
+  virtual void sleepFor(Duration duration) = 0;
 };
 
 /// @param address "IP:port" of the platform.
--- a/src/operator/report.h
+++ b/src/operator/report.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Where a command writes: results on one stream, complaints on the other.
+/// @file Collects the output of a command: results and error messages.
 
 #include <fmt/format.h>
 
@@ -9,7 +9,7 @@
 
 namespace crankspur {
 
-/// Text that a command produced.
+/// Output of a command.
 struct Report {
   std::string output;  ///< For standard output.
   std::string errors;  ///< For standard error.
@@ -19,8 +19,8 @@
     output += fmt::format(format, std::forward<Arguments>(arguments)...) + "\n";
   }
 
-  /// Adds a complaint.
-  /// @return `code`, so that a command can end with the call.
+  /// Adds an error message.
+  /// @return `code`, so that a command can return the result of this call.
   template <typename... Arguments>
   ExitCode fail(ExitCode code, fmt::format_string<Arguments...> format, Arguments&&... arguments) {
     errors += fmt::format(format, std::forward<Arguments>(arguments)...) + "\n";
--- a/src/operator/roll.cc
+++ b/src/operator/roll.cc
@@ -10,121 +10,121 @@
 
 using Kind = RollOutcome::Kind;
 
-/// One roll.
+/// State of one roll.
 class Roll {
 public:
   Roll(PlatformPort& platform, const BundleBody& body, const RollOptions& options)
       : platform_(platform), body_(body), options_(options) {
-    wanted_ = {body.version,      sha256Hex(body.document), body.author_signature, body.approver_signature,
-               options.rolled_by, options.roll_token};
+    new_row_ = {body.version,      sha256Hex(body.document), body.author_signature, body.approver_signature,
+                options.rolled_by, options.roll_token};
   }
 
   RollOutcome run() {
     if (!readRow()) {
-      return end(Kind::Unavailable);
+      return outcome(Kind::Unavailable);
     }
-    if (const std::optional<Kind> refusal = judgeRow()) {
-      return end(*refusal);
+    if (const std::optional<Kind> refusal = checkRow()) {
+      return outcome(*refusal);
     }
     if (!writeDocument()) {
-      return end(Kind::Unavailable);
+      return outcome(Kind::Unavailable);
     }
     return acceptRow();
   }
 
 private:
-  RollOutcome end(Kind kind) const { return {kind, present_}; }
+  RollOutcome outcome(Kind kind) const { return {kind, current_}; }
 
-  /// Reads the row, with repeats.
+  /// Reads the row, with retries.
   bool readRow() {
     for (std::uint32_t attempt = 0; attempt < options_.attempts; ++attempt) {
       const ReadResult result = platform_.readRow(bundleRowKey());
       if (const auto* row = std::get_if<TableRow>(&result)) {
-        takeRow(*row);
+        recordRow(*row);
         return true;
       }
-      platform_.pause(options_.pause);
+      platform_.sleepFor(options_.retry_interval);
     }
     return false;
   }
 
-  void takeRow(const TableRow& row) {
+  void recordRow(const TableRow& row) {
     row_version_ = row.version;
     const std::optional<BundleRow> parsed = parseBundleRow(row.value);
-    row_damaged_ = row.version != 0 && !parsed;
-    present_ = parsed.value_or(BundleRow{});
+    row_invalid_ = row.version != 0 && !parsed;
+    current_ = parsed.value_or(BundleRow{});
   }
 
-  /// @return why the row forbids the roll, or empty.
-  std::optional<Kind> judgeRow() const {
-    if (row_damaged_) {
-      return Kind::RowDamaged;
+  /// @return the reason why the row does not permit the roll, or nullopt.
+  std::optional<Kind> checkRow() const {
+    if (row_invalid_) {
+      return Kind::RowInvalid;
     }
-    if (row_version_ == 0 || body_.version == present_.version + 1) {
+    if (row_version_ == 0 || body_.version == current_.version + 1) {
       return std::nullopt;
     }
     const bool same =
-        present_.version == wanted_.version && present_.document_sha256 == wanted_.document_sha256;
+        current_.version == new_row_.version && current_.document_sha256 == new_row_.document_sha256;
     return same ? Kind::AlreadyAccepted : Kind::WrongVersion;
   }
 
   bool writeDocument() {
-    const std::string key = bundleObjectKey(wanted_.version, wanted_.document_sha256);
+    const std::string key = bundleObjectKey(new_row_.version, new_row_.document_sha256);
     for (std::uint32_t attempt = 0; attempt < options_.attempts; ++attempt) {
       const PutObjectResult result = platform_.putObject(key, body_.document);
       if (std::holds_alternative<ObjectWritten>(result)) {
         return true;
       }
-      platform_.pause(options_.pause);
+      platform_.sleepFor(options_.retry_interval);
     }
     return false;
   }
 
-  /// Tries the same compare-and-set until its fate is known. Trying again is safe: the condition lets at most
-  /// one of the tries take effect, and the roll token tells whose it was.
+  /// Repeats the same compare-and-set until its outcome is known. This is safe: the version condition lets at
+  /// most one attempt take effect, and the roll token identifies the roll that wrote the row.
   RollOutcome acceptRow() {
     const std::uint64_t base_version = row_version_;
-    const std::string value = encodeBundleRow(wanted_);
+    const std::string value = encodeBundleRow(new_row_);
     bool effect_unknown = false;
     for (std::uint32_t attempt = 0; attempt < options_.attempts; ++attempt) {
       const TransactionResult result = platform_.compareAndSet(bundleRowKey(), base_version, value);
       if (std::holds_alternative<TransactionCommitted>(result)) {
-        present_ = wanted_;
-        return end(Kind::Accepted);
+        current_ = new_row_;
+        return outcome(Kind::Accepted);
       }
       if (const auto* conflict = std::get_if<TransactionConflict>(&result)) {
-        return judgeConflict(*conflict, effect_unknown);
+        return resolveConflict(*conflict, effect_unknown);
       }
       const auto* unavailable = std::get_if<ServiceUnavailable>(&result);
       effect_unknown = effect_unknown || (unavailable != nullptr && unavailable->effect_unknown);
-      platform_.pause(options_.pause);
+      platform_.sleepFor(options_.retry_interval);
     }
-    return end(effect_unknown ? Kind::Unknown : Kind::Unavailable);
+    return outcome(effect_unknown ? Kind::Unknown : Kind::Unavailable);
   }
 
-  /// @param effect_unknown whether an earlier try may have taken effect.
-  RollOutcome judgeConflict(const TransactionConflict& conflict, bool effect_unknown) {
+  /// @param effect_unknown whether an earlier attempt may have taken effect.
+  RollOutcome resolveConflict(const TransactionConflict& conflict, bool effect_unknown) {
     if (!conflict.rows.empty()) {
-      takeRow(conflict.rows.front());
+      recordRow(conflict.rows.front());
     }
-    if (present_.roll_token == wanted_.roll_token) {
-      return end(Kind::Accepted);
+    if (current_.roll_token == new_row_.roll_token) {
+      return outcome(Kind::Accepted);
     }
-    if (present_.version == wanted_.version && present_.document_sha256 == wanted_.document_sha256) {
-      return end(Kind::AlreadyAccepted);
+    if (current_.version == new_row_.version && current_.document_sha256 == new_row_.document_sha256) {
+      return outcome(Kind::AlreadyAccepted);
     }
-    // A later version may stand on ours: an earlier try of ours could have been accepted before it.
-    const bool may_be_ours = effect_unknown && present_.version > wanted_.version;
-    return end(may_be_ours ? Kind::Unknown : Kind::LostRace);
+    // A later version may be based on this roll: an earlier attempt could have been accepted before it.
+    const bool may_be_accepted = effect_unknown && current_.version > new_row_.version;
+    return outcome(may_be_accepted ? Kind::Unknown : Kind::LostRace);
   }
 
   PlatformPort& platform_;
   const BundleBody& body_;
   const RollOptions& options_;
-  BundleRow wanted_;
-  BundleRow present_;
+  BundleRow new_row_;
+  BundleRow current_;
   std::uint64_t row_version_ = 0;
-  bool row_damaged_ = false;
+  bool row_invalid_ = false;
 };
 
 }  // namespace
--- a/src/operator/roll.h
+++ b/src/operator/roll.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Rolling a signed bundle: the document is written first, then a compare-and-set of the row accepts
-/// it.
+/// @file Rolls out a signed bundle: writes the document, then accepts it by a compare-and-set of the bundle
+/// row.
 
 #include <cstdint>
 #include <string>
@@ -11,30 +11,30 @@
 
 namespace crankspur {
 
-/// Who rolls, and how patiently.
+/// Options of a roll.
 struct RollOptions {
   std::string rolled_by;
-  std::string roll_token;      ///< Random, fresh for each roll.
-  std::uint32_t attempts = 8;  ///< Calls of each step.
-  Duration pause = std::chrono::milliseconds(500);
+  std::string roll_token;      ///< Random, new for each roll.
+  std::uint32_t attempts = 8;  ///< Maximum calls of each step.
+  Duration retry_interval = std::chrono::milliseconds(500);
 };
 
-/// How a roll ended.
+/// Outcome of a roll.
 struct RollOutcome {
   enum class Kind {
     Accepted,         ///< This roll accepted the bundle.
     AlreadyAccepted,  ///< The same document was accepted earlier, by this or another roll.
-    WrongVersion,     ///< The version is not the accepted one plus one. Nothing was changed.
-    LostRace,         ///< Another roll came first. Nothing was changed.
-    RowDamaged,       ///< The row is no bundle row. Nothing was changed.
-    Unavailable,      ///< The platform did not answer. Nothing was changed.
-    Unknown,          ///< The platform did not answer; the bundle may have been accepted.
+    WrongVersion,     ///< The version is not the accepted version plus one. Nothing was changed.
+    LostRace,         ///< Another roll was accepted first. Nothing was changed.
+    RowInvalid,       ///< The row cannot be parsed as a bundle row. Nothing was changed.
+    Unavailable,      ///< The platform did not respond. Nothing was changed.
+    Unknown,          ///< The platform did not respond; the bundle may have been accepted.
   } kind = Kind::Unavailable;
-  BundleRow present;  ///< The accepted row as last seen; version 0 when none was.
+  BundleRow current;  ///< The accepted row as last read; version 0 if there was none.
 };
 
-/// Rolls a verified bundle. The version must be the accepted one plus one, so that nobody overwrites a
-/// version that was not looked at; on an empty table any version may come first.
+/// Rolls out a verified bundle. Its version must be the accepted version plus one, so that an operator cannot
+/// overwrite a version that they have not seen; in an empty table any version is accepted.
 RollOutcome rollBundle(PlatformPort& platform, const BundleBody& body, const RollOptions& options);
 
 }  // namespace crankspur
--- a/src/operator/text_table.cc
+++ b/src/operator/text_table.cc
@@ -22,13 +22,13 @@
 }  // namespace
 
 std::string formatTable(const std::vector<TableLine>& lines) {
-  constexpr std::size_t kGap = 2;
+  constexpr std::size_t kColumnGap = 2;
   const std::vector<std::size_t> widths = columnWidths(lines);
   std::string text;
   for (const TableLine& line : lines) {
     std::string padded;
     for (std::size_t column = 0; column < line.size(); ++column) {
-      padded += fmt::format("{:<{}}", line[column], widths[column] + kGap);
+      padded += fmt::format("{:<{}}", line[column], widths[column] + kColumnGap);
     }
     padded.erase(padded.find_last_not_of(' ') + 1);
     text += padded + "\n";
--- a/src/operator/text_table.h
+++ b/src/operator/text_table.h
@@ -6,10 +6,10 @@
 
 namespace crankspur {
 
-/// Cells of one line.
+/// The cells of one line.
 using TableLine = std::vector<std::string>;
 
-/// @return the lines with columns padded to their widest cell, each ended by a line feed.
+/// @return the lines, each terminated by a line feed, with columns padded to the width of their widest cell.
 std::string formatTable(const std::vector<TableLine>& lines);
 
 }  // namespace crankspur
--- a/src/router_process/backend_poller.cc
+++ b/src/router_process/backend_poller.cc
@@ -4,9 +4,9 @@
 
 namespace crankspur {
 
-BackendPoller::BackendPoller(const boost::asio::any_io_executor& executor, EngineTable& table,
+BackendPoller::BackendPoller(const boost::asio::any_io_executor& executor, EngineTable& engine_table,
                              std::function<void()> on_change)
-    : table_(table),
+    : engine_table_(engine_table),
       on_change_(std::move(on_change)),
       http_(http::makeClient(executor)),
       engines_(makeEngineClient(*http_, clock_)),
@@ -31,22 +31,22 @@
 void BackendPoller::pollEngine(const BackendPoll& poll) {
   engines_->fetchInfo(poll.address,
                       [this, name = poll.name](std::error_code error, const EngineDescription& description) {
-                        if (error) return fail(name, error);
+                        if (error) return reportFailure(name, error);
                         BackendReport report;
                         report.incarnation = description.incarnation;
                         report.leaving = description.leaving;
                         report.role = description.role;
                         report.models = description.models;
-                        table_.onReport(name, report, clock_.now());
+                        engine_table_.onReport(name, report, clock_.now());
                         on_change_();
                       });
 }
 
 void BackendPoller::pollLoad(const BackendPoll& poll) {
   engines_->fetchLoad(poll.address,
-                      [this, name = poll.name](std::error_code error, const EngineLoadAnswer& answer) {
-                        if (error) return fail(name, error);
-                        table_.onLoad(name, answer.incarnation, answer.report, clock_.now());
+                      [this, name = poll.name](std::error_code error, const EngineLoadAnswer& response) {
+                        if (error) return reportFailure(name, error);
+                        engine_table_.onLoad(name, response.incarnation, response.report, clock_.now());
                         on_change_();
                       });
 }
@@ -54,18 +54,18 @@
 void BackendPoller::pollRunner(const BackendPoll& poll) {
   runners_->fetchInfo(poll.address,
                       [this, name = poll.name](std::error_code error, const RunnerDescription& description) {
-                        if (error) return fail(name, error);
+                        if (error) return reportFailure(name, error);
                         BackendReport report;
                         report.incarnation = description.incarnation;
                         report.leaving = description.leaving;
-                        table_.onReport(name, report, clock_.now());
+                        engine_table_.onReport(name, report, clock_.now());
                         on_change_();
                       });
 }
 
-void BackendPoller::fail(const std::string& name, std::error_code error) {
+void BackendPoller::reportFailure(const std::string& name, std::error_code error) {
   const bool refused = error == std::errc::connection_refused;
-  table_.onPollFailed(name, refused ? PollFailure::Refused : PollFailure::TimedOut, clock_.now());
+  engine_table_.onPollFailed(name, refused ? PollFailure::Refused : PollFailure::TimedOut, clock_.now());
   on_change_();
 }
 
--- a/src/router_process/backend_poller.h
+++ b/src/router_process/backend_poller.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Puts the engine table's questions to engines and runners. Lives on the control thread.
+/// @file Runs the polls of engines and runners that the engine table schedules. Runs on the control thread.
 
 #include <boost/asio/any_io_executor.hpp>
 #include <functional>
@@ -12,12 +12,12 @@
 
 namespace crankspur {
 
-/// Asks back ends and tells the table what they answered.
+/// Polls back ends and passes their responses to the engine table.
 class BackendPoller {
 public:
-  /// @param table must outlive the poller.
-  /// @param on_change called after each answer or failure.
-  BackendPoller(const boost::asio::any_io_executor& executor, EngineTable& table,
+  /// @param engine_table must outlive the poller.
+  /// @param on_change called after each response or failure.
+  BackendPoller(const boost::asio::any_io_executor& executor, EngineTable& engine_table,
                 std::function<void()> on_change);
   /// Starts the polls.
   void start(const std::vector<BackendPoll>& polls);
@@ -28,10 +28,10 @@
   void pollEngine(const BackendPoll& poll);
   void pollLoad(const BackendPoll& poll);
   void pollRunner(const BackendPoll& poll);
-  void fail(const std::string& name, std::error_code error);
+  void reportFailure(const std::string& name, std::error_code error);
 
   SteadyClock clock_;
-  EngineTable& table_;
+  EngineTable& engine_table_;
   std::function<void()> on_change_;
   std::unique_ptr<http::Client> http_;
   std::unique_ptr<EngineClient> engines_;
--- a/src/router_process/cache_event_feed.cc
+++ b/src/router_process/cache_event_feed.cc
@@ -8,33 +8,33 @@
 
 namespace {
 
-/// How long an engine may hold an answer back while it has no events.
-constexpr Duration kPollWait = std::chrono::seconds(1);
-/// Least time between two polls of one engine, so that a busy engine's events come in batches.
-constexpr Duration kPollPause = std::chrono::milliseconds(20);
-/// Least time between two digests of one engine.
-constexpr Duration kDigestPause = std::chrono::seconds(2);
-constexpr Duration kRetryPause = std::chrono::milliseconds(500);
+/// A long poll is held by the engine at most this long while there are no events.
+constexpr Duration kMaxPollWait = std::chrono::seconds(1);
+/// Delay between two polls of one engine, so that the events of a busy engine arrive in batches.
+constexpr Duration kPollInterval = std::chrono::milliseconds(20);
+/// Minimum time between two digests of one engine.
+constexpr Duration kDigestInterval = std::chrono::seconds(2);
+constexpr Duration kRetryDelay = std::chrono::milliseconds(500);
 
 }  // namespace
 
-/// The stream of one incarnation of one engine.
+/// Position in the event stream of one incarnation of an engine.
 struct CacheEventFeed::Follower {
   explicit Follower(const boost::asio::any_io_executor& executor) : timer(executor) {}
   EngineSlot slot = 0;
   std::string name;
   std::string address;
   std::uint64_t incarnation = 0;
-  std::uint64_t after = 0;
+  std::uint64_t after = 0;  ///< Sequence of the last event received.
   bool digest_wanted = false;
-  TimePoint digest_at{};
+  TimePoint next_digest_at{};
   boost::asio::steady_timer timer;
 };
 
-CacheEventFeed::CacheEventFeed(const boost::asio::any_io_executor& executor, NewsHandler on_news,
+CacheEventFeed::CacheEventFeed(const boost::asio::any_io_executor& executor, UpdateHandler on_update,
                                RouterMetrics& metrics, std::uint64_t random_seed)
     : executor_(executor),
-      on_news_(std::move(on_news)),
+      on_update_(std::move(on_update)),
       metrics_(metrics),
       random_(random_seed),
       http_(http::makeClient(executor)),
@@ -47,10 +47,10 @@
   for (const EngineView& engine : engines) {
     if (engine.incarnation == 0 || engine.state == EngineState::Dead) continue;
     wanted.insert(engine.name);
-    const auto known = followers_.find(engine.name);
-    const bool same = known != followers_.end() && known->second->incarnation == engine.incarnation &&
-                      known->second->address == engine.address;
-    if (same) continue;
+    const auto found = followers_.find(engine.name);
+    const bool unchanged = found != followers_.end() && found->second->incarnation == engine.incarnation &&
+                           found->second->address == engine.address;
+    if (unchanged) continue;
     auto follower = std::make_shared<Follower>(executor_);
     follower->slot = engine.slot;
     follower->name = engine.name;
@@ -62,73 +62,73 @@
   std::erase_if(followers_, [&wanted](const auto& item) { return !wanted.contains(item.first); });
 }
 
-bool CacheEventFeed::current(const std::shared_ptr<Follower>& follower) const {
-  const auto known = followers_.find(follower->name);
-  return known != followers_.end() && known->second == follower;
+bool CacheEventFeed::isCurrent(const std::shared_ptr<Follower>& follower) const {
+  const auto found = followers_.find(follower->name);
+  return found != followers_.end() && found->second == follower;
 }
 
-void CacheEventFeed::later(const std::shared_ptr<Follower>& follower, Duration delay,
-                           void (CacheEventFeed::*next)(const std::shared_ptr<Follower>&)) {
+void CacheEventFeed::schedule(const std::shared_ptr<Follower>& follower, Duration delay,
+                              void (CacheEventFeed::*next)(const std::shared_ptr<Follower>&)) {
   const double factor = 0.8 + 0.4 * random_.unit();
   follower->timer.expires_after(
       Duration(static_cast<Duration::rep>(static_cast<double>(delay.count()) * factor)));
   follower->timer.async_wait([this, follower, next](boost::system::error_code error) {
-    if (!error && current(follower)) (this->*next)(follower);
+    if (!error && isCurrent(follower)) (this->*next)(follower);
   });
 }
 
 void CacheEventFeed::fetchDigest(const std::shared_ptr<Follower>& follower) {
   follower->digest_wanted = false;
-  follower->digest_at = clock_.now() + kDigestPause;
+  follower->next_digest_at = clock_.now() + kDigestInterval;
   engines_->fetchDigest(follower->address,
-                        [this, follower](std::error_code error, const CacheDigestAnswer& answer) {
-                          if (!current(follower)) return;
+                        [this, follower](std::error_code error, const CacheDigestAnswer& response) {
+                          if (!isCurrent(follower)) return;
                           if (error) {
-                            const Duration pause = std::max(kRetryPause, answer.retry_after);
-                            follower->digest_at = clock_.now() + pause;
+                            const Duration delay = std::max(kRetryDelay, response.retry_after);
+                            follower->next_digest_at = clock_.now() + delay;
                             follower->digest_wanted = true;
-                            return later(follower, kPollPause, &CacheEventFeed::poll);
+                            return schedule(follower, kPollInterval, &CacheEventFeed::poll);
                           }
-                          if (answer.incarnation != follower->incarnation) {
-                            return later(follower, kRetryPause, &CacheEventFeed::fetchDigest);
+                          if (response.incarnation != follower->incarnation) {
+                            return schedule(follower, kRetryDelay, &CacheEventFeed::fetchDigest);
                           }
                           metrics_.cache_digests.Increment();
-                          follower->after = std::max(follower->after, answer.sequence);
-                          auto news = std::make_shared<CacheNews>();
-                          news->slot = follower->slot;
-                          news->incarnation = answer.incarnation;
-                          news->is_digest = true;
-                          news->digest_sequence = answer.sequence;
-                          news->digest_blocks = answer.blocks;
-                          on_news_(std::move(news));
+                          follower->after = std::max(follower->after, response.sequence);
+                          auto update = std::make_shared<EngineCacheUpdate>();
+                          update->slot = follower->slot;
+                          update->incarnation = response.incarnation;
+                          update->is_digest = true;
+                          update->digest_sequence = response.sequence;
+                          update->digest_blocks = response.blocks;
+                          on_update_(std::move(update));
                           poll(follower);
                         });
 }
 
 void CacheEventFeed::poll(const std::shared_ptr<Follower>& follower) {
-  if (follower->digest_wanted && clock_.now() >= follower->digest_at) return fetchDigest(follower);
-  engines_->pollCacheEvents(follower->address, follower->after, kPollWait,
-                            [this, follower](std::error_code error, const CacheEventsAnswer& answer) {
-                              if (!current(follower)) return;
-                              // Another incarnation's events are useless here; the engine table will replace
-                              // this follower.
-                              if (error || answer.incarnation != follower->incarnation) {
-                                return later(follower, kRetryPause, &CacheEventFeed::poll);
+  if (follower->digest_wanted && clock_.now() >= follower->next_digest_at) return fetchDigest(follower);
+  engines_->pollCacheEvents(follower->address, follower->after, kMaxPollWait,
+                            [this, follower](std::error_code error, const CacheEventsAnswer& response) {
+                              if (!isCurrent(follower)) return;
+                              // Events of another incarnation do not apply to this index. The engine table
+                              // will report the new incarnation, and follow() then replaces this follower.
+                              if (error || response.incarnation != follower->incarnation) {
+                                return schedule(follower, kRetryDelay, &CacheEventFeed::poll);
                               }
-                              onEvents(follower, answer);
-                              later(follower, kPollPause, &CacheEventFeed::poll);
+                              onEvents(follower, response);
+                              schedule(follower, kPollInterval, &CacheEventFeed::poll);
                             });
 }
 
-void CacheEventFeed::onEvents(const std::shared_ptr<Follower>& follower, const CacheEventsAnswer& answer) {
-  if (answer.events.empty()) return;
-  metrics_.cache_events.Increment(static_cast<double>(answer.events.size()));
-  for (const CacheEvent& event : answer.events) follower->after = std::max(follower->after, event.sequence);
-  auto news = std::make_shared<CacheNews>();
-  news->slot = follower->slot;
-  news->incarnation = answer.incarnation;
-  news->events = answer.events;
-  on_news_(std::move(news));
+void CacheEventFeed::onEvents(const std::shared_ptr<Follower>& follower, const CacheEventsAnswer& response) {
+  if (response.events.empty()) return;
+  metrics_.cache_events.Increment(static_cast<double>(response.events.size()));
+  for (const CacheEvent& event : response.events) follower->after = std::max(follower->after, event.sequence);
+  auto update = std::make_shared<EngineCacheUpdate>();
+  update->slot = follower->slot;
+  update->incarnation = response.incarnation;
+  update->events = response.events;
+  on_update_(std::move(update));
 }
 
 void CacheEventFeed::onGap(EngineSlot slot, std::uint64_t incarnation) {
--- a/src/router_process/cache_event_feed.h
+++ b/src/router_process/cache_event_feed.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Follows the cache event streams of engines and hands their news to the traffic shards. Lives on the
-/// control thread.
+/// @file Follows the cache event streams of engines and forwards the updates to the traffic shards. Runs on
+/// the control thread.
 
 #include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -17,16 +17,17 @@
 
 namespace crankspur {
 
-/// One follower for each engine: a digest first, then a long poll for events; a digest again after a gap.
+/// Runs one follower per engine: it fetches a digest, then long-polls for events, and fetches a digest again
+/// after a gap.
 class CacheEventFeed {
 public:
-  using NewsHandler = std::function<void(std::shared_ptr<const CacheNews>)>;
-  CacheEventFeed(const boost::asio::any_io_executor& executor, NewsHandler on_news, RouterMetrics& metrics,
-                 std::uint64_t random_seed);
+  using UpdateHandler = std::function<void(std::shared_ptr<const EngineCacheUpdate>)>;
+  CacheEventFeed(const boost::asio::any_io_executor& executor, UpdateHandler on_update,
+                 RouterMetrics& metrics, std::uint64_t random_seed);
   ~CacheEventFeed();
-  /// Follows exactly these engines from now on.
+  /// Replaces the set of followed engines.
   void follow(const std::vector<EngineView>& engines);
-  /// A shard found a gap: a digest is fetched, at a bounded rate.
+  /// A shard detected a gap in the event stream: schedules a digest, at a bounded rate.
   void onGap(EngineSlot slot, std::uint64_t incarnation);
 
 private:
@@ -34,12 +35,12 @@
   void fetchDigest(const std::shared_ptr<Follower>& follower);
   void poll(const std::shared_ptr<Follower>& follower);
   void onEvents(const std::shared_ptr<Follower>& follower, const CacheEventsAnswer& answer);
-  void later(const std::shared_ptr<Follower>& follower, Duration delay,
-             void (CacheEventFeed::*next)(const std::shared_ptr<Follower>&));
-  bool current(const std::shared_ptr<Follower>& follower) const;
+  void schedule(const std::shared_ptr<Follower>& follower, Duration delay,
+                void (CacheEventFeed::*next)(const std::shared_ptr<Follower>&));
+  bool isCurrent(const std::shared_ptr<Follower>& follower) const;
 
   boost::asio::any_io_executor executor_;
-  NewsHandler on_news_;
+  UpdateHandler on_update_;
   RouterMetrics& metrics_;
   RandomSource random_;
   SteadyClock clock_;
--- a/src/router_process/claim_group_driver.cc
+++ b/src/router_process/claim_group_driver.cc
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr Duration kTick = std::chrono::milliseconds(100);
-/// Routers that keep the group; the others leave the table alone.
-constexpr std::uint32_t kKeepers = 2;
+constexpr Duration kTickInterval = std::chrono::milliseconds(100);
+/// Number of routers that manage the group's row; the others do not access the table.
+constexpr std::uint32_t kManagingRouters = 2;
 constexpr char kGroupName[] = "claim_group";
 
 }  // namespace
@@ -38,16 +38,16 @@
 }
 
 void ClaimGroupDriver::tick() {
-  takeRouters();
+  updateRouters();
   service_.tick(clock_.now());
   pump();
-  timer_.expires_after(kTick);
+  timer_.expires_after(kTickInterval);
   timer_.async_wait([this](boost::system::error_code error) {
     if (!error) tick();
   });
 }
 
-void ClaimGroupDriver::takeRouters() {
+void ClaimGroupDriver::updateRouters() {
   std::vector<ClaimGroupCandidate> routers;
   std::vector<std::string> names;
   for (const MemberRecord& member : callbacks_.routers()) {
@@ -56,19 +56,19 @@
     names.push_back(member.name);
   }
   std::optional<std::uint32_t> rank;
-  for (std::uint32_t place = 0; table_ && place < kKeepers && !names.empty(); ++place) {
-    const std::string first = ownerOf(kGroupName, names);
-    if (first == name_) rank = place;
-    std::erase(names, first);
+  for (std::uint32_t position = 0; table_ && position < kManagingRouters && !names.empty(); ++position) {
+    const std::string owner = ownerOf(kGroupName, names);
+    if (owner == name_) rank = position;
+    std::erase(names, owner);
   }
   service_.setRouters(std::move(routers), rank);
 }
 
 void ClaimGroupDriver::begin(std::size_t shard, const GroupClaimRequest& request) {
-  GroupClaimRequest asked = request;
-  asked.claim = next_asked_++;
-  asked_[asked.claim] = Asked{shard, request.claim};
-  service_.begin(asked, clock_.now());
+  GroupClaimRequest group_request = request;
+  group_request.claim = next_claim_++;
+  pending_claims_[group_request.claim] = PendingClaim{shard, request.claim};
+  service_.begin(group_request, clock_.now());
   pump();
 }
 
@@ -92,11 +92,11 @@
 }
 
 void ClaimGroupDriver::pump() {
-  for (const ClaimGroupAction& action : service_.takeActions()) perform(action);
-  noteChanges();
+  for (const ClaimGroupAction& action : service_.takeActions()) execute(action);
+  reportChanges();
 }
 
-void ClaimGroupDriver::perform(const ClaimGroupAction& action) {
+void ClaimGroupDriver::execute(const ClaimGroupAction& action) {
   if (const auto* message = std::get_if<SendClaimMessage>(&action)) {
     callbacks_.send(message->address, message->message);
   } else if (std::holds_alternative<ReadGroupRow>(action)) {
@@ -106,11 +106,11 @@
   } else if (const auto* put = std::get_if<PutClaimRow>(&action)) {
     putClaim(*put);
   } else if (const auto* decided = std::get_if<GroupClaimDecided>(&action)) {
-    const auto found = asked_.find(decided->claim);
-    if (found == asked_.end()) return;
-    const Asked asked = found->second;
-    asked_.erase(found);
-    callbacks_.decided(asked.shard, asked.claim, decided->decision);
+    const auto found = pending_claims_.find(decided->claim);
+    if (found == pending_claims_.end()) return;
+    const PendingClaim pending = found->second;
+    pending_claims_.erase(found);
+    callbacks_.on_decided(pending.shard, pending.claim, decided->decision);
   }
 }
 
@@ -142,30 +142,31 @@
 }
 
 void ClaimGroupDriver::onClaimPut(const PutClaimRow& put, const TransactionResult& result) {
-  std::optional<ClaimRow> present;
+  std::optional<ClaimRow> current_row;
   const auto* conflict = std::get_if<TransactionConflict>(&result);
   if (std::holds_alternative<TransactionCommitted>(result)) {
-    present = put.row;
-    present->row_version = put.expected_version + 1;
+    current_row = put.row;
+    current_row->row_version = put.expected_version + 1;
   } else if (conflict != nullptr && !conflict->rows.empty()) {
-    present = decodeClaimRow(conflict->rows.front());
+    current_row = decodeClaimRow(conflict->rows.front());
   }
-  service_.onClaimPut(put.key, present, clock_.now());
+  service_.onClaimPut(put.key, current_row, clock_.now());
   pump();
 }
 
-void ClaimGroupDriver::noteChanges() {
-  const ClaimGroupStatus now = status();
-  if (now.row.epoch != known_epoch_) {
-    known_epoch_ = now.row.epoch;
-    log_.write(EventId::ClaimGroupChanged,
-               {{"epoch", now.row.epoch}, {"members", static_cast<std::uint64_t>(now.row.members.size())}});
+void ClaimGroupDriver::reportChanges() {
+  const ClaimGroupStatus current = status();
+  if (current.row.epoch != logged_epoch_) {
+    logged_epoch_ = current.row.epoch;
+    log_.write(
+        EventId::ClaimGroupChanged,
+        {{"epoch", current.row.epoch}, {"members", static_cast<std::uint64_t>(current.row.members.size())}});
   }
-  if (now.voting != std::exchange(voting_, now.voting)) {
-    log_.write(now.voting ? EventId::ClaimVotingBegun : EventId::ClaimVotingEnded,
-               {{"epoch", now.row.epoch}, {"claims", static_cast<std::uint64_t>(now.votes)}});
+  if (current.voting != std::exchange(logged_voting_, current.voting)) {
+    log_.write(current.voting ? EventId::ClaimVotingBegun : EventId::ClaimVotingEnded,
+               {{"epoch", current.row.epoch}, {"claims", static_cast<std::uint64_t>(current.votes)}});
   }
-  if (inForce() != std::exchange(in_force_, inForce())) callbacks_.force_changed();
+  if (inForce() != std::exchange(reported_in_force_, inForce())) callbacks_.on_in_force_changed();
 }
 
 }  // namespace crankspur
--- a/src/router_process/claim_group_driver.h
+++ b/src/router_process/claim_group_driver.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Carries the claim group's messages, table calls and decisions for ClaimGroupService. Lives on the
-/// control thread.
+/// @file Runs ClaimGroupService on real connections: sends its messages, makes its table calls and delivers
+/// its decisions. Runs on the control thread.
 
 #include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -18,21 +18,23 @@
 
 namespace crankspur {
 
-/// What the driver asks its owner.
+/// Queries and notifications to the owner of the driver.
 struct ClaimGroupDriverCallbacks {
   std::function<void(const std::string& address, const Message&)> send;
-  /// `shard` is the one that asked.
-  std::function<void(std::size_t shard, std::uint64_t claim, const GroupClaimDecision&)> decided;
-  std::function<std::vector<MemberRecord>()> routers;  ///< Live ones, this router included.
-  std::function<void()> force_changed;                 ///< ClaimGroupService::inForce() changed.
+  /// A claim was decided. `shard`: the traffic shard that requested it.
+  std::function<void(std::size_t shard, std::uint64_t claim, const GroupClaimDecision&)> on_decided;
+  std::function<std::vector<MemberRecord>()> routers;  ///< Live routers, including this one.
+  std::function<void()> on_in_force_changed;           ///< ClaimGroupService::inForce() changed.
 };
 
-/// The driver.
+/// See the file comment.
 class ClaimGroupDriver {
 public:
-  /// @param self this router's record; `random_seed` also makes its incarnation in the group, so that no
-  /// clock can make two processes at one address the same member.
-  /// @param table_address empty: there is no table service; no group begins and none is found but from peers.
+  /// @param self this router's record.
+  /// @param table_address empty: there is no table service; this router starts no group and only learns of
+  /// one from peers.
+  /// @param random_seed also determines the incarnation in the group. It is random rather than a clock
+  /// reading, so that two processes at one address can never count as the same member.
   ClaimGroupDriver(const boost::asio::any_io_executor& executor, const MemberRecord& self,
                    const std::string& table_address, ClaimGroupDriverCallbacks callbacks, EventLog& log,
                    std::uint64_t random_seed);
@@ -42,27 +44,28 @@
   void configure(const ClaimGroupSettings& settings);
   void begin(std::size_t shard, const GroupClaimRequest& request);
   void notice(const GroupClaimNotice& notice);
-  /// A claim write found the group's row.
+  /// A claim write detected the group's row in the table.
   void onGroupFound();
   void onMessage(const Message& message, const std::string& from);
   bool inForce() const { return service_.inForce(); }
   ClaimGroupStatus status() const { return service_.status(clock_.now()); }
 
 private:
-  struct Asked {
+  /// A claim that a traffic shard requested.
+  struct PendingClaim {
     std::size_t shard = 0;
     std::uint64_t claim = 0;
   };
 
   void tick();
-  void takeRouters();
+  void updateRouters();
   void pump();
-  void perform(const ClaimGroupAction& action);
+  void execute(const ClaimGroupAction& action);
   void readRow();
   void swapRow(const SwapGroupRow& swap);
   void putClaim(const PutClaimRow& put);
   void onClaimPut(const PutClaimRow& put, const TransactionResult& result);
-  void noteChanges();
+  void reportChanges();
 
   std::string name_;
   ClaimGroupDriverCallbacks callbacks_;
@@ -71,12 +74,12 @@
   std::unique_ptr<http::Client> http_;
   std::unique_ptr<TableClient> table_;
   ClaimGroupService service_;
-  std::map<std::uint64_t, Asked> asked_;
-  std::uint64_t next_asked_ = 1;
+  std::map<std::uint64_t, PendingClaim> pending_claims_;
+  std::uint64_t next_claim_ = 1;
   boost::asio::steady_timer timer_;
-  bool in_force_ = false;
-  std::uint64_t known_epoch_ = 0;
-  bool voting_ = false;
+  bool reported_in_force_ = false;
+  std::uint64_t logged_epoch_ = 0;
+  bool logged_voting_ = false;
 };
 
 }  // namespace crankspur
--- a/src/router_process/control_connection.cc
+++ b/src/router_process/control_connection.cc
@@ -15,9 +15,9 @@
   return hello;
 }
 
-void connectControl(PeerFrontCallbacks& callbacks, boost::asio::io_context& context,
-                    const std::unique_ptr<ControlThread>& control) {
-  const auto hand_on = [&context, &control](auto handler) {
+void bindControlCallbacks(PeerFrontCallbacks& callbacks, boost::asio::io_context& context,
+                          const std::unique_ptr<ControlThread>& control) {
+  const auto post_to_control = [&context, &control](auto handler) {
     return [&context, &control, handler](auto&& message) {
       boost::asio::post(context, [&control, handler, message = std::forward<decltype(message)>(message)] {
         handler(*control, message);
@@ -29,20 +29,25 @@
       control->onPing(ping, address);
     });
   };
-  callbacks.on_ack = hand_on([](ControlThread& state, const PingAck& ack) { state.onAck(ack); });
-  callbacks.on_router = hand_on([](ControlThread& state, const Hello& hello) { state.onRouter(hello); });
-  callbacks.on_bundle = hand_on([](ControlThread& state, const BundleBody& body) { state.onBundle(body); });
-  callbacks.on_backends =
-      hand_on([](ControlThread& state, const BackendList& list) { state.onBackends(list); });
-  callbacks.on_load_digest =
-      hand_on([](ControlThread& state, const LoadDigest& digest) { state.onLoadDigest(digest); });
+  callbacks.on_ack =
+      post_to_control([](ControlThread& control_thread, const PingAck& ack) { control_thread.onAck(ack); });
+  callbacks.on_router = post_to_control(
+      [](ControlThread& control_thread, const Hello& hello) { control_thread.onRouter(hello); });
+  callbacks.on_bundle = post_to_control(
+      [](ControlThread& control_thread, const BundleBody& body) { control_thread.onBundle(body); });
+  callbacks.on_backends = post_to_control(
+      [](ControlThread& control_thread, const BackendList& list) { control_thread.onBackends(list); });
+  callbacks.on_load_digest = post_to_control(
+      [](ControlThread& control_thread, const LoadDigest& digest) { control_thread.onLoadDigest(digest); });
   callbacks.on_claim_message = [&context, &control](Message message, std::string address) {
     boost::asio::post(context, [&control, message = std::move(message), address = std::move(address)] {
       control->onClaimMessage(message, address);
     });
   };
   callbacks.on_cache_summary =
-      hand_on([](ControlThread& state, const CacheSummary& summary) { state.onCacheSummary(summary); });
+      post_to_control([](ControlThread& control_thread, const CacheSummary& summary) {
+        control_thread.onCacheSummary(summary);
+      });
 }
 
 }  // namespace crankspur
--- a/src/router_process/control_thread.h
+++ b/src/router_process/control_thread.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file The router's control state: membership, engine table, bundle, platform. Publishes snapshots to the
-/// traffic shards. Everything runs on one thread.
+/// @file The control state of a router: membership, engine table, bundle and platform state. Publishes
+/// snapshots to the traffic shards. Everything here runs on one thread.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -23,24 +23,24 @@
 
 namespace crankspur {
 
-/// The front with the thread that it lives on.
-struct FrontThread {
+/// The connections to sidecars and other routers, and the thread that they run on.
+struct PeerThread {
   EventLoopThread thread;
-  std::unique_ptr<PeerFront> front;
+  std::unique_ptr<PeerFront> connections;
 };
 
-/// What /status shows of the control state.
+/// Summary of the control state for /status.
 struct ControlStatus {
   std::uint64_t bundle_version = 0;
   std::string site;
   bool platform_reachable = true;
   bool leaving = false;
-  bool gives_orders = false;
+  bool holds_order_lease = false;
   std::vector<EngineView> engines;
   std::vector<EngineView> runners;
   std::vector<MemberRecord> members;
   ClaimGroupStatus claim_group;
-  bool table_answers = true;
+  bool table_reachable = true;
 };
 
 /// The control state. Use from its executor's thread only.
@@ -50,27 +50,27 @@
 
   /// @param self this router's record; its address is what peers connect to.
   ControlThread(boost::asio::io_context& context, const RouterSettings& settings, MemberRecord self,
-                FrontThread& front, Shards& shards, EventLog& log, RouterMetrics& metrics);
+                PeerThread& peer_thread, Shards& shards, EventLog& log, RouterMetrics& metrics);
 
-  /// Begins polling and gossip.
+  /// Starts polling and gossip.
   void start();
-  /// Planned stop: tells peers and sidecars.
+  /// Planned shutdown: announces it to routers and sidecars.
   void leave();
   ControlStatus status() const;
   /// @return the name of the engine in a slot, or an empty string.
-  std::string engineName(EngineSlot slot) const { return table_.nameOf(slot); }
+  std::string engineName(EngineSlot slot) const { return engine_table_.nameOf(slot); }
 
   void onPing(const Ping& ping, const std::string& address);
   void onAck(const PingAck& ack);
   void onRouter(const Hello& hello);
-  /// @return whether the body was refused for what it is.
+  /// @return whether the body was refused because it is invalid.
   bool onBundle(const BundleBody& body);
   void onOutcome(const EngineOutcome& outcome);
   void onBackends(const BackendList& list);
   void onLoadDigest(const LoadDigest& digest);
   void onCacheSummary(const CacheSummary& summary);
   void onCacheGap(EngineSlot slot, std::uint64_t incarnation);
-  /// @param shard the traffic shard that asks.
+  /// @param shard the traffic shard that requests the claim.
   void onGroupClaim(std::size_t shard, const GroupClaimRequest& request) {
     claim_group_.begin(shard, request);
   }
@@ -83,55 +83,55 @@
 private:
   TimePoint now() const { return clock_.now(); }
   void onMachines(const MachineList& list);
-  void tellBackends();
-  void onMembershipEvent();
+  void publishBackends();
+  void processMembershipEvents();
   void sendGossip();
-  void logMembers();
+  void applyMembershipChanges();
   void armMembershipTimer();
-  void onTableEvent();
-  void runTable();
-  void armTableTimer();
+  void processEngineTableEvents();
+  void startDuePolls();
+  void armEngineTableTimer();
   void announceEngines();
-  void logBackends();
+  void logBackendChanges();
   void publish();
-  void publishSoon();
-  void onCacheNews(const std::shared_ptr<const CacheNews>& news);
+  void schedulePublish();
+  void onCacheUpdate(const std::shared_ptr<const EngineCacheUpdate>& update);
   void sendToRouters(std::vector<std::string> addresses, Message message);
-  void tickExchange();
+  void tickZoneExchange();
   bool mayContendForOrders() const;
 
   const RouterSettings& settings_;
   MemberRecord self_;
-  FrontThread& front_;
+  PeerThread& peer_thread_;
   Shards& shards_;
   EventLog& log_;
   RouterMetrics& metrics_;
   SteadyClock clock_;
   BundleHolder bundle_;
   std::unique_ptr<Membership> membership_;
-  EngineTable table_;
+  EngineTable engine_table_;
   BackendPoller poller_;
   CacheEventFeed cache_feed_;
-  PlatformWatcher platform_;
-  ZoneExchange exchange_;
-  OrderDispatcher orders_;
+  PlatformWatcher platform_watcher_;
+  ZoneExchange zone_exchange_;
+  OrderDispatcher order_dispatcher_;
   ClaimGroupDriver claim_group_;
   boost::asio::steady_timer membership_timer_;
-  boost::asio::steady_timer table_timer_;
+  boost::asio::steady_timer engine_table_timer_;
   boost::asio::steady_timer publish_timer_;
-  boost::asio::steady_timer exchange_timer_;
-  std::vector<MemberRecord> live_members_;  ///< As of the last change; bundle versions may be older.
-  bool publish_waiting_ = false;
-  bool fleet_changed_ = true;  ///< Members or engines changed since the exchange heard of them.
+  boost::asio::steady_timer zone_exchange_timer_;
+  std::vector<MemberRecord> live_members_;  ///< As of the last state change; bundle versions may be outdated.
+  bool publish_scheduled_ = false;
+  bool fleet_changed_ = true;  ///< Members or engines changed since the last update of zone_exchange_.
   bool leaving_ = false;
 };
 
-/// @return what a router says of itself to peers; its address is set once it listens.
+/// @return the handshake message of a router; its address is set once it listens.
 Hello routerHello(const RouterSettings& settings, std::uint64_t incarnation);
 
-/// Makes a front hand every control message to the control state, on the control state's loop.
-/// @param control filled before the first message; must outlive the front.
-void connectControl(PeerFrontCallbacks& callbacks, boost::asio::io_context& context,
-                    const std::unique_ptr<ControlThread>& control);
+/// Sets callbacks that forward every control message to the control state, on its event loop.
+/// @param control set before the first message arrives; must outlive the connections.
+void bindControlCallbacks(PeerFrontCallbacks& callbacks, boost::asio::io_context& context,
+                          const std::unique_ptr<ControlThread>& control);
 
 }  // namespace crankspur
--- a/src/router_process/event_loop_thread.h
+++ b/src/router_process/event_loop_thread.h
@@ -10,27 +10,27 @@
 
 namespace crankspur {
 
-/// An event loop and, once started, the one thread that runs it; or a loop that someone else runs.
+/// Owns an event loop and, once started, the thread that runs it; or posts to a loop that the caller runs.
 class EventLoopThread {
 public:
   EventLoopThread()
-      : own_(std::make_unique<boost::asio::io_context>(1)),
-        context_(*own_),
-        work_(boost::asio::make_work_guard(context_)) {}
-  /// Uses a loop that others run and stop; it must outlive this object.
+      : owned_context_(std::make_unique<boost::asio::io_context>(1)),
+        context_(*owned_context_),
+        work_guard_(boost::asio::make_work_guard(context_)) {}
+  /// Uses an event loop that the caller runs and stops; it must outlive this object.
   explicit EventLoopThread(boost::asio::io_context& shared)
-      : context_(shared), work_(boost::asio::make_work_guard(context_)) {}
+      : context_(shared), work_guard_(boost::asio::make_work_guard(context_)) {}
   EventLoopThread(const EventLoopThread&) = delete;
   EventLoopThread& operator=(const EventLoopThread&) = delete;
   ~EventLoopThread() { stop(); }
-  /// Starts the thread; a shared loop is left alone.
+  /// Starts the thread; has no effect on a shared loop.
   void start() {
-    if (own_) thread_ = std::thread([this] { context_.run(); });
+    if (owned_context_) thread_ = std::thread([this] { context_.run(); });
   }
-  /// Ends the loop without regard to what waits in it, and joins the thread. Idempotent. A shared loop is
-  /// left alone.
+  /// Stops the loop, discarding pending handlers, and joins the thread. Idempotent. Has no effect on a shared
+  /// loop.
   void stop() {
-    if (own_) own_->stop();
+    if (owned_context_) owned_context_->stop();
     if (thread_.joinable()) thread_.join();
   }
   /// Runs `work` on the loop's thread; may be called from any thread.
@@ -41,9 +41,9 @@
   boost::asio::io_context::executor_type executor() { return context_.get_executor(); }
 
 private:
-  std::unique_ptr<boost::asio::io_context> own_;
+  std::unique_ptr<boost::asio::io_context> owned_context_;
   boost::asio::io_context& context_;
-  boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_;
+  boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_guard_;
   std::thread thread_;
 };
 
--- a/src/router_process/order_dispatcher.cc
+++ b/src/router_process/order_dispatcher.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Duration kLeaseLifetime = std::chrono::seconds(15);
-constexpr Duration kTick = std::chrono::milliseconds(250);
+constexpr Duration kTickInterval = std::chrono::milliseconds(250);
 constexpr char kLeaseName[] = "fleet_orders";
 
 EngineOrderCall callFor(const FleetOrder& order, std::uint64_t token) {
@@ -50,9 +50,9 @@
 void OrderDispatcher::tick() {
   const TimePoint now = clock_.now();
   if (holding_ || callbacks_.may_contend()) pollLease(now);
-  noteHolding(now);
+  updateHolding(now);
   sendOrders(now);
-  timer_.expires_after(kTick);
+  timer_.expires_after(kTickInterval);
   timer_.async_wait([this](boost::system::error_code error) {
     if (!error) tick();
   });
@@ -89,16 +89,16 @@
     written.row_version = committed->versions.front().version;
     return lease_->onWritten(true, written, now);
   }
-  const auto present =
+  const auto current =
       conflict != nullptr && !conflict->rows.empty() ? decodeLeaseRow(conflict->rows.front()) : std::nullopt;
-  if (present) {
-    lease_->onWritten(false, *present, now);
+  if (current) {
+    lease_->onWritten(false, *current, now);
   } else {
     lease_->onFailed(now);
   }
 }
 
-void OrderDispatcher::noteHolding(TimePoint now) {
+void OrderDispatcher::updateHolding(TimePoint now) {
   const std::optional<std::uint64_t> token = lease_->heldToken(now);
   if (token.has_value() == holding_) return;
   holding_ = token.has_value();
--- a/src/router_process/order_dispatcher.h
+++ b/src/router_process/order_dispatcher.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Contends for the lease on fleet orders and, while it holds it, sends the roll-out's orders with the
-/// lease's fencing token. Lives on the control thread.
+/// @file Contends for the order lease and, while it holds the lease, sends the orders of the roll-out with
+/// its fencing token. Runs on the control thread.
 
 #include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -17,32 +17,32 @@
 
 namespace crankspur {
 
-/// What the dispatcher asks its owner.
+/// Queries to the owner of the dispatcher.
 struct OrderDispatcherCallbacks {
-  std::function<std::shared_ptr<const Bundle>()> bundle;  ///< Null when none is held.
-  std::function<std::vector<EngineView>()> engines;       ///< Of the whole fleet.
-  std::function<bool()> may_contend;  ///< Whether this router is among the few that contend.
+  std::function<std::shared_ptr<const Bundle>()> bundle;  ///< Null before the first bundle was accepted.
+  std::function<std::vector<EngineView>()> engines;       ///< All engines of the fleet.
+  std::function<bool()> may_contend;  ///< Whether this router is one of the contenders for the lease.
 };
 
-/// The dispatcher.
+/// See the file comment.
 class OrderDispatcher {
 public:
-  /// @param holder unique over all processes and their restarts.
+  /// @param holder unique among all processes, also across their restarts.
   /// @param table_address empty: there is no table service and no orders are sent.
   OrderDispatcher(const boost::asio::any_io_executor& executor, std::string holder,
                   const std::string& table_address, EngineClient& engines, OrderDispatcherCallbacks callbacks,
                   EventLog& log, std::uint64_t random_seed);
   ~OrderDispatcher();
   void start();
-  /// @return whether the lease is held now.
-  bool holds() const { return lease_->heldToken(clock_.now()).has_value(); }
+  /// @return whether this router currently holds the lease.
+  bool holdsLease() const { return lease_->heldToken(clock_.now()).has_value(); }
 
 private:
   void tick();
   void pollLease(TimePoint now);
   void onRead(const ReadResult& result);
   void onWritten(const TransactionResult& result, LeaseRow written);
-  void noteHolding(TimePoint now);
+  void updateHolding(TimePoint now);
   void sendOrders(TimePoint now);
   void send(const FleetOrder& order, std::uint64_t token);
 
--- a/src/router_process/platform_watcher.cc
+++ b/src/router_process/platform_watcher.cc
@@ -7,12 +7,12 @@
 
 namespace {
 
-/// The fleet together makes about this many calls of each kind a second, however many routers there are.
+/// Approximate rate of each kind of call over all routers, independent of their number.
 constexpr double kFleetCallsPerSecond = 10;
-/// Peers get this long to bring a body before it is fetched from the object store; jittered.
-constexpr Duration kPeersFirst = std::chrono::milliseconds(500);
-/// A router without any bundle does not wait for peers longer than this.
-constexpr Duration kPeersFirstAtStart = std::chrono::milliseconds(50);
+/// A new bundle is fetched from the object store if no peer has sent it within this time, which is jittered.
+constexpr Duration kMaxPeerWait = std::chrono::milliseconds(500);
+/// The same for a router that has no bundle yet.
+constexpr Duration kMaxInitialPeerWait = std::chrono::milliseconds(50);
 
 }  // namespace
 
@@ -41,13 +41,13 @@
   fetchBundleRow();
 }
 
-Duration PlatformWatcher::pause(Duration interval) {
-  const double shared = static_cast<double>(callbacks_.router_count()) / kFleetCallsPerSecond;
-  const double seconds = std::max(toSeconds(interval), shared) * (0.7 + 0.6 * random_.unit());
+Duration PlatformWatcher::jitteredInterval(Duration interval) {
+  const double fleet_interval = static_cast<double>(callbacks_.router_count()) / kFleetCallsPerSecond;
+  const double seconds = std::max(toSeconds(interval), fleet_interval) * (0.7 + 0.6 * random_.unit());
   return Duration(static_cast<Duration::rep>(seconds * 1e6));
 }
 
-void PlatformWatcher::noteReachable(bool reachable) {
+void PlatformWatcher::setReachable(bool reachable) {
   if (reachable == reachable_) return;
   reachable_ = reachable;
   log_.write(reachable ? EventId::PlatformReachable : EventId::PlatformUnreachable,
@@ -57,9 +57,9 @@
 void PlatformWatcher::fetchMachines() {
   machines_->fetch([this](const MachineListResult& result) {
     const auto* list = std::get_if<MachineList>(&result);
-    noteReachable(list != nullptr || std::holds_alternative<ServiceRateLimited>(result));
+    setReachable(list != nullptr || std::holds_alternative<ServiceRateLimited>(result));
     if (list != nullptr) callbacks_.on_machines(*list);
-    machines_timer_.expires_after(pause(options_.machine_list_interval));
+    machines_timer_.expires_after(jitteredInterval(options_.machine_list_interval));
     machines_timer_.async_wait([this](boost::system::error_code error) {
       if (!error) fetchMachines();
     });
@@ -68,9 +68,9 @@
 
 void PlatformWatcher::fetchBundleRow() {
   table_->read(bundleRowKey(), [this](const ReadResult& result) {
-    table_answers_ = !std::holds_alternative<ServiceUnavailable>(result);
+    table_reachable_ = !std::holds_alternative<ServiceUnavailable>(result);
     if (const auto* row = std::get_if<TableRow>(&result)) onBundleRow(*row);
-    bundle_timer_.expires_after(pause(options_.bundle_row_interval));
+    bundle_timer_.expires_after(jitteredInterval(options_.bundle_row_interval));
     bundle_timer_.async_wait([this](boost::system::error_code error) {
       if (!error) fetchBundleRow();
     });
@@ -82,10 +82,10 @@
   if (!accepted || accepted->version <= callbacks_.held_version()) return;
   if (accepted->document_sha256 == refused_sha256_) return;
   const bool first = callbacks_.held_version() == 0;
-  const Duration limit = first ? kPeersFirstAtStart : kPeersFirst;
-  const double share = random_.unit();
+  const Duration max_wait = first ? kMaxInitialPeerWait : kMaxPeerWait;
+  const double fraction = random_.unit();
   document_timer_.expires_after(
-      Duration(static_cast<Duration::rep>(static_cast<double>(limit.count()) * share)));
+      Duration(static_cast<Duration::rep>(static_cast<double>(max_wait.count()) * fraction)));
   document_timer_.async_wait([this, accepted](boost::system::error_code error) {
     if (error || accepted->version <= callbacks_.held_version()) return;
     fetchDocument(*accepted);
@@ -102,7 +102,8 @@
       return;
     }
     log_.write(EventId::RouterBundleRefused,
-               {{"version", row.version}, {"reason", "the object is not the document that the row names"}});
+               {{"version", row.version},
+                {"reason", "the stored object does not match the hash in the bundle row"}});
   });
 }
 
--- a/src/router_process/platform_watcher.h
+++ b/src/router_process/platform_watcher.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Watches the platform for the router: machine list and bundle row, at low jittered rates that shrink
-/// with the number of routers. Lives on the control thread.
+/// @file Polls the platform's machine list and bundle row for a router, at low jittered rates that decrease
+/// with the number of routers. Runs on the control thread.
 
 #include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -19,42 +19,42 @@
 
 namespace crankspur {
 
-/// Intervals of the watcher.
+/// Options of the watcher.
 struct PlatformWatcherOptions {
-  std::string address;  ///< Empty: there is no platform, nothing is watched.
+  std::string address;  ///< Empty: there is no platform to poll.
   Duration machine_list_interval = std::chrono::seconds(2);
   Duration bundle_row_interval = std::chrono::seconds(5);
 };
 
-/// What the watcher hands on.
+/// Queries and notifications to the owner of the watcher.
 struct PlatformWatcherCallbacks {
   std::function<void(const MachineList&)> on_machines;
-  /// Returns whether the body was refused for what it is; it is then not fetched again.
+  /// Returns whether the body was refused because it is invalid; it is then not fetched again.
   std::function<bool(const BundleBody&)> on_bundle;
-  std::function<std::uint64_t()> held_version;  ///< Of the bundle.
-  std::function<std::size_t()> router_count;    ///< Live routers.
+  std::function<std::uint64_t()> held_version;  ///< Version of the current bundle; 0: none.
+  std::function<std::size_t()> router_count;    ///< Number of live routers.
 };
 
-/// The watcher.
+/// See the file comment.
 class PlatformWatcher {
 public:
   PlatformWatcher(const boost::asio::any_io_executor& executor, PlatformWatcherOptions options,
                   PlatformWatcherCallbacks callbacks, EventLog& log, std::uint64_t random_seed);
   ~PlatformWatcher();
-  /// Begins at once.
+  /// Starts polling immediately.
   void start();
-  /// @return whether the last machine list call was answered.
+  /// @return whether the last call for the machine list got a response.
   bool reachable() const { return reachable_; }
-  /// @return whether the last read of the bundle's row was answered.
-  bool tableAnswers() const { return table_answers_; }
+  /// @return whether the last read of the bundle row got a response.
+  bool tableReachable() const { return table_reachable_; }
 
 private:
   void fetchMachines();
   void fetchBundleRow();
   void onBundleRow(const TableRow& row);
   void fetchDocument(const BundleRow& row);
-  Duration pause(Duration interval);
-  void noteReachable(bool reachable);
+  Duration jitteredInterval(Duration interval);
+  void setReachable(bool reachable);
 
   PlatformWatcherOptions options_;
   PlatformWatcherCallbacks callbacks_;
@@ -68,9 +68,9 @@
   boost::asio::steady_timer machines_timer_;
   boost::asio::steady_timer bundle_timer_;
   boost::asio::steady_timer document_timer_;
-  std::string refused_sha256_;  ///< Of the document that was refused last.
+  std::string refused_sha256_;  ///< Hash of the last document that was refused.
   bool reachable_ = true;
-  bool table_answers_ = true;
+  bool table_reachable_ = true;
 };
 
 }  // namespace crankspur
--- a/src/router_process/router_admin.cc
+++ b/src/router_process/router_admin.cc
@@ -50,10 +50,10 @@
   return list;
 }
 
-/// Who decides on claims now.
+/// @return where claims are currently decided.
 const char* claimMode(const ControlStatus& status) {
   if (status.claim_group.row.epoch == 0) return "table";
-  return status.table_answers ? "group_and_table" : "group";
+  return status.table_reachable ? "group_and_table" : "group";
 }
 
 json::object describeClaims(const ControlStatus& status) {
@@ -113,12 +113,12 @@
 }  // namespace
 
 RouterAdmin::RouterAdmin(boost::asio::io_context& context, const RouterSettings& settings,
-                         ControlThread& control, FrontThread& front, ControlThread::Shards& shards,
+                         ControlThread& control, PeerThread& peer_thread, ControlThread::Shards& shards,
                          RouterMetrics& metrics)
     : context_(context),
       settings_(settings),
       control_(control),
-      front_(front),
+      peer_thread_(peer_thread),
       shards_(shards),
       metrics_(metrics),
       gauge_timer_(context) {}
@@ -152,7 +152,7 @@
                                  {"bundle_version", status.bundle_version},
                                  {"site", status.site},
                                  {"stopping", status.leaving},
-                                 {"gives_orders", status.gives_orders},
+                                 {"gives_orders", status.holds_order_lease},
                                  {"platform_reachable", status.platform_reachable},
                                  {"claims", describeClaims(status)},
                                  {"requests_in_flight", inFlight()},
@@ -169,8 +169,8 @@
 }
 
 void RouterAdmin::refreshGauges() {
-  front_.thread.post([this] {
-    boost::asio::post(context_, [this, counts = front_.front->counts()] { setGauges(counts); });
+  peer_thread_.thread.post([this] {
+    boost::asio::post(context_, [this, counts = peer_thread_.connections->counts()] { setGauges(counts); });
   });
   gauge_timer_.expires_after(kGaugeInterval);
   gauge_timer_.async_wait([this](boost::system::error_code error) {
@@ -197,15 +197,16 @@
     writer->respond(errorResponse(404, "unknown_request", "no record of this request is kept here"));
     return;
   }
-  // Moved, not copied: the shard's thread must not be the last to let go of a writer of the control thread.
-  auto answer = [this, request_id, shard,
-                 writer = Writer(writer)](const std::optional<DecisionRecord>& record) mutable {
+  // The writer is moved, not copied: it belongs to the control thread, and the shard's thread must not hold
+  // its last reference.
+  auto on_record = [this, request_id, shard,
+                    writer = Writer(writer)](const std::optional<DecisionRecord>& record) mutable {
     boost::asio::post(context_, [this, request_id, shard, writer = std::move(writer), record] {
       if (!record) return explain(request_id, shard + 1, writer);
       writer->respond(http::jsonResponse(200, describeDecision(*record, settings_.name, control_)));
     });
   };
-  shards_[shard]->postExplain(request_id, std::move(answer));
+  shards_[shard]->postExplain(request_id, std::move(on_record));
 }
 
 }  // namespace crankspur
--- a/src/router_process/router_admin.h
+++ b/src/router_process/router_admin.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Admin endpoints of the router: /healthz, /metrics, /status, /explain. Lives on the control thread.
+/// @file Admin endpoints of a router: /healthz, /metrics, /status, /explain. Runs on the control thread.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -11,12 +11,12 @@
 
 namespace crankspur {
 
-/// Serves the admin port.
+/// Serves the admin port of a router.
 class RouterAdmin {
 public:
   RouterAdmin(boost::asio::io_context& context, const RouterSettings& settings, ControlThread& control,
-              FrontThread& front, ControlThread::Shards& shards, RouterMetrics& metrics);
-  /// @return an error when the port cannot be bound.
+              PeerThread& peer_thread, ControlThread::Shards& shards, RouterMetrics& metrics);
+  /// @return an error if the port cannot be bound.
   std::error_code listen(const std::string& address);
   std::uint16_t port() const { return server_->port(); }
 
@@ -32,7 +32,7 @@
   boost::asio::io_context& context_;
   const RouterSettings& settings_;
   ControlThread& control_;
-  FrontThread& front_;
+  PeerThread& peer_thread_;
   ControlThread::Shards& shards_;
   RouterMetrics& metrics_;
   boost::asio::steady_timer gauge_timer_;
--- a/src/router_process/router_metrics.h
+++ b/src/router_process/router_metrics.h
@@ -1,5 +1,6 @@
 #pragma once
-/// @file Metrics of the router process. Counters may be raised from any thread; /metrics shows the registry.
+/// @file Metrics of the router process. Counters may be incremented from any thread; /metrics exports the
+/// registry.
 
 #include <prometheus/counter.h>
 #include <prometheus/gauge.h>
@@ -10,7 +11,7 @@
 
 namespace crankspur {
 
-/// The router's metrics; each is registered as crankspur_router_NAME.
+/// The metrics of a router, each registered as crankspur_router_NAME.
 class RouterMetrics {
 private:
   std::shared_ptr<prometheus::Registry> registry_;
--- a/src/router_process/router_process.cc
+++ b/src/router_process/router_process.cc
@@ -18,17 +18,17 @@
 
 namespace {
 
-/// Time that sidecars get to hear that this router leaves, before new work is refused.
-constexpr Duration kLeaveNotice = std::chrono::milliseconds(300);
-constexpr Duration kDrainPoll = std::chrono::milliseconds(20);
+/// Time for sidecars to receive the announcement of the shutdown before new requests are refused.
+constexpr Duration kLeaveAnnouncementTime = std::chrono::milliseconds(300);
+constexpr Duration kDrainPollInterval = std::chrono::milliseconds(20);
 
-/// @return milliseconds of the wall clock, so that a later start has a higher number.
+/// @return the wall clock in milliseconds, so that a later start has a higher incarnation.
 std::uint64_t startIncarnation() {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   return static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
 }
 
-std::uint64_t freshSeed() {
+std::uint64_t randomSeed() {
   std::random_device device;
   return (static_cast<std::uint64_t>(device()) << 32U) | device();
 }
@@ -52,24 +52,25 @@
                       incarnation_,
                       MemberState::Alive,
                       0};
-    control_ = std::make_unique<ControlThread>(context_, settings_, self, front_, shards_, log_, metrics_);
-    admin_ = std::make_unique<RouterAdmin>(context_, settings_, *control_, front_, shards_, metrics_);
+    control_ =
+        std::make_unique<ControlThread>(context_, settings_, self, peer_thread_, shards_, log_, metrics_);
+    admin_ = std::make_unique<RouterAdmin>(context_, settings_, *control_, peer_thread_, shards_, metrics_);
     if (const std::error_code error = admin_->listen(settings_.admin)) {
-      refuseAddress("admin", settings_.admin, error);
+      logRefusedAddress("admin", settings_.admin, error);
       return kRouterExitCannotListen;
     }
     signals_.add(SIGTERM);
     signals_.add(SIGINT);
     awaitSignal();
     for (const auto& shard : shards_) shard->start();
-    front_.thread.start();
+    peer_thread_.thread.start();
     control_->start();
-    fmt::print("listening {} admin {}\n", front_.front->port(), admin_->port());
+    fmt::print("listening {} admin {}\n", peer_thread_.connections->port(), admin_->port());
     std::fflush(stdout);
     log_.write(EventId::ProcessStarted,
                {{"address", settings_.advertise}, {"zone", settings_.zone}, {"version", CRANKSPUR_VERSION}});
     context_.run();
-    front_.thread.stop();
+    peer_thread_.thread.stop();
     for (const auto& shard : shards_) shard->stop();
     log_.write(EventId::ProcessStopped, {});
     return kRouterExitOk;
@@ -80,12 +81,12 @@
     for (std::uint32_t index = 0; index < settings_.traffic_threads; ++index) {
       TrafficShardOptions options;
       options.router_name = settings_.name;
-      options.random_seed = freshSeed();
+      options.random_seed = randomSeed();
       options.index_entries = settings_.index_entries / settings_.traffic_threads;
       options.table_address = settings_.platform;
-      options.table_rate = {static_cast<double>(settings_.table_calls_per_second),
-                            static_cast<double>(settings_.table_calls_per_second)};
-      options.shards = settings_.traffic_threads;
+      options.fleet_table_rate = {static_cast<double>(settings_.table_calls_per_second),
+                                  static_cast<double>(settings_.table_calls_per_second)};
+      options.shard_count = settings_.traffic_threads;
       shards_.push_back(
           std::make_unique<TrafficShard>(std::move(options), shardCallbacks(index), log_, metrics_));
     }
@@ -94,7 +95,8 @@
   TrafficShardCallbacks shardCallbacks(std::size_t shard) {
     TrafficShardCallbacks callbacks;
     callbacks.on_messages = [this](std::vector<SendToSidecar> messages) {
-      front_.thread.post([this, messages = std::move(messages)] { front_.front->sendToSidecars(messages); });
+      peer_thread_.thread.post(
+          [this, messages = std::move(messages)] { peer_thread_.connections->sendToSidecars(messages); });
     };
     callbacks.on_outcome = [this](const EngineOutcome& outcome) {
       boost::asio::post(context_, [this, outcome] { control_->onOutcome(outcome); });
@@ -113,20 +115,20 @@
   }
 
   bool listenForPeers() {
-    front_.front = std::make_unique<PeerFront>(front_.thread.executor(), routerHello(settings_, incarnation_),
-                                               frontCallbacks());
-    if (const std::error_code error = front_.front->listen(settings_.listen)) {
-      refuseAddress("listen", settings_.listen, error);
+    peer_thread_.connections = std::make_unique<PeerFront>(
+        peer_thread_.thread.executor(), routerHello(settings_, incarnation_), peerCallbacks());
+    if (const std::error_code error = peer_thread_.connections->listen(settings_.listen)) {
+      logRefusedAddress("listen", settings_.listen, error);
       return false;
     }
     if (settings_.advertise.empty()) {
-      settings_.advertise = withPort(settings_.listen, front_.front->port());
+      settings_.advertise = withPort(settings_.listen, peer_thread_.connections->port());
     }
-    front_.front->setAdvertised(settings_.advertise);
+    peer_thread_.connections->setAdvertised(settings_.advertise);
     return true;
   }
 
-  PeerFrontCallbacks frontCallbacks() {
+  PeerFrontCallbacks peerCallbacks() {
     PeerFrontCallbacks callbacks;
     callbacks.on_submit = [this](SidecarId sidecar, SubmitRequest request) {
       TrafficShard& shard = shardOf(request);
@@ -138,18 +140,20 @@
     callbacks.on_sidecar_lost = [this](SidecarId sidecar) {
       for (const auto& shard : shards_) shard->postSidecarLost(sidecar);
     };
-    connectControl(callbacks, context_, control_);
+    bindControlCallbacks(callbacks, context_, control_);
     return callbacks;
   }
 
-  /// Requests of one (tenant, model) always meet one shard.
+  /// @return the shard for the request; all requests of one tenant and model or operation go to the same
+  /// shard.
   TrafficShard& shardOf(const SubmitRequest& request) {
-    const std::string& target = request.kind == RequestKind::Application ? request.operation : request.model;
-    const std::uint64_t hash = combineHashes(hashBytes(request.tenant), hashBytes(target));
+    const std::string& route_target =
+        request.kind == RequestKind::Application ? request.operation : request.model;
+    const std::uint64_t hash = combineHashes(hashBytes(request.tenant), hashBytes(route_target));
     return *shards_[hash % shards_.size()];
   }
 
-  void refuseAddress(const char* key, const std::string& address, std::error_code error) {
+  void logRefusedAddress(const char* key, const std::string& address, std::error_code error) {
     log_.write(EventId::SettingsRefused, {{"key", key}, {"value", address}, {"reason", error.message()}});
   }
 
@@ -162,35 +166,36 @@
       }
       stopping_ = true;
       awaitSignal();
-      beginStop();
+      startDraining();
     });
   }
 
-  void beginStop() {
+  void startDraining() {
     log_.write(EventId::ProcessStopping, {{"in_flight", inFlight()}});
-    drain_ends_ = clock_.now() + settings_.drain_limit;
+    drain_deadline_ = clock_.now() + settings_.drain_limit;
     control_->leave();
-    after(kLeaveNotice, [this] {
+    runAfter(kLeaveAnnouncementTime, [this] {
       for (const auto& shard : shards_) shard->postDrain();
       awaitDrained();
     });
   }
 
   void awaitDrained() {
-    if (inFlight() == 0 || clock_.now() >= drain_ends_) {
-      closeFront();
+    if (inFlight() == 0 || clock_.now() >= drain_deadline_) {
+      closeConnections();
       return;
     }
-    after(kDrainPoll, [this] { awaitDrained(); });
+    runAfter(kDrainPollInterval, [this] { awaitDrained(); });
   }
 
-  /// Ends the process once the last messages have left and every peer has closed its side.
-  void closeFront() {
-    front_.thread.post(
-        [this] { front_.front->stop([this] { boost::asio::post(context_, [this] { context_.stop(); }); }); });
+  /// Ends the process once all messages have been sent and every peer has closed its connection.
+  void closeConnections() {
+    peer_thread_.thread.post([this] {
+      peer_thread_.connections->stop([this] { boost::asio::post(context_, [this] { context_.stop(); }); });
+    });
   }
 
-  void after(Duration delay, std::function<void()> action) {
+  void runAfter(Duration delay, std::function<void()> action) {
     stop_timer_.expires_after(delay);
     stop_timer_.async_wait([action = std::move(action)](boost::system::error_code error) {
       if (!error) action();
@@ -211,12 +216,12 @@
   boost::asio::io_context context_;
   boost::asio::signal_set signals_;
   boost::asio::steady_timer stop_timer_;
-  FrontThread front_;
+  PeerThread peer_thread_;
   ControlThread::Shards shards_;
   std::unique_ptr<ControlThread> control_;
   std::unique_ptr<RouterAdmin> admin_;
   bool stopping_ = false;
-  TimePoint drain_ends_{};
+  TimePoint drain_deadline_{};
 };
 
 }  // namespace
--- a/src/router_process/router_process.h
+++ b/src/router_process/router_process.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file The router process: builds the threads, runs until a signal, stops in order.
+/// @file The router process: creates the threads, runs until a signal arrives and shuts down in order.
 
 #include <memory>
 
@@ -10,20 +10,20 @@
 
 /// Exit codes of the process.
 inline constexpr int kRouterExitOk = 0;
-inline constexpr int kRouterExitSettings = 2;      ///< The settings are wrong.
+inline constexpr int kRouterExitSettings = 2;      ///< The settings are invalid.
 inline constexpr int kRouterExitCannotListen = 3;  ///< A port cannot be bound.
 
-/// The process.
+/// See the file comment.
 class RouterProcess {
 public:
   virtual ~RouterProcess() = default;
-  /// Prints "listening PORT admin PORT" and serves until SIGTERM or SIGINT. The first signal is a planned
-  /// stop: nothing in flight is cut; a second one ends the process at once.
+  /// Prints "listening PORT admin PORT" and serves until SIGTERM or SIGINT. The first signal starts a planned
+  /// shutdown that waits for requests in flight; a second signal ends the process immediately.
   /// @return an exit code.
   virtual int run() = 0;
 };
 
-/// @param log must outlive the process object.
+/// @param log must outlive the returned object.
 std::unique_ptr<RouterProcess> makeRouterProcess(RouterSettings settings, EventLog& log);
 
 }  // namespace crankspur
--- a/src/router_process/router_settings.cc
+++ b/src/router_process/router_settings.cc
@@ -5,9 +5,9 @@
 namespace {
 
 constexpr Range<std::int64_t> kIntervalRange{50, 3'600'000};
-constexpr std::int64_t kMaximumIndexEntries = 100'000'000;
-constexpr std::int64_t kMaximumTrafficThreads = 64;
-constexpr std::int64_t kMaximumTableCalls = 1'000'000;
+constexpr std::int64_t kMaxIndexEntries = 100'000'000;
+constexpr std::int64_t kMaxTrafficThreads = 64;
+constexpr std::int64_t kMaxTableCalls = 1'000'000;
 
 }  // namespace
 
@@ -20,11 +20,11 @@
   readAddress(*root, "advertise", settings.advertise);
   readAddresses(*root, "peers", settings.peers);
   settings.traffic_threads =
-      static_cast<std::uint32_t>(root->getInteger("traffic_threads", 2, {1, kMaximumTrafficThreads}));
+      static_cast<std::uint32_t>(root->getInteger("traffic_threads", 2, {1, kMaxTrafficThreads}));
   settings.index_entries =
-      static_cast<std::size_t>(root->getInteger("index_entries", 1'000'000, {1'000, kMaximumIndexEntries}));
+      static_cast<std::size_t>(root->getInteger("index_entries", 1'000'000, {1'000, kMaxIndexEntries}));
   settings.table_calls_per_second =
-      static_cast<std::uint32_t>(root->getInteger("table_calls_per_second", 400, {1, kMaximumTableCalls}));
+      static_cast<std::uint32_t>(root->getInteger("table_calls_per_second", 400, {1, kMaxTableCalls}));
   readInterval(*root, "machine_list_interval_ms", settings.machine_list_interval, kIntervalRange);
   readInterval(*root, "bundle_row_interval_ms", settings.bundle_row_interval, kIntervalRange);
   readInterval(*root, "drain_limit_ms", settings.drain_limit, kIntervalRange);
--- a/src/router_process/traffic_shard.cc
+++ b/src/router_process/traffic_shard.cc
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// A stream that is silent for longer has lost its engine. Queueing counts; the request's own deadline and
-/// RequestRouter's limits are usually earlier.
+/// A stream without data for this time, including time in the engine's queue, counts as lost. The deadline of
+/// the request and the limits of RequestRouter usually take effect earlier.
 constexpr Duration kStreamIdleTimeout = std::chrono::minutes(5);
 
 }  // namespace
@@ -20,7 +20,7 @@
 TrafficShard::TrafficShard(TrafficShardOptions options, TrafficShardCallbacks callbacks, EventLog& log,
                            RouterMetrics& metrics)
     : options_(std::move(options)),
-      table_share_(options_.table_rate, options_.shards),
+      table_share_(options_.fleet_table_rate, options_.shard_count),
       callbacks_(std::move(callbacks)),
       log_(log),
       metrics_(metrics),
@@ -34,7 +34,7 @@
     ServiceOptions service;
     service.address = options_.table_address;
     service.limit = table_share_.callerLimit();
-    // Processes that start together must not make their calls in step for ever after.
+    // Spreads the calls of processes that start together; otherwise they would stay synchronized.
     service.starting_debt = RandomSource(options_.random_seed).unit();
     table_ = makeTableClient(thread_.executor(), *http_, clock_, service);
   }
@@ -51,14 +51,15 @@
 
 void TrafficShard::postSnapshot(std::shared_ptr<const RoutingSnapshot> snapshot) {
   thread_.post([this, snapshot = std::move(snapshot)] {
-    shareTableRate(*snapshot);
+    updateTableLimit(*snapshot);
     router_->onSnapshot(snapshot, now());
     pump();
   });
 }
 
-void TrafficShard::shareTableRate(const RoutingSnapshot& snapshot) {
-  // Back ends come by the list that names the routers, too; before it this router only knows itself.
+void TrafficShard::updateTableLimit(const RoutingSnapshot& snapshot) {
+  // The machine list contains both back ends and routers; until it arrives, the router count only includes
+  // this router.
   const bool fleet_known = !snapshot.engines.empty() || !snapshot.runners.empty();
   if (!table_ || !fleet_known) return;
   table_share_.noteRouters(snapshot.router_count, now());
@@ -68,9 +69,9 @@
 void TrafficShard::postSubmit(SidecarId sidecar, SubmitRequest request) {
   ++in_flight_;
   thread_.post([this, sidecar, request = std::move(request)] {
-    ++counted_;
+    ++counted_in_flight_;
     metrics_.requests.Increment();
-    tellSent(request.request_id);
+    reportSent(request.request_id);
     router_->onSubmit(sidecar, request, now());
     pump();
   });
@@ -78,7 +79,7 @@
 
 void TrafficShard::postCancel(SidecarId sidecar, const Cancel& cancel) {
   thread_.post([this, sidecar, cancel] {
-    tellSent(cancel.request_id);
+    reportSent(cancel.request_id);
     router_->onCancel(sidecar, cancel, now());
     pump();
   });
@@ -86,23 +87,23 @@
 
 void TrafficShard::postSidecarLost(SidecarId sidecar) {
   thread_.post([this, sidecar] {
-    tellAllSent();
+    reportAllSent();
     router_->onSidecarLost(sidecar, now());
     pump();
   });
 }
 
-void TrafficShard::postCacheNews(std::shared_ptr<const CacheNews> news) {
-  thread_.post([this, news = std::move(news)] {
-    if (news->is_digest) {
-      router_->onCacheDigest(news->slot, news->incarnation, news->digest_sequence, news->digest_blocks,
-                             now());
+void TrafficShard::postCacheUpdate(std::shared_ptr<const EngineCacheUpdate> update) {
+  thread_.post([this, update = std::move(update)] {
+    if (update->is_digest) {
+      router_->onCacheDigest(update->slot, update->incarnation, update->digest_sequence,
+                             update->digest_blocks, now());
     }
     bool gap = false;
-    for (const CacheEvent& event : news->events) {
-      gap = !router_->onCacheEvent(news->slot, news->incarnation, event, now()) || gap;
+    for (const CacheEvent& event : update->events) {
+      gap = !router_->onCacheEvent(update->slot, update->incarnation, event, now()) || gap;
     }
-    if (gap) callbacks_.on_cache_gap(news->slot, news->incarnation);
+    if (gap) callbacks_.on_cache_gap(update->slot, update->incarnation);
     pump();
   });
 }
@@ -129,7 +130,7 @@
 void TrafficShard::pump() {
   std::vector<RouterAction> actions = router_->takeActions();
   while (!actions.empty()) {
-    for (RouterAction& action : actions) carryOut(std::move(action));
+    for (RouterAction& action : actions) execute(std::move(action));
     actions = router_->takeActions();
   }
   if (!messages_.empty()) callbacks_.on_messages(std::exchange(messages_, {}));
@@ -137,14 +138,15 @@
   armTimer();
 }
 
-/// After the messages were handed over: a planned stop closes the connections once nothing is in flight.
+/// To be called after the messages were delivered to on_messages: a planned shutdown closes the connections
+/// once nothing is in flight.
 void TrafficShard::updateInFlight() {
-  const std::size_t running = router_->inFlight();
-  in_flight_ += running - counted_;
-  counted_ = running;
+  const std::size_t in_flight = router_->inFlight();
+  in_flight_ += in_flight - counted_in_flight_;
+  counted_in_flight_ = in_flight;
 }
 
-void TrafficShard::carryOut(RouterAction action) {
+void TrafficShard::execute(RouterAction action) {
   if (auto* send = std::get_if<SendToSidecar>(&action)) {
     if (std::holds_alternative<StreamEnd>(send->message)) metrics_.answers.Increment();
     if (std::holds_alternative<Refusal>(send->message)) metrics_.refusals.Increment();
@@ -157,9 +159,9 @@
     cancelDispatch(cancel->dispatch);
   } else if (const auto* call = std::get_if<ClaimTableCall>(&action)) {
     callTable(*call);
-  } else if (const auto* asked = std::get_if<GroupClaimCall>(&action)) {
+  } else if (const auto* claim = std::get_if<GroupClaimCall>(&action)) {
     metrics_.group_claims.Increment();
-    callbacks_.on_group_claim(asked->request);
+    callbacks_.on_group_claim(claim->request);
   } else if (const auto* notice = std::get_if<GroupClaimNotice>(&action)) {
     callbacks_.on_group_notice(*notice);
   } else if (const auto* event = std::get_if<LogEvent>(&action)) {
@@ -170,22 +172,22 @@
 
 void TrafficShard::dispatchCompletion(const DispatchCompletion& dispatch) {
   metrics_.dispatches.Increment();
-  Running& running = running_[dispatch.dispatch];
-  running.address = dispatch.address;
-  running.request_id = dispatch.request.request_id;
-  running.attempt = dispatch.request.attempt;
-  running.slot = dispatch.engine;
-  running.incarnation = dispatch.expected_incarnation;
-  running.engine = true;
-  running.started_at = now();
-  if (const auto record = router_->explain(running.request_id)) {
-    running.expected = record->decision.expected_first_token;
+  ActiveDispatch& active = active_dispatches_[dispatch.dispatch];
+  active.address = dispatch.address;
+  active.request_id = dispatch.request.request_id;
+  active.attempt = dispatch.request.attempt;
+  active.slot = dispatch.engine;
+  active.incarnation = dispatch.expected_incarnation;
+  active.is_engine = true;
+  active.started_at = now();
+  if (const auto record = router_->explain(active.request_id)) {
+    active.expected_first_token = record->decision.expected_first_token;
   }
   const DispatchId id = dispatch.dispatch;
-  untold_.emplace(running.request_id, id);
+  unreported_dispatches_.emplace(active.request_id, id);
   const auto handler = [this, id](const BackendEvent& event) { onBackend(id, event); };
   if (!dispatch.resume) {
-    running.stream = engines_->complete(dispatch, handler);
+    active.stream = engines_->complete(dispatch, handler);
     return;
   }
   EngineResume resume;
@@ -193,49 +195,49 @@
   resume.attempt = dispatch.request.attempt;
   resume.expect_incarnation = dispatch.expected_incarnation;
   resume.offset = dispatch.request.resume_offset;
-  running.stream = engines_->resume(dispatch.address, resume, handler);
+  active.stream = engines_->resume(dispatch.address, resume, handler);
 }
 
 void TrafficShard::dispatchOperation(const DispatchOperation& dispatch) {
   metrics_.dispatches.Increment();
-  Running& running = running_[dispatch.dispatch];
-  running.address = dispatch.address;
-  running.request_id = dispatch.request.request_id;
-  running.attempt = dispatch.request.attempt;
-  running.started_at = now();
+  ActiveDispatch& active = active_dispatches_[dispatch.dispatch];
+  active.address = dispatch.address;
+  active.request_id = dispatch.request.request_id;
+  active.attempt = dispatch.request.attempt;
+  active.started_at = now();
   const DispatchId id = dispatch.dispatch;
-  untold_.emplace(running.request_id, id);
-  running.call = runners_->execute(dispatch, [this, id](const BackendEvent& event) { onBackend(id, event); });
+  unreported_dispatches_.emplace(active.request_id, id);
+  active.call = runners_->execute(dispatch, [this, id](const BackendEvent& event) { onBackend(id, event); });
 }
 
 void TrafficShard::cancelDispatch(DispatchId dispatch) {
-  const auto found = running_.find(dispatch);
-  if (found == running_.end()) return;
-  const Running running = std::move(found->second);
-  running_.erase(found);
-  noLongerUntold(running.request_id, dispatch);
-  if (running.stream) running.stream->close();
-  if (running.call) running.call->close();
-  if (running.engine) engines_->cancel(running.address, running.request_id, running.attempt);
+  const auto found = active_dispatches_.find(dispatch);
+  if (found == active_dispatches_.end()) return;
+  const ActiveDispatch active = std::move(found->second);
+  active_dispatches_.erase(found);
+  removeUnreported(active.request_id, dispatch);
+  if (active.stream) active.stream->close();
+  if (active.call) active.call->close();
+  if (active.is_engine) engines_->cancel(active.address, active.request_id, active.attempt);
 }
 
 void TrafficShard::onBackend(DispatchId dispatch, const BackendEvent& event) {
-  const auto found = running_.find(dispatch);
-  if (found == running_.end()) return;
-  Running& running = found->second;
-  noLongerUntold(running.request_id, dispatch);
-  reportOutcome(running, event);
+  const auto found = active_dispatches_.find(dispatch);
+  if (found == active_dispatches_.end()) return;
+  ActiveDispatch& active = found->second;
+  removeUnreported(active.request_id, dispatch);
+  reportOutcome(active, event);
   const bool last = std::holds_alternative<BackendEnd>(event) ||
                     std::holds_alternative<BackendRefused>(event) ||
                     std::holds_alternative<BackendLost>(event);
-  // The handler's owner must outlive the handler's call.
-  const Running ended = last ? std::move(running) : Running();
-  if (last) running_.erase(found);
+  // The dispatch owns the stream or call whose handler is running, so it must outlive this function.
+  const ActiveDispatch ended = last ? std::move(active) : ActiveDispatch();
+  if (last) active_dispatches_.erase(found);
   router_->onBackend(dispatch, event, now());
   pump();
 }
 
-void TrafficShard::reportOutcome(Running& running, const BackendEvent& event) {
+void TrafficShard::reportOutcome(ActiveDispatch& active, const BackendEvent& event) {
   if (const auto* accepted = std::get_if<BackendAccepted>(&event)) {
     metrics_.prompt_tokens.Increment(static_cast<double>(accepted->prompt_tokens));
     metrics_.cached_tokens.Increment(static_cast<double>(accepted->cached_tokens));
@@ -243,38 +245,38 @@
   if (std::holds_alternative<BackendRefused>(event)) metrics_.dispatches_refused.Increment();
   const auto* lost = std::get_if<BackendLost>(&event);
   if (lost != nullptr) metrics_.dispatches_lost.Increment();
-  if (!running.engine) return;
-  EngineOutcome outcome{running.slot, running.incarnation, OutcomeKind::Answered, Duration(0)};
+  if (!active.is_engine) return;
+  EngineOutcome outcome{active.slot, active.incarnation, OutcomeKind::Answered, Duration(0)};
   if (lost != nullptr) {
     outcome.kind = lost->bytes_sent ? OutcomeKind::Lost : OutcomeKind::ConnectFailed;
     callbacks_.on_outcome(outcome);
-  } else if (std::holds_alternative<BackendPiece>(event) && !running.answered) {
-    running.answered = true;
-    outcome.lateness = now() - running.started_at - running.expected;
+  } else if (std::holds_alternative<BackendPiece>(event) && !active.responded) {
+    active.responded = true;
+    outcome.lateness = now() - active.started_at - active.expected_first_token;
     callbacks_.on_outcome(outcome);
   }
 }
 
-/// The client does not say when the first byte leaves. Until it reports a failed connect, bytes count as
-/// sent for every decision that could tell a caller "not run".
-void TrafficShard::tellSent(const std::string& request_id) {
-  const auto [begin, end] = untold_.equal_range(request_id);
+/// The HTTP client does not report when the first byte is sent. Unless it has reported a failed connect,
+/// bytes count as sent in every decision that could report "not run" to a caller.
+void TrafficShard::reportSent(const std::string& request_id) {
+  const auto [begin, end] = unreported_dispatches_.equal_range(request_id);
   std::vector<DispatchId> sent;
-  for (auto place = begin; place != end; ++place) sent.push_back(place->second);
-  untold_.erase(begin, end);
+  for (auto entry = begin; entry != end; ++entry) sent.push_back(entry->second);
+  unreported_dispatches_.erase(begin, end);
   for (const DispatchId id : sent) router_->onDispatchSent(id, now());
 }
 
-void TrafficShard::tellAllSent() {
-  const auto untold = std::exchange(untold_, {});
-  for (const auto& [request_id, id] : untold) router_->onDispatchSent(id, now());
+void TrafficShard::reportAllSent() {
+  const auto unreported = std::exchange(unreported_dispatches_, {});
+  for (const auto& [request_id, id] : unreported) router_->onDispatchSent(id, now());
 }
 
-void TrafficShard::noLongerUntold(const std::string& request_id, DispatchId dispatch) {
-  const auto [begin, end] = untold_.equal_range(request_id);
+void TrafficShard::removeUnreported(const std::string& request_id, DispatchId dispatch) {
+  const auto [begin, end] = unreported_dispatches_.equal_range(request_id);
   const auto found =
       std::find_if(begin, end, [dispatch](const auto& item) { return item.second == dispatch; });
-  if (found != end) untold_.erase(found);
+  if (found != end) unreported_dispatches_.erase(found);
 }
 
 void TrafficShard::callTable(const ClaimTableCall& call) {
@@ -342,7 +344,7 @@
   timer_.async_wait([this](boost::system::error_code error) {
     if (error) return;
     timer_at_ = TimePoint::max();
-    tellAllSent();
+    reportAllSent();
     router_->onTimer(now());
     pump();
   });
--- a/src/router_process/traffic_shard.h
+++ b/src/router_process/traffic_shard.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file One traffic thread: drives one RequestRouter with real sockets, a clock and timers.
+/// @file One traffic thread: runs a RequestRouter on real connections, a clock and timers.
 
 #include <atomic>
 #include <boost/asio/steady_timer.hpp>
@@ -20,8 +20,8 @@
 
 namespace crankspur {
 
-/// Cache events or a digest of one engine on their way to the shards.
-struct CacheNews {
+/// Cache events or a digest of one engine, sent to all shards.
+struct EngineCacheUpdate {
   EngineSlot slot = 0;
   std::uint64_t incarnation = 0;
   std::vector<CacheEvent> events;
@@ -30,28 +30,28 @@
   std::vector<BlockHash> digest_blocks;
 };
 
-/// What a shard reports. Called on the shard's thread.
+/// Notifications from a shard. Called on the shard's thread.
 struct TrafficShardCallbacks {
   std::function<void(std::vector<SendToSidecar>)> on_messages;
   std::function<void(const EngineOutcome&)> on_outcome;
-  /// An engine's event stream has a gap.
+  /// A gap was detected in the event stream of an engine.
   std::function<void(EngineSlot, std::uint64_t incarnation)> on_cache_gap;
   std::function<void(const GroupClaimRequest&)> on_group_claim;
   std::function<void(const GroupClaimNotice&)> on_group_notice;
-  std::function<void()> on_group_found;  ///< A claim write found the claim group's row.
+  std::function<void()> on_group_found;  ///< A claim write detected the claim group's row.
 };
 
-/// Parts of a shard's construction.
+/// Options of a shard.
 struct TrafficShardOptions {
   std::string router_name;
   std::uint64_t random_seed = 1;
   std::size_t index_entries = 500'000;
-  std::string table_address;  ///< Empty: no table service; claims fail.
-  RateLimit table_rate;       ///< What the table service grants all routers together.
-  std::uint32_t shards = 1;   ///< Shards of this router, which divide its share.
+  std::string table_address;      ///< Empty: no table service; claims fail.
+  RateLimit fleet_table_rate;     ///< Rate that the table service allows to all routers together.
+  std::uint32_t shard_count = 1;  ///< Shards of this router, which divide the router's share of the rate.
 };
 
-/// One shard with its thread. Functions named post* may be called from any thread.
+/// One shard and its thread. Functions named post* may be called from any thread.
 class TrafficShard {
 public:
   TrafficShard(TrafficShardOptions options, TrafficShardCallbacks callbacks, EventLog& log,
@@ -59,25 +59,25 @@
   ~TrafficShard();
 
   void start() { thread_.start(); }
-  /// Ends the thread; what is in flight is dropped.
+  /// Ends the thread; requests in flight are dropped.
   void stop() { thread_.stop(); }
   void postSnapshot(std::shared_ptr<const RoutingSnapshot> snapshot);
   void postSubmit(SidecarId sidecar, SubmitRequest request);
   void postCancel(SidecarId sidecar, const Cancel& cancel);
   void postSidecarLost(SidecarId sidecar);
-  void postCacheNews(std::shared_ptr<const CacheNews> news);
+  void postCacheUpdate(std::shared_ptr<const EngineCacheUpdate> update);
   void postGroupClaim(std::uint64_t claim, const GroupClaimDecision& decision);
   void postDrain();
   /// @param done runs on the shard's thread.
   void postExplain(const std::string& request_id, std::function<void(std::optional<DecisionRecord>)> done);
-  /// @return requests not yet ended: from the moment a submit was posted until the request's last message was
-  /// handed to on_messages.
+  /// @return the number of requests in flight: from the call of postSubmit() until the last message of the
+  /// request was delivered to on_messages.
   std::size_t inFlight() const { return in_flight_.load(); }
 
 private:
-  void shareTableRate(const RoutingSnapshot& snapshot);
+  void updateTableLimit(const RoutingSnapshot& snapshot);
   /// A dispatch that has not ended.
-  struct Running {
+  struct ActiveDispatch {
     std::shared_ptr<EngineStream> stream;
     std::shared_ptr<RunnerCall> call;
     std::string address;
@@ -85,24 +85,24 @@
     std::uint32_t attempt = 0;
     EngineSlot slot = 0;
     std::uint64_t incarnation = 0;
-    bool engine = false;
-    bool answered = false;
+    bool is_engine = false;
+    bool responded = false;
     TimePoint started_at{};
-    Duration expected{0};
+    Duration expected_first_token{0};
   };
 
   TimePoint now() const { return clock_.now(); }
   void pump();
   void updateInFlight();
-  void carryOut(RouterAction action);
+  void execute(RouterAction action);
   void dispatchCompletion(const DispatchCompletion& dispatch);
   void dispatchOperation(const DispatchOperation& dispatch);
   void cancelDispatch(DispatchId dispatch);
   void onBackend(DispatchId dispatch, const BackendEvent& event);
-  void reportOutcome(Running& running, const BackendEvent& event);
-  void tellSent(const std::string& request_id);
-  void tellAllSent();
-  void noLongerUntold(const std::string& request_id, DispatchId dispatch);
+  void reportOutcome(ActiveDispatch& active, const BackendEvent& event);
+  void reportSent(const std::string& request_id);
+  void reportAllSent();
+  void removeUnreported(const std::string& request_id, DispatchId dispatch);
   void callTable(const ClaimTableCall& call);
   void onClaimRead(std::uint64_t claim, const ReadResult& result);
   void onClaimWritten(std::uint64_t claim, const TransactionResult& result);
@@ -122,12 +122,14 @@
   std::unique_ptr<RequestRouter> router_;
   boost::asio::steady_timer timer_;
   TimePoint timer_at_ = TimePoint::max();
-  std::map<DispatchId, Running> running_;
-  std::multimap<std::string, DispatchId> untold_;  ///< Dispatches not yet said to be sent, by request.
+  std::map<DispatchId, ActiveDispatch> active_dispatches_;
+  /// Dispatches not yet reported as sent, by request id.
+  std::multimap<std::string, DispatchId> unreported_dispatches_;
   std::vector<SendToSidecar> messages_;
-  /// One number for posted and running requests, so that no reader meets a request between the two.
+  /// Posted and running requests in a single counter, so that a reader never misses a request that moves from
+  /// one state to the other.
   std::atomic<std::size_t> in_flight_ = 0;
-  std::size_t counted_ = 0;  ///< What the shard's thread has put into in_flight_.
+  std::size_t counted_in_flight_ = 0;  ///< Requests of the router that in_flight_ already includes.
 };
 
 }  // namespace crankspur
--- a/src/router_process/zone_exchange.cc
+++ b/src/router_process/zone_exchange.cc
@@ -7,19 +7,19 @@
 
 namespace {
 
-/// Up to this many engines every router asks each for its load.
-constexpr std::size_t kEnginesAskedByAll = 8;
-/// Up to this many engines every router follows each event stream.
-constexpr std::size_t kEnginesFollowedByAll = 32;
-/// Bytes a second that this router sends of each kind, over all receivers.
+/// Up to this number of engines, every router polls the load of each engine itself.
+constexpr std::size_t kMaxEnginesPolledByAll = 8;
+/// Up to this number of engines, every router follows each cache event stream itself.
+constexpr std::size_t kMaxEnginesFollowedByAll = 32;
+/// Maximum bytes per second that this router sends of each kind, over all receivers.
 constexpr double kDigestBytesPerSecond = 4'000;
 constexpr double kSummaryBytesPerSecond = 4'000;
 
 }  // namespace
 
-ZoneExchange::ZoneExchange(MemberRecord self, EngineTable& table, ZoneExchangeCallbacks callbacks)
+ZoneExchange::ZoneExchange(MemberRecord self, EngineTable& engine_table, ZoneExchangeCallbacks callbacks)
     : self_(std::move(self)),
-      table_(table),
+      engine_table_(engine_table),
       callbacks_(std::move(callbacks)),
       loads_(self_.name, kDigestBytesPerSecond),
       cache_(kSummaryBytesPerSecond) {}
@@ -35,14 +35,14 @@
   }
   engines_ = engines;
   owned_.clear();
-  std::set<std::string> elsewhere;
+  std::set<std::string> polled_by_peers;
   for (const EngineView& engine : engines_) {
     const bool own = peer_addresses_.empty() || ownerOf(engine.name, routers) == self_.name;
-    (own ? owned_ : elsewhere).insert(engine.name);
+    (own ? owned_ : polled_by_peers).insert(engine.name);
   }
-  share_loads_ = !peer_addresses_.empty() && engines_.size() > kEnginesAskedByAll;
-  share_cache_ = !peer_addresses_.empty() && engines_.size() > kEnginesFollowedByAll;
-  table_.setPolledElsewhere(share_loads_ ? std::move(elsewhere) : std::set<std::string>());
+  share_loads_ = !peer_addresses_.empty() && engines_.size() > kMaxEnginesPolledByAll;
+  share_cache_ = !peer_addresses_.empty() && engines_.size() > kMaxEnginesFollowedByAll;
+  engine_table_.setPolledElsewhere(share_loads_ ? std::move(polled_by_peers) : std::set<std::string>());
   cache_.keepOnly(share_cache_ ? owned_ : std::set<std::string>());
 }
 
@@ -55,10 +55,10 @@
   return owned;
 }
 
-void ZoneExchange::onOwnNews(const CacheNews& news) {
-  if (!share_cache_ || news.is_digest) return;
+void ZoneExchange::onOwnCacheUpdate(const EngineCacheUpdate& update) {
+  if (!share_cache_ || update.is_digest) return;
   for (const EngineView& engine : engines_) {
-    if (engine.slot == news.slot) return cache_.onEvents(engine.name, news.incarnation, news.events);
+    if (engine.slot == update.slot) return cache_.onEvents(engine.name, update.incarnation, update.events);
   }
 }
 
@@ -68,7 +68,7 @@
     report.measured_at = now - std::chrono::milliseconds(load.age_milliseconds);
     report.queued_tokens = load.queued_tokens;
     report.running_requests = load.running;
-    table_.onToldLoad(load.engine, load.engine_incarnation, report, now);
+    engine_table_.onToldLoad(load.engine, load.engine_incarnation, report, now);
   }
 }
 
@@ -77,19 +77,19 @@
   const bool wanted = share_cache_ && engine != nullptr && !owned_.contains(summary.engine) &&
                       engine->incarnation == summary.engine_incarnation;
   if (!wanted) return;
-  auto news = std::make_shared<CacheNews>();
-  news->slot = engine->slot;
-  news->incarnation = summary.engine_incarnation;
-  news->events.push_back({summary.sequence, summary.stored, summary.removed});
-  callbacks_.on_cache_news(std::move(news));
+  auto update = std::make_shared<EngineCacheUpdate>();
+  update->slot = engine->slot;
+  update->incarnation = summary.engine_incarnation;
+  update->events.push_back({summary.sequence, summary.stored, summary.removed});
+  callbacks_.on_cache_update(std::move(update));
 }
 
 void ZoneExchange::tick(TimePoint now) {
   if (share_loads_ && loads_.isDue(now)) {
     std::vector<EngineView> owned;
-    for (EngineView& engine : table_.engines(now)) {
-      const bool tellable = engine.incarnation != 0 && engine.state != EngineState::Dead;
-      if (owned_.contains(engine.name) && tellable) owned.push_back(std::move(engine));
+    for (EngineView& engine : engine_table_.engines(now)) {
+      const bool reportable = engine.incarnation != 0 && engine.state != EngineState::Dead;
+      if (owned_.contains(engine.name) && reportable) owned.push_back(std::move(engine));
     }
     if (auto digest = loads_.due(owned, peer_addresses_.size(), now)) {
       callbacks_.on_send(peer_addresses_, std::move(*digest));
@@ -102,9 +102,9 @@
 }
 
 const EngineView* ZoneExchange::findEngine(const std::string& name) const {
-  const auto place = std::find_if(engines_.begin(), engines_.end(),
+  const auto found = std::find_if(engines_.begin(), engines_.end(),
                                   [&name](const EngineView& engine) { return engine.name == name; });
-  return place == engines_.end() ? nullptr : &*place;
+  return found == engines_.end() ? nullptr : &*found;
 }
 
 }  // namespace crankspur
--- a/src/router_process/zone_exchange.h
+++ b/src/router_process/zone_exchange.h
@@ -1,5 +1,6 @@
 #pragma once
-/// @file Shares knowledge of engines with the routers of the own zone. Lives on the control thread.
+/// @file Exchanges load and cache state of engines with the other routers of the zone. Runs on the control
+/// thread.
 
 #include <functional>
 #include <set>
@@ -12,35 +13,35 @@
 
 namespace crankspur {
 
-/// What the exchange does through its owner.
+/// Notifications to the owner of the exchange.
 struct ZoneExchangeCallbacks {
-  /// Sends to each address.
+  /// Sends the message to each address.
   std::function<void(std::vector<std::string> addresses, Message message)> on_send;
-  std::function<void(std::shared_ptr<const CacheNews>)> on_cache_news;
+  std::function<void(std::shared_ptr<const EngineCacheUpdate>)> on_cache_update;
 };
 
-/// The exchange. Few engines are all asked and followed by every router; beyond that each has one owner in
-/// the zone, which tells the others.
+/// In a small fleet every router polls and follows all engines. In a larger one each engine has one owner in
+/// the zone, which sends its state to the other routers.
 class ZoneExchange {
 public:
-  /// @param table must outlive the exchange.
-  ZoneExchange(MemberRecord self, EngineTable& table, ZoneExchangeCallbacks callbacks);
-  /// Takes the present members and engines, and sets which engines the table asks itself.
+  /// @param engine_table must outlive the exchange.
+  ZoneExchange(MemberRecord self, EngineTable& engine_table, ZoneExchangeCallbacks callbacks);
+  /// Applies the current members and engines and sets which engines the engine table polls itself.
   void update(const std::vector<MemberRecord>& members, const std::vector<EngineView>& engines);
-  /// @return the engines whose events this router reads.
+  /// @return the engines whose cache events this router follows.
   std::vector<EngineView> followed(const std::vector<EngineView>& engines) const;
-  /// News that this router read from an engine.
-  void onOwnNews(const CacheNews& news);
+  /// An update of a cache that this router follows.
+  void onOwnCacheUpdate(const EngineCacheUpdate& update);
   void onLoadDigest(const LoadDigest& digest, TimePoint now);
   void onCacheSummary(const CacheSummary& summary);
-  /// Sends what is due; to be called several times a second.
+  /// Sends digests and summaries that are due; to be called several times per second.
   void tick(TimePoint now);
 
 private:
   const EngineView* findEngine(const std::string& name) const;
 
   MemberRecord self_;
-  EngineTable& table_;
+  EngineTable& engine_table_;
   ZoneExchangeCallbacks callbacks_;
   LoadSharing loads_;
   CacheSharing cache_;
--- a/tests/unit/operator/operator_fixture.h
+++ b/tests/unit/operator/operator_fixture.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Operators' commands against a PlatformModel on a virtual clock, with files in a folder of its own.
+/// @file Test doubles for operators' commands: a PlatformModel on a virtual clock and a temporary directory.
 
 #include <catch2/catch.hpp>
 #include <filesystem>
@@ -12,8 +12,8 @@
 
 namespace crankspur {
 
-/// The platform as commands see it.
-class ModelPort : public PlatformPort {
+/// Platform port on a PlatformModel.
+class FakePlatformPort : public PlatformPort {
 public:
   ReadResult readRow(const std::string& key) override {
     return convert<ReadResult, TableRow>(model.call(standin::ReadRow{key}, now));
@@ -37,39 +37,39 @@
     return ServiceUnavailable{reply.lost, Duration{0}};
   }
 
-  void pause(Duration duration) override { now += duration; }
+  void sleepFor(Duration duration) override { now += duration; }
 
   standin::PlatformModel model{{}, 1};
   TimePoint now{std::chrono::seconds(1)};
-  std::function<void()> after_write;  ///< Runs after each compare-and-set, before its answer is seen.
+  std::function<void()> after_write;  ///< Runs after each compare-and-set, before its result is returned.
 
 private:
-  template <typename Result, typename... Answers>
+  template <typename Result, typename... Responses>
   static Result convert(const standin::PlatformReply& reply) {
     Result result = ServiceUnavailable{reply.lost, Duration{0}};
     if (reply.lost) {
       return result;
     }
-    (assign<Result, Answers>(reply, result), ...);
+    (assign<Result, Responses>(reply, result), ...);
     return result;
   }
 
-  template <typename Result, typename Answer>
+  template <typename Result, typename Response>
   static void assign(const standin::PlatformReply& reply, Result& result) {
-    if (const auto* answer = std::get_if<Answer>(&reply.answer)) {
-      result = *answer;
+    if (const auto* response = std::get_if<Response>(&reply.answer)) {
+      result = *response;
     }
   }
 };
 
-/// A folder that goes when the test ends.
-struct TemporaryFolder {
-  TemporaryFolder() {
+/// A directory that is removed when the test ends.
+struct TemporaryDirectory {
+  TemporaryDirectory() {
     std::string pattern = (std::filesystem::temp_directory_path() / "crankspur_operator_XXXXXX").string();
     REQUIRE(::mkdtemp(pattern.data()) != nullptr);
     path = pattern;
   }
-  ~TemporaryFolder() { std::filesystem::remove_all(path); }
+  ~TemporaryDirectory() { std::filesystem::remove_all(path); }
   std::string file(const std::string& name) const { return (path / name).string(); }
   std::filesystem::path path;
 };
--- a/tests/unit/operator/roll_test.cc
+++ b/tests/unit/operator/roll_test.cc
@@ -10,22 +10,22 @@
   return {version, document, "author", "approver"};
 }
 
-RollOutcome roll(ModelPort& port, const BundleBody& body, const std::string& name) {
+RollOutcome roll(FakePlatformPort& port, const BundleBody& body, const std::string& name) {
   return rollBundle(port, body, {name, "token-" + name});
 }
 
-BundleRow present(const ModelPort& port) {
+BundleRow currentRow(const FakePlatformPort& port) {
   return parseBundleRow(port.model.row(bundleRowKey()).value).value_or(BundleRow{});
 }
 
-void setTable(ModelPort& port, ServiceMode mode, std::uint32_t calls) {
+void setTable(FakePlatformPort& port, ServiceMode mode, std::uint32_t calls) {
   port.model.setBehaviour(PlatformService::Table, {mode, Duration{0}, calls, 1.0});
 }
 
-/// Loses the answer to the first write after its effect.
-class LoseFirstWrite : public PlatformPort {
+/// Drops the response to the first write after it took effect.
+class DropFirstWriteResponse : public PlatformPort {
 public:
-  explicit LoseFirstWrite(ModelPort& inner) : inner_(inner) {}
+  explicit DropFirstWriteResponse(FakePlatformPort& inner) : inner_(inner) {}
   ReadResult readRow(const std::string& key) override { return inner_.readRow(key); }
   PutObjectResult putObject(const std::string& key, const std::string& body) override {
     return inner_.putObject(key, body);
@@ -33,26 +33,26 @@
   TransactionResult compareAndSet(const std::string& key, std::uint64_t version,
                                   const std::string& value) override {
     TransactionResult result = inner_.compareAndSet(key, version, value);
-    return first_++ == 0 ? ServiceUnavailable{true, Duration{0}} : result;
+    return writes_++ == 0 ? ServiceUnavailable{true, Duration{0}} : result;
   }
-  void pause(Duration duration) override { inner_.pause(duration); }
+  void sleepFor(Duration duration) override { inner_.sleepFor(duration); }
 
 private:
-  ModelPort& inner_;
-  int first_ = 0;
+  FakePlatformPort& inner_;
+  int writes_ = 0;
 };
 
 }  // namespace
 
-TEST_CASE("versions are accepted one after the other, and the document is stored", "[operator]") {
-  ModelPort port;
+TEST_CASE("versions are accepted in sequence, and the document is stored", "[operator]") {
+  FakePlatformPort port;
   CHECK(roll(port, bodyOf(5), "ana").kind == Kind::Accepted);
   CHECK(roll(port, bodyOf(5), "ana").kind == Kind::AlreadyAccepted);
   CHECK(roll(port, bodyOf(7), "ana").kind == Kind::WrongVersion);
   CHECK(roll(port, bodyOf(4), "ana").kind == Kind::WrongVersion);
   CHECK(roll(port, bodyOf(5, "other"), "ana").kind == Kind::WrongVersion);
   CHECK(roll(port, bodyOf(6), "ana").kind == Kind::Accepted);
-  const BundleRow row = present(port);
+  const BundleRow row = currentRow(port);
   const PlatformReply reply =
       port.model.call(GetObject{bundleObjectKey(row.version, row.document_sha256)}, port.now);
   const auto body = bundleBodyFromRow(row, std::get<ObjectFound>(reply.answer).body);
@@ -61,12 +61,12 @@
   CHECK_FALSE(bundleBodyFromRow(row, "another document"));
 }
 
-TEST_CASE("of two racing operators one wins and the other is told who", "[operator]") {
-  ModelPort port;
+TEST_CASE("one of two racing operators wins, and the outcome names the winner to the other", "[operator]") {
+  FakePlatformPort port;
   REQUIRE(roll(port, bodyOf(1), "ana").kind == Kind::Accepted);
-  class RacingPort : public ModelPort {
+  class RacingPort : public FakePlatformPort {
   public:
-    explicit RacingPort(ModelPort& shared) : shared_(shared) {}
+    explicit RacingPort(FakePlatformPort& shared) : shared_(shared) {}
     ReadResult readRow(const std::string& key) override { return shared_.readRow(key); }
     PutObjectResult putObject(const std::string& key, const std::string& body) override {
       CHECK(roll(shared_, bodyOf(2, "ben's"), "ben").kind == Kind::Accepted);
@@ -78,25 +78,26 @@
     }
 
   private:
-    ModelPort& shared_;
+    FakePlatformPort& shared_;
   } racing(port);
   const RollOutcome outcome = roll(racing, bodyOf(2, "ana's"), "ana");
   CHECK(outcome.kind == Kind::LostRace);
-  CHECK(outcome.present.rolled_by == "ben");
-  CHECK(present(port).rolled_by == "ben");
+  CHECK(outcome.current.rolled_by == "ben");
+  CHECK(currentRow(port).rolled_by == "ben");
 }
 
-TEST_CASE("a lost answer is resolved by what the row says", "[operator]") {
-  ModelPort port;
-  LoseFirstWrite lossy(port);
+TEST_CASE("a lost response is resolved by reading the row", "[operator]") {
+  FakePlatformPort port;
+  DropFirstWriteResponse lossy(port);
   CHECK(rollBundle(lossy, bodyOf(1), {"ana", "token-ana"}).kind == Kind::Accepted);
   CHECK(port.model.row(bundleRowKey()).version == 1);
   setTable(port, ServiceMode::LoseAnswers, 2);
   CHECK(roll(port, bodyOf(2), "ana").kind == Kind::Accepted);
 }
 
-TEST_CASE("when the platform stays away, the outcome says whether anything may have changed", "[operator]") {
-  ModelPort port;
+TEST_CASE("when the platform is unavailable, the outcome states whether the row may have changed",
+          "[operator]") {
+  FakePlatformPort port;
   setTable(port, ServiceMode::Down, 0);
   CHECK(roll(port, bodyOf(1), "ana").kind == Kind::Unavailable);
   setTable(port, ServiceMode::Up, 0);
@@ -105,20 +106,21 @@
   CHECK(port.model.row(bundleRowKey()).version == 0);
   port.model.setBehaviour(PlatformService::Objects, {});
 
-  class LossyWrites : public ModelPort {
+  class LossyWrites : public FakePlatformPort {
   public:
     TransactionResult compareAndSet(const std::string& key, std::uint64_t version,
                                     const std::string& value) override {
-      ModelPort::compareAndSet(key, version, value);
+      FakePlatformPort::compareAndSet(key, version, value);
       return ServiceUnavailable{true, Duration{0}};
     }
   } lossy;
   CHECK(roll(lossy, bodyOf(1), "ana").kind == Kind::Unknown);
-  CHECK(present(lossy).roll_token == "token-ana");
+  CHECK(currentRow(lossy).roll_token == "token-ana");
 }
 
-TEST_CASE("a lost answer under another's later version is unknown, not a lost race", "[operator]") {
-  ModelPort port;
+TEST_CASE("a lost response followed by a later version of another operator is unknown, not a lost race",
+          "[operator]") {
+  FakePlatformPort port;
   int writes = 0;
   port.after_write = [&] {
     if (++writes == 1) {
@@ -126,13 +128,13 @@
       port.model.call(TableTransaction{{}, {{bundleRowKey(), encodeBundleRow(later)}}}, port.now);
     }
   };
-  LoseFirstWrite lossy(port);
+  DropFirstWriteResponse lossy(port);
   CHECK(rollBundle(lossy, bodyOf(1), {"ana", "token-ana"}).kind == Kind::Unknown);
 }
 
-TEST_CASE("a damaged row is not overwritten", "[operator]") {
-  ModelPort port;
+TEST_CASE("an invalid row is not overwritten", "[operator]") {
+  FakePlatformPort port;
   port.model.call(TableTransaction{{}, {{bundleRowKey(), "rubbish"}}}, port.now);
-  CHECK(roll(port, bodyOf(1), "ana").kind == Kind::RowDamaged);
+  CHECK(roll(port, bodyOf(1), "ana").kind == Kind::RowInvalid);
   CHECK(port.model.row(bundleRowKey()).value == "rubbish");
 }
--- a/tests/unit/router_process/router_settings_test.cc
+++ b/tests/unit/router_process/router_settings_test.cc
@@ -15,7 +15,7 @@
   CHECK(checkRouterSettings(settings) == "");
 }
 
-TEST_CASE("unknown keys and bad values are reported with their place", "[router_settings]") {
+TEST_CASE("unknown keys and invalid values are reported with file and line", "[router_settings]") {
   std::vector<SettingsProblem> problems;
   readRouterSettings("name = \"r\"\nlisten = \"nowhere\"\nspeed = 3\ntraffic_threads = 0\n", "f.toml",
                      problems);
@@ -29,7 +29,7 @@
   CHECK(lines == std::vector<std::uint32_t>{2, 3, 4});
 }
 
-TEST_CASE("settings that lack what a router needs are refused", "[router_settings]") {
+TEST_CASE("settings without required values are refused", "[router_settings]") {
   RouterSettings settings;
   settings.name = "r";
   settings.zone = "z";
--- a/tests/unit/router_process/traffic_shard_test.cc
+++ b/tests/unit/router_process/traffic_shard_test.cc
@@ -9,16 +9,16 @@
 
 namespace {
 
-constexpr std::chrono::seconds kPatience{20};
+constexpr std::chrono::seconds kTimeout{20};
 
-/// @return an address that nobody listens on: the port stays bound to `holder`, which never listens.
-std::string deadAddress(asio::ip::tcp::socket& holder) {
+/// @return an address that refuses connections: `holder` keeps the port bound but never listens.
+std::string unreachableAddress(asio::ip::tcp::socket& holder) {
   holder.open(asio::ip::tcp::v4());
   holder.bind({asio::ip::make_address("127.0.0.1"), 0});
   return "127.0.0.1:" + std::to_string(holder.local_endpoint().port());
 }
 
-std::shared_ptr<const RoutingSnapshot> oneEngine(const std::string& address) {
+std::shared_ptr<const RoutingSnapshot> snapshotWithEngine(const std::string& address) {
   auto bundle = std::make_shared<Bundle>();
   bundle->version = 1;
   ModelPolicy model;
@@ -43,32 +43,33 @@
   return snapshot;
 }
 
-bool isLast(const Message& message) {
+bool isLastMessage(const Message& message) {
   return std::holds_alternative<Refusal>(message) || std::holds_alternative<StreamEnd>(message);
 }
 
 }  // namespace
 
-TEST_CASE("a request counts as in flight until its last message was handed over", "[router_process]") {
+TEST_CASE("a request counts as in flight until its last message is delivered", "[router_process]") {
   asio::io_context context;
   asio::ip::tcp::socket holder(context);
-  std::promise<std::size_t> counted;
+  std::promise<std::size_t> in_flight_at_end;
   TrafficShard* shard = nullptr;
   TrafficShardCallbacks callbacks;
-  // A planned stop closes the connections once nothing is in flight; the message would then be lost.
+  // A planned shutdown closes the connections once nothing is in flight. A request that no longer counted
+  // before its last message is delivered would lose that message.
   callbacks.on_messages = [&](const std::vector<SendToSidecar>& messages) {
-    for (const SendToSidecar& item : messages) {
-      if (isLast(item.message)) counted.set_value(shard->inFlight());
+    for (const SendToSidecar& sent : messages) {
+      if (isLastMessage(sent.message)) in_flight_at_end.set_value(shard->inFlight());
     }
   };
   callbacks.on_outcome = [](const EngineOutcome&) {};
   callbacks.on_cache_gap = [](EngineSlot, std::uint64_t) {};
   NullEventLog log;
   RouterMetrics metrics;
-  TrafficShard running({}, callbacks, log, metrics);
-  shard = &running;
-  running.start();
-  running.postSnapshot(oneEngine(deadAddress(holder)));
+  TrafficShard traffic_shard({}, callbacks, log, metrics);
+  shard = &traffic_shard;
+  traffic_shard.start();
+  traffic_shard.postSnapshot(snapshotWithEngine(unreachableAddress(holder)));
   SubmitRequest request;
   request.request_id = "r";
   request.tenant = "t";
@@ -76,10 +77,10 @@
   request.prompt = "hello";
   request.max_tokens = 1;
   request.deadline = std::chrono::seconds(1);
-  running.postSubmit(1, request);
-  auto result = counted.get_future();
-  REQUIRE(result.wait_for(kPatience) == std::future_status::ready);
+  traffic_shard.postSubmit(1, request);
+  auto result = in_flight_at_end.get_future();
+  REQUIRE(result.wait_for(kTimeout) == std::future_status::ready);
   CHECK(result.get() == 1);
-  running.stop();
-  CHECK(running.inFlight() == 0);
+  traffic_shard.stop();
+  CHECK(traffic_shard.inFlight() == 0);
 }
