--- a/sim/check/fault.cc
+++ b/sim/check/fault.cc
@@ -203,25 +203,25 @@
     const std::string zone = world_.site().zones[pick(world_.site().zones.size())].zone;
     const Duration when = beginning();
     for (std::size_t index = 0; index < world_.routerCount(); ++index) {
-      if (world_.routerAt(index).host().place().zone == zone) stopAndRestart(index, when);
+      if (world_.routerAt(index).host().location().zone == zone) stopAndRestart(index, when);
     }
   }
 }
 
 void FaultDriver::partition(Duration from, Duration to) {
-  const Place cut_off = world_.site().zones[pick(world_.site().zones.size())];
+  const Location cut_off = world_.site().zones[pick(world_.site().zones.size())];
   const bool whole_region = world_.site().zones.size() > 3;
   std::set<std::string> inside;
   std::set<std::string> outside;
   for (const auto& host : world_.hosts()) {
-    const Place& place = host->place();
-    const bool in = whole_region ? place.region == cut_off.region : place.zone == cut_off.zone;
+    const Location& location = host->location();
+    const bool in = whole_region ? location.region == cut_off.region : location.zone == cut_off.zone;
     (in ? inside : outside).insert(host->name());
   }
   const std::uint64_t number = next_cut_++;
   at(from, [this, number, inside, outside] {
     world_.trace().note("network", "partition {} begins", number);
-    world_.context().network.cut(number, inside, outside);
+    world_.context().network.partition(number, inside, outside);
   });
   at(to, [this, number] {
     world_.trace().note("network", "partition {} heals", number);
@@ -234,15 +234,15 @@
   if (kind == FaultKind::ConnectionCuts) {
     for (std::uint64_t count = random_.uniform(2, 6); count > 0; --count) {
       at(beginning(), [this, &network] {
-        world_.trace().note("network", "breaks {} connections", network.resetSome(0.3));
+        world_.trace().note("network", "breaks {} connections", network.resetRandomChannels(0.3));
       });
     }
   } else if (kind == FaultKind::Disturbance) {
     const Duration from = beginning();
     const Duration extra = between(milliseconds(50), milliseconds(2500));
     const double share = 0.05 + 0.3 * random_.unit();
-    at(from, [&network, extra, share] { network.setDisturbance(extra, share); });
-    at(from + between(seconds(2), seconds(9)), [&network] { network.setDisturbance(Duration(0), 0); });
+    at(from, [&network, extra, share] { network.setExtraDelay(extra, share); });
+    at(from + between(seconds(2), seconds(9)), [&network] { network.setExtraDelay(Duration(0), 0); });
   } else if (kind == FaultKind::CrossedAnswers) {
     for (std::size_t index = 0; index < world_.sidecarCount(); ++index) {
       world_.sidecarAt(index).setRepeatedAnswers(0.4);
@@ -382,10 +382,10 @@
     std::set<std::string> routers;
     for (std::size_t index = 0; index < world_.routerCount(); ++index) {
       const Host& host = world_.routerAt(index).host();
-      if (host.place().zone == zone) routers.insert(host.name());
+      if (host.location().zone == zone) routers.insert(host.name());
     }
     const std::uint64_t number = next_cut_++;
-    world_.context().network.cut(number, routers, {"platform"});
+    world_.context().network.partition(number, routers, {"platform"});
     for (int count = 0; count < 2; ++count) leave(true, false, beginning());
     at(world_.site().load - seconds(1), [this, number] { world_.context().network.heal(number); });
   }
--- a/sim/check/fault_fleet.cc
+++ b/sim/check/fault_fleet.cc
@@ -53,7 +53,7 @@
   const std::string zone = world_.site().zones[pick(world_.site().zones.size())].zone;
   const Duration from = between(seconds(3), seconds(6));
   for (std::size_t index = 0; index < world_.engineCount(); ++index) {
-    if (world_.engineAt(index).host().place().zone == zone) {
+    if (world_.engineAt(index).host().location().zone == zone) {
       at(from, [this, index] { world_.engineAt(index).crash(true); });
       at(from + kDyingTime, [this, index] { world_.engineAt(index).restart(); });
       continue;
--- a/sim/check/table_outage.cc
+++ b/sim/check/table_outage.cc
@@ -102,9 +102,9 @@
     const Duration when = between(from, to);
     const Duration extra = between(milliseconds(50), milliseconds(2500));
     const double share = 0.05 + 0.3 * random_.unit();
-    at(when, [&network, extra, share] { network.setDisturbance(extra, share); });
-    at(when + between(seconds(2), seconds(20)), [&network] { network.setDisturbance(Duration(0), 0); });
-    at(between(from, to), [&network] { network.resetSome(0.3); });
+    at(when, [&network, extra, share] { network.setExtraDelay(extra, share); });
+    at(when + between(seconds(2), seconds(20)), [&network] { network.setExtraDelay(Duration(0), 0); });
+    at(between(from, to), [&network] { network.resetRandomChannels(0.3); });
   }
   for (std::uint64_t count = random_.uniform(1, 4); count > 0; --count) {
     const std::size_t index = pick(world_.sidecarCount());
--- a/sim/gateway_world/callers.cc
+++ b/sim/gateway_world/callers.cc
@@ -11,17 +11,18 @@
 
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(800);
 constexpr double kPopularShare = 0.25;
-constexpr double kLeavingShare = 0.04;
-constexpr int kInnocentRetries = 2;
+constexpr double kDisconnectShare = 0.04;
+constexpr int kMaxRetries = 2;
 constexpr std::uint64_t kMinDeadlineMilliseconds = 3'000;
 constexpr std::uint64_t kMaxDeadlineMilliseconds = 6'000;
-/// Callers come back this much later than they were told to, at most.
+/// Maximum random delay that callers add to the retry delay of a refusal.
 constexpr std::uint64_t kMaxRetryJitterMilliseconds = 200;
-constexpr std::uint64_t kMaxStayMilliseconds = 600;
-/// Callers wait for so long beyond their deadline.
-constexpr Duration kPatience = std::chrono::milliseconds(500);
+/// Callers that disconnect do so within this time.
+constexpr std::uint64_t kMaxConnectedMilliseconds = 600;
+/// How long callers wait for a response beyond their deadline.
+constexpr Duration kDeadlineMargin = std::chrono::milliseconds(500);
 
-/// @return the kind of request that a body is sent as, the same for each attempt.
+/// @return the request kind of a body, which is the same for every attempt.
 RequestKind kindOf(BodyId body) {
   const std::uint32_t draw = body % 10;
   if (draw < 6) return RequestKind::resumable_stream;
@@ -36,14 +37,14 @@
 }
 
 void Callers::start() {
-  until_ = context_.queue.now() + context_.site.load_time;
+  load_end_ = context_.queue.now() + context_.site.load_time;
   sendNext();
   for (const PoisonRequest& poison : context_.site.poison) {
     context_.queue.at(poison.from, [this, &poison] { sendPoison(poison); });
   }
 }
 
-GatewayNode& Callers::anyGateway() {
+GatewayNode& Callers::randomGateway() {
   auto& gateways = world_.gateways();
   return *gateways[context_.random.uniform(0, gateways.size() - 1)];
 }
@@ -56,33 +57,33 @@
 }
 
 void Callers::sendNext() {
-  if (context_.queue.now() >= until_) return;
-  Send what;
-  what.body = drawBody();
-  what.kind = kindOf(what.body);
-  what.retries = kInnocentRetries;
-  what.may_leave = context_.random.chance(kLeavingShare);
-  send(what, anyGateway());
-  const double pause = context_.random.exponential(1.0 / context_.site.requests_per_second);
-  host_.post(Duration(static_cast<std::int64_t>(pause * 1e6)), [this] { sendNext(); });
+  if (context_.queue.now() >= load_end_) return;
+  Submission submission;
+  submission.body = drawBody();
+  submission.kind = kindOf(submission.body);
+  submission.retries = kMaxRetries;
+  submission.may_disconnect = context_.random.chance(kDisconnectShare);
+  send(submission, randomGateway());
+  const double interval = context_.random.exponential(1.0 / context_.site.requests_per_second);
+  host_.post(Duration(static_cast<std::int64_t>(interval * 1e6)), [this] { sendNext(); });
 }
 
 void Callers::sendPoison(const PoisonRequest& poison) {
-  if (context_.queue.now() >= std::min(poison.to, until_)) return;
-  Send what;
-  what.body = poison.body;
-  what.kind = RequestKind::resumable_stream;
-  what.may_leave = poison.leaves && context_.random.chance(0.5);
-  send(what, anyGateway());
-  if (poison.in_pairs) send(what, anyGateway());
-  const double pause = context_.random.exponential(toSeconds(poison.pause));
-  host_.post(Duration(static_cast<std::int64_t>(pause * 1e6)), [this, &poison] { sendPoison(poison); });
+  if (context_.queue.now() >= std::min(poison.to, load_end_)) return;
+  Submission submission;
+  submission.body = poison.body;
+  submission.kind = RequestKind::resumable_stream;
+  submission.may_disconnect = poison.caller_may_disconnect && context_.random.chance(0.5);
+  send(submission, randomGateway());
+  if (poison.concurrent) send(submission, randomGateway());
+  const double interval = context_.random.exponential(toSeconds(poison.mean_interval));
+  host_.post(Duration(static_cast<std::int64_t>(interval * 1e6)), [this, &poison] { sendPoison(poison); });
 }
 
-void Callers::send(const Send& what, GatewayNode& gateway) {
+void Callers::send(const Submission& submission, GatewayNode& gateway) {
   Attempt record;
-  record.body = what.body;
-  record.kind = what.kind;
+  record.body = submission.body;
+  record.kind = submission.kind;
   record.gateway = 0;
   while (world_.gateways()[record.gateway].get() != &gateway) ++record.gateway;
   record.sent_at = context_.queue.now();
@@ -92,81 +93,86 @@
   context_.records.attempts.push_back(record);
   context_.network.connect(
       host_, gateway.host(), kConnectTimeout, [](const sim::ChannelPointer&) {},
-      [this, attempt, what, &gateway](const sim::ChannelPointer& channel) {
-        talk(attempt, what, gateway, channel);
+      [this, attempt, submission, &gateway](const sim::ChannelPointer& channel) {
+        sendRequest(attempt, submission, gateway, channel);
       },
-      [this, attempt] { end(attempt, AttemptEnd::no_gateway); });
+      [this, attempt] { finish(attempt, AttemptOutcome::unreachable); });
 }
 
-void Callers::talk(std::uint64_t attempt, const Send& what, GatewayNode& gateway,
-                   const sim::ChannelPointer& channel) {
-  CallerRequest request{attempt, what.body, what.kind, context_.records.attempts[attempt].deadline};
+void Callers::sendRequest(std::uint64_t attempt, const Submission& submission, GatewayNode& gateway,
+                          const sim::ChannelPointer& channel) {
+  CallerRequest request{attempt, submission.body, submission.kind,
+                        context_.records.attempts[attempt].deadline};
   CallerHandlers handlers;
-  handlers.on_bytes = [this, attempt](const std::string& bytes) { onEvent(attempt, bytes); };
+  handlers.on_bytes = [this, attempt](const std::string& bytes) { onBytes(attempt, bytes); };
   handlers.on_end = [this, attempt, channel] {
-    end(attempt, AttemptEnd::answered);
+    finish(attempt, AttemptOutcome::completed);
     channel->close(sim::Side::Client);
   };
-  handlers.on_refused = [this, attempt, what, channel](int status, gateway::RequestCause cause,
-                                                       Duration after) {
+  handlers.on_refused = [this, attempt, submission, channel](int status, gateway::RequestCause cause,
+                                                             Duration after) {
     const bool quarantined = cause == gateway::RequestCause::quarantined;
     const bool not_run = status == 503;
     Attempt& record = context_.records.attempts[attempt];
     record.retry_after = after;
-    end(attempt, quarantined ? AttemptEnd::quarantined : not_run ? AttemptEnd::refused : AttemptEnd::failed);
+    finish(attempt, quarantined ? AttemptOutcome::quarantined
+                    : not_run   ? AttemptOutcome::refused
+                                : AttemptOutcome::failed);
     channel->close(sim::Side::Client);
-    const bool comes_back = not_run ? !quarantined : context_.site.retries_after_breaks;
-    if (comes_back) comeBack(what, after);
+    const bool retryable = not_run ? !quarantined : context_.site.retries_broken_responses;
+    if (retryable) scheduleRetry(submission, after);
   };
-  channel->onClosed(sim::Side::Client, [this, attempt, what] {
-    if (context_.records.attempts[attempt].end != AttemptEnd::none) return;
-    end(attempt, AttemptEnd::cut);
-    if (context_.site.retries_after_breaks) comeBack(what, Duration(0));
+  channel->onClosed(sim::Side::Client, [this, attempt, submission] {
+    if (context_.records.attempts[attempt].outcome != AttemptOutcome::pending) return;
+    finish(attempt, AttemptOutcome::aborted);
+    if (context_.site.retries_broken_responses) scheduleRetry(submission, Duration(0));
   });
   channel->send(sim::Side::Client,
                 [&gateway, channel, request, handlers] { gateway.onRequest(channel, request, handlers); });
-  host_.post(request.deadline + kPatience, [this, attempt, channel] {
-    if (context_.records.attempts[attempt].end != AttemptEnd::none) return;
-    end(attempt, AttemptEnd::unanswered);
+  host_.post(request.deadline + kDeadlineMargin, [this, attempt, channel] {
+    if (context_.records.attempts[attempt].outcome != AttemptOutcome::pending) return;
+    finish(attempt, AttemptOutcome::timed_out);
     channel->close(sim::Side::Client);
   });
-  if (!what.may_leave) return;
-  const auto stay = std::chrono::milliseconds(context_.random.uniform(1, kMaxStayMilliseconds));
-  host_.post(stay, [this, attempt, channel] {
-    if (context_.records.attempts[attempt].end != AttemptEnd::none) return;
-    end(attempt, AttemptEnd::left);
+  if (!submission.may_disconnect) return;
+  const auto connected_time =
+      std::chrono::milliseconds(context_.random.uniform(1, kMaxConnectedMilliseconds));
+  host_.post(connected_time, [this, attempt, channel] {
+    if (context_.records.attempts[attempt].outcome != AttemptOutcome::pending) return;
+    finish(attempt, AttemptOutcome::disconnected);
     channel->close(sim::Side::Client);
   });
 }
 
-void Callers::comeBack(const Send& what, Duration after) {
-  if (what.retries == 0) return;
-  Send again = what;
-  --again.retries;
+void Callers::scheduleRetry(const Submission& submission, Duration after) {
+  if (submission.retries == 0) return;
+  Submission retry = submission;
+  --retry.retries;
   const auto jitter = std::chrono::milliseconds(context_.random.uniform(0, kMaxRetryJitterMilliseconds));
-  host_.post(after + jitter, [this, again] { send(again, anyGateway()); });
+  host_.post(after + jitter, [this, retry] { send(retry, randomGateway()); });
 }
 
-void Callers::end(std::uint64_t attempt, AttemptEnd how) {
+void Callers::finish(std::uint64_t attempt, AttemptOutcome outcome) {
   Attempt& record = context_.records.attempts[attempt];
-  if (record.end != AttemptEnd::none) return;
-  record.end = how;
+  if (record.outcome != AttemptOutcome::pending) return;
+  record.outcome = outcome;
   record.ended_at = context_.queue.now();
-  if (how == AttemptEnd::answered && record.kind == RequestKind::resumable_stream) {
-    record.events_broken |= record.events != eventsOf(record.body);
+  if (outcome == AttemptOutcome::completed && record.kind == RequestKind::resumable_stream) {
+    record.events_broken |= record.events != eventCount(record.body);
   }
   context_.trace.note(host_.name(), "attempt {} of body {} ends as {}", attempt, record.body,
-                      static_cast<int>(how));
+                      static_cast<int>(outcome));
 }
 
-/// Counts the events of a piece of an answer, whose ids have to rise by one.
-void Callers::onEvent(std::uint64_t attempt, const std::string& bytes) {
+/// Counts the events in a part of a response; event ids must be consecutive.
+void Callers::onBytes(std::uint64_t attempt, const std::string& bytes) {
   Attempt& record = context_.records.attempts[attempt];
   if (record.kind != RequestKind::resumable_stream) return;
-  constexpr std::string_view kMark = "id: ";
-  for (std::size_t at = bytes.find(kMark); at != std::string::npos; at = bytes.find(kMark, at + 1)) {
+  constexpr std::string_view kIdPrefix = "id: ";
+  for (std::size_t position = bytes.find(kIdPrefix); position != std::string::npos;
+       position = bytes.find(kIdPrefix, position + 1)) {
     std::uint32_t id = 0;
-    std::from_chars(bytes.data() + at + kMark.size(), bytes.data() + bytes.size(), id);
+    std::from_chars(bytes.data() + position + kIdPrefix.size(), bytes.data() + bytes.size(), id);
     record.events_broken |= id != record.events + 1;
     ++record.events;
   }
--- a/sim/gateway_world/callers.h
+++ b/sim/gateway_world/callers.h
@@ -1,6 +1,5 @@
 #pragma once
-/// @file Callers of a simulated fleet: many with innocent requests, some that send a poison request again and
-/// again.
+/// @file Callers of a simulated fleet: most send harmless requests, some repeatedly send a poison request.
 
 #include <cstdint>
 #include <memory>
@@ -19,32 +18,32 @@
 public:
   Callers(FleetContext& context, FleetWorld& world);
 
-  /// Begins load, until `context.site.load_time` has passed.
+  /// Starts the load, which ends after `context.site.load_time`.
   void start();
 
 private:
-  struct Send {
+  struct Submission {
     BodyId body = 0;
     RequestKind kind = RequestKind::plain;
     int retries = 0;  ///< Further attempts after refusals.
-    bool may_leave = false;
+    bool may_disconnect = false;
   };
 
   void sendNext();
   void sendPoison(const PoisonRequest& poison);
-  void send(const Send& what, GatewayNode& gateway);
-  void talk(std::uint64_t attempt, const Send& what, GatewayNode& gateway,
-            const sim::ChannelPointer& channel);
-  void comeBack(const Send& what, Duration after);
-  void end(std::uint64_t attempt, AttemptEnd how);
-  void onEvent(std::uint64_t attempt, const std::string& bytes);
-  GatewayNode& anyGateway();
+  void send(const Submission& submission, GatewayNode& gateway);
+  void sendRequest(std::uint64_t attempt, const Submission& submission, GatewayNode& gateway,
+                   const sim::ChannelPointer& channel);
+  void scheduleRetry(const Submission& submission, Duration after);
+  void finish(std::uint64_t attempt, AttemptOutcome outcome);
+  void onBytes(std::uint64_t attempt, const std::string& bytes);
+  GatewayNode& randomGateway();
   BodyId drawBody();
 
   FleetContext& context_;
   FleetWorld& world_;
   sim::Host host_;
-  TimePoint until_{};
+  TimePoint load_end_{};
   BodyId next_body_ = 1'000;
 };
 
--- a/sim/gateway_world/engine_process.cc
+++ b/sim/gateway_world/engine_process.cc
@@ -10,15 +10,15 @@
 namespace {
 
 constexpr Duration kHeartbeat = std::chrono::milliseconds(1'200);
-constexpr std::size_t kQueuePerPlace = 3;
+constexpr std::size_t kQueuePerSlot = 3;
 constexpr std::uint64_t kMinRestartMilliseconds = 1'200;
 constexpr std::uint64_t kMaxRestartMilliseconds = 4'000;
-/// Time to read a prompt, between events, and for an answer that is no stream.
+/// Maximum durations of the prefill of a stream, of the gap between events, and of a response without events.
 constexpr std::uint64_t kMaxPrefillMilliseconds = 250;
 constexpr std::uint64_t kMaxEventGapMilliseconds = 120;
 constexpr std::uint64_t kMaxPlainMilliseconds = 300;
 constexpr std::uint64_t kMaxEvents = 20;
-/// Events of an answer before a poison request with PoisonEffect::after_first_bytes takes effect.
+/// Events of a response that precede a crash by PoisonEffect::after_first_bytes.
 constexpr std::uint64_t kEventsBeforeCrash = 2;
 constexpr int kOk = 200;
 constexpr int kMisdirected = 421;
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-std::uint64_t eventsOf(BodyId body) {
+std::uint64_t eventCount(BodyId body) {
   return kEventsBeforeCrash + 1 + mixBits(body) % kMaxEvents;
 }
 
@@ -39,17 +39,17 @@
       address_(fmt::format("10.2.0.{}:80", number)) {}
 
 std::string EngineProcess::incarnationName() const {
-  return fmt::format("i-{}#{}", number_, born_ms_);
+  return fmt::format("i-{}#{}", number_, started_ms_);
 }
 
-std::uint32_t EngineProcess::freePlaces() const {
+std::uint32_t EngineProcess::freeSlots() const {
   if (!host_.up() || host_.paused()) return 0;
   return running_ < context_.site.engine_slots ? context_.site.engine_slots - running_ : 0;
 }
 
 void EngineProcess::start() {
   host_.start();
-  born_ms_ =
+  started_ms_ =
       static_cast<std::uint64_t>(context_.queue.now().time_since_epoch() / std::chrono::milliseconds(1));
   running_ = 0;
   context_.trace.note(host_.name(), "starts");
@@ -57,7 +57,7 @@
 }
 
 void EngineProcess::heartbeat() {
-  store_.writeEngine(host_, number_, born_ms_);
+  store_.writeEngine(host_, number_, started_ms_);
   host_.post(kHeartbeat, [this] { heartbeat(); });
 }
 
@@ -69,28 +69,28 @@
   record.silent = silent;
   record.cause = cause;
   for (const auto& [index, run] : runs_) {
-    record.during.push_back(index);
+    record.interrupted_runs.push_back(index);
     context_.records.runs[index].ended_at = record.at;
   }
-  for (const std::size_t index : on_the_way_) {
-    record.during.push_back(index);
+  for (const std::size_t index : in_transit_) {
+    record.interrupted_runs.push_back(index);
     context_.records.runs[index].ended_at = record.at;
   }
-  on_the_way_.clear();
+  in_transit_.clear();
   context_.trace.note(host_.name(), "crashes with {} requests", runs_.size());
   context_.records.crashes.push_back(std::move(record));
   runs_.clear();
   queue_.clear();
   context_.network.crash(host_, silent);
-  const auto pause = context_.random.uniform(kMinRestartMilliseconds, kMaxRestartMilliseconds);
-  context_.queue.after(std::chrono::milliseconds(pause), [this] { start(); });
+  const auto delay = context_.random.uniform(kMinRestartMilliseconds, kMaxRestartMilliseconds);
+  context_.queue.after(std::chrono::milliseconds(delay), [this] { start(); });
 }
 
 void EngineProcess::send(const Run& run, sim::Task deliver) {
   run.channel->send(sim::Side::Server, std::move(deliver));
 }
 
-std::size_t EngineProcess::onWritten(const EngineRequest& request) {
+std::size_t EngineProcess::onRequestWritten(const EngineRequest& request) {
   EngineRun record;
   record.attempt = request.attempt;
   record.body = request.body;
@@ -99,52 +99,52 @@
   record.gateway = request.gateway;
   record.sent_at = request.sent_at;
   record.admitted_at = request.admitted_at;
-  record.vouched_at = request.vouched_at;
-  const std::size_t number = context_.records.runs.size();
+  record.confirmed_at = request.confirmed_at;
+  const std::size_t index = context_.records.runs.size();
   context_.records.runs.push_back(record);
   if (host_.up()) {
-    on_the_way_.insert(number);
-    return number;
+    in_transit_.insert(index);
+    return index;
   }
-  // Connected to the process that has crashed meanwhile.
+  // The connection was to a process that has crashed in the meantime, so the request counts to that crash.
   const auto last = std::find_if(context_.records.crashes.rbegin(), context_.records.crashes.rend(),
                                  [this](const EngineCrash& crash) { return crash.engine == number_; });
-  if (last != context_.records.crashes.rend()) last->during.push_back(number);
-  context_.records.runs[number].ended_at = context_.queue.now();
-  return number;
+  if (last != context_.records.crashes.rend()) last->interrupted_runs.push_back(index);
+  context_.records.runs[index].ended_at = context_.queue.now();
+  return index;
 }
 
 void EngineProcess::onRequest(std::size_t record, const sim::ChannelPointer& channel,
-                              const EngineRequest& request, const EngineAnswerHandlers& answer) {
-  on_the_way_.erase(record);
+                              const EngineRequest& request, const EngineResponseHandlers& response) {
+  in_transit_.erase(record);
   context_.records.runs[record].arrived_at = context_.queue.now();
   EngineHead refusal;
   refusal.wrong_engine = request.expected_engine != incarnationName();
-  refusal.not_run = runs_.size() >= context_.site.engine_slots * (1 + kQueuePerPlace);
+  refusal.not_run = runs_.size() >= context_.site.engine_slots * (1 + kQueuePerSlot);
   if (refusal.wrong_engine || refusal.not_run) {
     refusal.status = refusal.wrong_engine ? kMisdirected : kUnavailable;
     context_.records.runs[record].ended_at = context_.queue.now();
-    channel->send(sim::Side::Server, [answer, refusal] {
-      answer.on_head(refusal);
-      answer.on_end();
+    channel->send(sim::Side::Server, [response, refusal] {
+      response.on_head(refusal);
+      response.on_end();
     });
     return;
   }
   const auto run = std::make_shared<Run>();
   run->record = record;
   run->request = request;
-  run->answer = answer;
+  run->response = response;
   run->channel = channel;
   run->next_event = request.resume_after + 1;
-  run->events = eventsOf(request.body);
+  run->events = eventCount(request.body);
   runs_.emplace(run->record, run);
   queue_.push_back(run);
-  channel->onClosed(sim::Side::Server, [this, run] { drop(run); });
+  channel->onClosed(sim::Side::Server, [this, run] { onDisconnected(run); });
   startNext();
 }
 
-void EngineProcess::onProbe(const sim::ChannelPointer& channel, const sim::Task& answer) {
-  channel->send(sim::Side::Server, answer);
+void EngineProcess::onProbe(const sim::ChannelPointer& channel, const sim::Task& response) {
+  channel->send(sim::Side::Server, response);
   channel->close(sim::Side::Server);
 }
 
@@ -152,7 +152,7 @@
   while (running_ < context_.site.engine_slots && !queue_.empty()) {
     const RunPointer run = queue_.front();
     queue_.pop_front();
-    if (runs_.contains(run->record)) begin(run);
+    if (runs_.contains(run->record)) startRun(run);
   }
 }
 
@@ -163,14 +163,14 @@
   return false;
 }
 
-void EngineProcess::begin(const RunPointer& run) {
+void EngineProcess::startRun(const RunPointer& run) {
   run->running = true;
   ++running_;
-  context_.records.runs[run->record].began_at = context_.queue.now();
-  if (crashesAt(*run, PoisonEffect::at_once)) return crash(false, run->request.body);
+  context_.records.runs[run->record].started_at = context_.queue.now();
+  if (crashesAt(*run, PoisonEffect::on_start)) return crash(false, run->request.body);
   const bool stream = run->request.kind == RequestKind::resumable_stream;
-  const std::uint64_t most = stream ? kMaxPrefillMilliseconds : kMaxPlainMilliseconds;
-  const auto time = std::chrono::milliseconds(context_.random.uniform(10, most));
+  const std::uint64_t max_milliseconds = stream ? kMaxPrefillMilliseconds : kMaxPlainMilliseconds;
+  const auto time = std::chrono::milliseconds(context_.random.uniform(10, max_milliseconds));
   host_.post(time / 2, [this, run] {
     if (runs_.contains(run->record) && crashesAt(*run, PoisonEffect::midway)) crash(false, run->request.body);
   });
@@ -179,39 +179,39 @@
 
 void EngineProcess::sendHead(const RunPointer& run) {
   if (!runs_.contains(run->record)) return;
-  send(*run, [answer = run->answer] { answer.on_head({kOk, false, false}); });
+  send(*run, [response = run->response] { response.on_head({kOk, false, false}); });
   if (run->request.kind == RequestKind::resumable_stream) return sendEvents(run);
-  // A poison request that has no events crashes the engine between its head and its body.
+  // A poison request without events crashes the engine between the head and the body of its response.
   if (crashesAt(*run, PoisonEffect::after_first_bytes)) return crash(false, run->request.body);
-  send(*run, [answer = run->answer] { answer.on_bytes("{}"); });
+  send(*run, [response = run->response] { response.on_bytes("{}"); });
   finish(run, true);
 }
 
 void EngineProcess::sendEvents(const RunPointer& run) {
   if (!runs_.contains(run->record)) return;
-  const bool enough = run->next_event > kEventsBeforeCrash;
-  if (enough && crashesAt(*run, PoisonEffect::after_first_bytes)) return crash(false, run->request.body);
+  const bool crash_due = run->next_event > kEventsBeforeCrash;
+  if (crash_due && crashesAt(*run, PoisonEffect::after_first_bytes)) return crash(false, run->request.body);
   if (run->next_event > run->events) return finish(run, true);
   const std::string event = fmt::format("id: {}\ndata: x\n\n", run->next_event++);
-  send(*run, [answer = run->answer, event] { answer.on_bytes(event); });
+  send(*run, [response = run->response, event] { response.on_bytes(event); });
   const auto gap = std::chrono::milliseconds(context_.random.uniform(10, kMaxEventGapMilliseconds));
   host_.post(gap, [this, run] { sendEvents(run); });
 }
 
-void EngineProcess::finish(const RunPointer& run, bool whole) {
+void EngineProcess::finish(const RunPointer& run, bool complete) {
   if (runs_.erase(run->record) == 0) return;
   EngineRun& record = context_.records.runs[run->record];
   record.ended_at = context_.queue.now();
-  record.whole = whole;
+  record.complete = complete;
   if (run->running) --running_;
-  if (whole) {
-    send(*run, [answer = run->answer] { answer.on_end(); });
+  if (complete) {
+    send(*run, [response = run->response] { response.on_end(); });
   }
   startNext();
 }
 
-/// The gateway closed the connection, or it broke.
-void EngineProcess::drop(const RunPointer& run) {
+/// The gateway closed the connection, or the connection broke.
+void EngineProcess::onDisconnected(const RunPointer& run) {
   finish(run, false);
 }
 
--- a/sim/gateway_world/engine_process.h
+++ b/sim/gateway_world/engine_process.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file A model engine: places, a queue, prompts that take time to read, streams; it crashes and starts
-/// again under its id with a new birth.
+/// @file A simulated engine with slots, a queue, prefill times and streams. It crashes, and restarts under
+/// the same id with a new start time.
 
 #include <cstdint>
 #include <deque>
@@ -15,28 +15,28 @@
 
 namespace crankspur::gateway_sim {
 
-/// A request as a gateway sends it.
+/// A request from a gateway.
 struct EngineRequest {
   std::uint64_t attempt = 0;
   BodyId body = 0;
   RequestKind kind = RequestKind::plain;
-  std::string expected_engine;  ///< Id with birth; another start refuses it.
+  std::string expected_engine;  ///< Id and start time; any other process of the engine refuses it.
   std::uint64_t resume_after = 0;
   std::uint32_t gateway = 0;
   TimePoint sent_at{};
   TimePoint admitted_at{};
-  TimePoint vouched_at{};
+  TimePoint confirmed_at{};
 };
 
-/// The head of an engine's answer.
+/// The head of an engine's response.
 struct EngineHead {
   int status = 200;
   bool not_run = false;
   bool wrong_engine = false;
 };
 
-/// Hears of an answer, at the gateway.
-struct EngineAnswerHandlers {
+/// Handlers of an engine's response, which run at the gateway.
+struct EngineResponseHandlers {
   std::function<void(const EngineHead&)> on_head;
   std::function<void(const std::string&)> on_bytes;
   std::function<void()> on_end;
@@ -48,34 +48,35 @@
   EngineProcess(FleetContext& context, StoreNode& store, std::uint32_t number);
 
   void start();
-  /// Ends it, and starts it again after a while.
-  /// @param silent its connections are not closed.
+  /// Crashes the process and restarts it after a random delay.
+  /// @param silent the connections are not closed, as at a power loss.
   void crash(bool silent, std::optional<BodyId> cause = std::nullopt);
 
   sim::Host& host() { return host_; }
   std::uint32_t number() const { return number_; }
   /// @return "IP:port".
   const std::string& address() const { return address_; }
-  /// @return id and birth, as gateways name this start of it.
+  /// @return id and start time, by which gateways identify this process.
   std::string incarnationName() const;
-  std::uint64_t bornMilliseconds() const { return born_ms_; }
-  std::uint32_t freePlaces() const;
+  std::uint64_t startMilliseconds() const { return started_ms_; }
+  std::uint32_t freeSlots() const;
 
-  /// A gateway has written a request to a connection. Until it arrives a crash leaves open whether it ran.
-  /// @return the number by which it arrives.
-  std::size_t onWritten(const EngineRequest& request);
+  /// A gateway has written a request to a connection. If the engine crashes before the request arrives, it is
+  /// unknown to the gateway whether the request ran.
+  /// @return index of its EngineRun, to be passed to onRequest().
+  std::size_t onRequestWritten(const EngineRequest& request);
   /// A request arrived on a connection.
-  /// @param record the number of it.
+  /// @param record index of its EngineRun.
   void onRequest(std::size_t record, const sim::ChannelPointer& channel, const EngineRequest& request,
-                 const EngineAnswerHandlers& answer);
-  /// A question for its health arrived on a connection.
-  void onProbe(const sim::ChannelPointer& channel, const sim::Task& answer);
+                 const EngineResponseHandlers& response);
+  /// A health probe arrived on a connection.
+  void onProbe(const sim::ChannelPointer& channel, const sim::Task& response);
 
 private:
   struct Run {
     std::size_t record = 0;  ///< Index of the EngineRun.
     EngineRequest request;
-    EngineAnswerHandlers answer;
+    EngineResponseHandlers response;
     sim::ChannelPointer channel;
     bool running = false;
     std::uint64_t next_event = 1;
@@ -85,11 +86,11 @@
 
   void heartbeat();
   void startNext();
-  void begin(const RunPointer& run);
+  void startRun(const RunPointer& run);
   void sendHead(const RunPointer& run);
   void sendEvents(const RunPointer& run);
-  void finish(const RunPointer& run, bool whole);
-  void drop(const RunPointer& run);
+  void finish(const RunPointer& run, bool complete);
+  void onDisconnected(const RunPointer& run);
   void send(const Run& run, sim::Task deliver);
   bool crashesAt(const Run& run, PoisonEffect point) const;
 
@@ -98,14 +99,14 @@
   std::uint32_t number_;
   sim::Host host_;
   std::string address_;
-  std::uint64_t born_ms_ = 0;
-  std::set<std::size_t> on_the_way_;        ///< Records of requests that were written and have not arrived.
-  std::map<std::size_t, RunPointer> runs_;  ///< Running or queued, by record.
+  std::uint64_t started_ms_ = 0;
+  std::set<std::size_t> in_transit_;  ///< EngineRuns of requests that were written and have not arrived.
+  std::map<std::size_t, RunPointer> runs_;  ///< Running or queued, by EngineRun.
   std::deque<RunPointer> queue_;
   std::uint32_t running_ = 0;
 };
 
-/// @return events of the answer to a stream's body: the same for each attempt.
-std::uint64_t eventsOf(BodyId body);
+/// @return number of events in the streamed response to a body, the same for every attempt.
+std::uint64_t eventCount(BodyId body);
 
 }  // namespace crankspur::gateway_sim
--- a/sim/gateway_world/fleet_checkers.cc
+++ b/sim/gateway_world/fleet_checkers.cc
@@ -12,170 +12,177 @@
 
 using sim::Violations;
 
-constexpr Duration kSlack = std::chrono::seconds(1);
-/// Gateways that have been in touch for so long hold the same evidence.
-constexpr Duration kAgreement = std::chrono::seconds(3);
-/// From the answer of the store that vouches for keys to the act that rests on it.
-constexpr Duration kKeySlack = std::chrono::milliseconds(20);
-/// One in so many engines may crash around a request which still has to be served.
-constexpr std::size_t kSpared = 4;
-constexpr std::uint32_t kCrashesAllowed = 3;
+constexpr Duration kTolerance = std::chrono::seconds(1);
+/// Gateways that could exchange messages for this long hold the same evidence.
+constexpr Duration kAgreementTime = std::chrono::seconds(3);
+/// Maximum time from the store's response that confirms the keys to the admission that relies on it.
+constexpr Duration kKeyTolerance = std::chrono::milliseconds(20);
+/// A request still has to be served while at most one in this many engines crashes around it.
+constexpr std::size_t kEnginesPerCrash = 4;
+constexpr std::uint32_t kCrashesUntilQuarantined = 3;
 constexpr std::uint32_t kCrashesUntilIsolated = 2;
-constexpr std::uint32_t kConcurrentCrashes = 4;
+constexpr std::uint32_t kConcurrentCrashesUntilQuarantined = 4;
 constexpr Duration kRestartTime = std::chrono::seconds(5);
 
-double seconds(TimePoint instant) {
+double secondsOfRun(TimePoint instant) {
   return toSeconds(instant.time_since_epoch()) - 3600.0;
 }
 
-/// A request that crashed three engines is not sent again before its quarantine is over.
+/// A request that crashed three engines is not sent again before its quarantine ends.
 void checkCrashBound(const FleetHistory& history, Violations& violations) {
   for (const EngineRun& run : history.records().runs) {
     if (!history.isPoison(run.body)) continue;
-    const std::vector<CrashUnderBody> crashes = history.crashesUnder(run.body, run.sent_at - kSlack);
-    if (history.crashesInSequence(run.body, run.sent_at - kSlack, run.sent_at,
-                                  FleetHistory::Count::at_least) < kCrashesAllowed)
+    const std::vector<BodyCrash> crashes = history.crashesOf(run.body, run.sent_at - kTolerance);
+    if (history.crashesInSequence(run.body, run.sent_at - kTolerance, run.sent_at,
+                                  FleetHistory::Bound::lower) < kCrashesUntilQuarantined)
       continue;
-    const auto known = std::find_if(crashes.rbegin(), crashes.rend(),
-                                    [](const CrashUnderBody& crash) { return !crash.silent; });
-    if (run.sent_at >= known->at + history.quarantineAfter(kCrashesAllowed) - kSlack) continue;
-    if (!history.knows(run.gateway, crashes, run.sent_at)) continue;
+    const auto last_detected =
+        std::find_if(crashes.rbegin(), crashes.rend(), [](const BodyCrash& crash) { return !crash.silent; });
+    if (run.sent_at >= last_detected->at + history.quarantineAfter(kCrashesUntilQuarantined) - kTolerance)
+      continue;
+    if (!history.hasReceived(run.gateway, crashes, run.sent_at)) continue;
     violations.push_back(
         {"crash_bound", fmt::format("gateway-{} sent body {} at {:.3f} s, {} engines had crashed under it, "
                                     "the last at {:.3f} s",
-                                    run.gateway, run.body, seconds(run.sent_at), crashes.size(),
-                                    seconds(crashes.back().at))});
+                                    run.gateway, run.body, secondsOfRun(run.sent_at), crashes.size(),
+                                    secondsOfRun(crashes.back().at))});
   }
 }
 
-/// Nothing is refused as quarantined unless engines crashed under it, and not after its quarantine.
+/// A request is refused as quarantined only if engines crashed while they held it, and only until its
+/// quarantine ends.
 void checkQuarantine(const FleetHistory& history, Violations& violations) {
   for (const Attempt& attempt : history.records().attempts) {
-    if (attempt.end != AttemptEnd::quarantined) continue;
-    const std::vector<CrashUnderBody> crashes = history.crashesUnder(attempt.body, attempt.ended_at);
+    if (attempt.outcome != AttemptOutcome::quarantined) continue;
+    const std::vector<BodyCrash> crashes = history.crashesOf(attempt.body, attempt.ended_at);
     const std::uint32_t counted = history.crashesInSequence(attempt.body, attempt.ended_at, attempt.ended_at,
-                                                            FleetHistory::Count::at_most);
-    const bool at_once = crashes.size() >= kConcurrentCrashes && counted >= kCrashesUntilIsolated;
-    if (counted < kCrashesAllowed && !at_once) {
+                                                            FleetHistory::Bound::upper);
+    const bool concurrent =
+        crashes.size() >= kConcurrentCrashesUntilQuarantined && counted >= kCrashesUntilIsolated;
+    if (counted < kCrashesUntilQuarantined && !concurrent) {
       violations.push_back(
           {"quarantine_truth",
            fmt::format("gateway-{} refused body {} at {:.3f} s after {} crashes in sequence, {} in all",
-                       attempt.gateway, attempt.body, seconds(attempt.ended_at), counted, crashes.size())});
+                       attempt.gateway, attempt.body, secondsOfRun(attempt.ended_at), counted,
+                       crashes.size())});
       continue;
     }
-    const TimePoint over = crashes.back().at + history.quarantineAfter(crashes.size()) + kSlack;
-    if (attempt.ended_at <= over) continue;
-    violations.push_back(
-        {"quarantine_release",
-         fmt::format("gateway-{} refused body {} at {:.3f} s, its quarantine was over at "
-                     "{:.3f} s",
-                     attempt.gateway, attempt.body, seconds(attempt.ended_at), seconds(over))});
+    const TimePoint quarantine_end = crashes.back().at + history.quarantineAfter(crashes.size()) + kTolerance;
+    if (attempt.ended_at <= quarantine_end) continue;
+    violations.push_back({"quarantine_release",
+                          fmt::format("gateway-{} refused body {} at {:.3f} s, its quarantine was over at "
+                                      "{:.3f} s",
+                                      attempt.gateway, attempt.body, secondsOfRun(attempt.ended_at),
+                                      secondsOfRun(quarantine_end))});
   }
 }
 
-/// A request that may be repeated and whose engine crashed is served elsewhere.
+/// A repeatable request whose engine crashed is served by another engine.
 void checkInnocentServed(const FleetHistory& history, const FleetContext& context, Violations& violations) {
   const Records& records = history.records();
   std::vector<std::uint32_t> crashes_of(records.attempts.size());
   std::vector<TimePoint> crashed_at(records.attempts.size());
   for (const EngineCrash& crash : records.crashes) {
-    for (const std::size_t index : crash.during) {
+    for (const std::size_t index : crash.interrupted_runs) {
       crashes_of[records.runs[index].attempt] +=
-          crash.silent ? 2 : 1;  // Silence takes its time to be noticed.
+          crash.silent ? 2 : 1;  // A silent crash takes longer to detect.
       crashed_at[records.runs[index].attempt] = crash.at;
     }
   }
   for (std::size_t index = 0; index < records.attempts.size(); ++index) {
     const Attempt& attempt = records.attempts[index];
     const bool unique = attempt.body > context.site.popular_bodies;
-    const bool ended_by_caller = attempt.end == AttemptEnd::left || attempt.end == AttemptEnd::answered;
+    const bool ended_by_caller =
+        attempt.outcome == AttemptOutcome::disconnected || attempt.outcome == AttemptOutcome::completed;
     if (crashes_of[index] != 1 || !unique || history.isPoison(attempt.body) || ended_by_caller) continue;
     if (attempt.kind == RequestKind::at_most_once) continue;
     const TimePoint end = attempt.sent_at + attempt.deadline;
-    const bool calm = history.isUndisturbed(attempt.gateway, attempt.sent_at, end, kRestartTime) &&
-                      history.isStoreUndisturbed(attempt.sent_at - context.site.key_validity, end) &&
-                      history.areConnectionsUndisturbed(attempt.sent_at - kRestartTime, end) &&
-                      history.areMessagesUndisturbed(attempt.sent_at - kRestartTime, end);
-    const bool room =
-        history.crashedEngines(attempt.sent_at - kRestartTime, end) * kSpared <= context.site.engines &&
-        history.crashedEngines(crashed_at[index] - kSlack, crashed_at[index] + kSlack) == 1;
-    if (!calm || !room) continue;
+    const bool undisturbed = history.isUndisturbed(attempt.gateway, attempt.sent_at, end, kRestartTime) &&
+                             history.isStoreUndisturbed(attempt.sent_at - context.site.key_validity, end) &&
+                             history.areConnectionsUndisturbed(attempt.sent_at - kRestartTime, end) &&
+                             history.areMessagesUndisturbed(attempt.sent_at - kRestartTime, end);
+    const bool enough_engines =
+        history.crashedEngines(attempt.sent_at - kRestartTime, end) * kEnginesPerCrash <=
+            context.site.engines &&
+        history.crashedEngines(crashed_at[index] - kTolerance, crashed_at[index] + kTolerance) == 1;
+    if (!undisturbed || !enough_engines) continue;
     violations.push_back(
         {"innocent_served",
          fmt::format("attempt {} of body {} at gateway-{} lost its engine at {:.3f} s and ended "
                      "as {} at {:.3f} s",
-                     index, attempt.body, attempt.gateway, seconds(crashed_at[index]),
-                     static_cast<int>(attempt.end), seconds(attempt.ended_at))});
+                     index, attempt.body, attempt.gateway, secondsOfRun(crashed_at[index]),
+                     static_cast<int>(attempt.outcome), secondsOfRun(attempt.ended_at))});
   }
 }
 
-/// Requests that may crash engines run one at a time at a gateway, and not beside each other at an engine.
+/// A gateway sends at most one attempt of a suspicious request at a time, and does not send two suspicious
+/// requests to one engine process at a time.
 void checkIsolation(const FleetHistory& history, Violations& violations) {
   std::vector<const EngineRun*> suspicious;
   for (const EngineRun& run : history.records().runs) {
-    const std::vector<CrashUnderBody> crashes = history.crashesUnder(run.body, run.sent_at - kSlack);
-    if (history.crashesInSequence(run.body, run.sent_at - kSlack, run.sent_at,
-                                  FleetHistory::Count::at_least) < kCrashesUntilIsolated)
+    const std::vector<BodyCrash> crashes = history.crashesOf(run.body, run.sent_at - kTolerance);
+    if (history.crashesInSequence(run.body, run.sent_at - kTolerance, run.sent_at,
+                                  FleetHistory::Bound::lower) < kCrashesUntilIsolated)
       continue;
-    if (history.knows(run.gateway, crashes, run.sent_at)) suspicious.push_back(&run);
+    if (history.hasReceived(run.gateway, crashes, run.sent_at)) suspicious.push_back(&run);
   }
   for (const EngineRun* run : suspicious) {
     for (const EngineRun* other : suspicious) {
       const bool arrived = other->arrived_at > other->sent_at;
-      const bool lost = history.crashedBetween(other->engine, other->sent_at, run->sent_at);
-      const bool overlaps = arrived && !lost && other->sent_at < run->sent_at &&
+      const bool crashed = history.crashedBetween(other->engine, other->sent_at, run->sent_at);
+      const bool overlaps = arrived && !crashed && other->sent_at < run->sent_at &&
                             (!other->ended_at || *other->ended_at > run->sent_at);
       if (other == run || other->gateway != run->gateway || !overlaps) continue;
-      const bool same_place = other->engine == run->engine && other->engine_start == run->engine_start;
-      if (other->body != run->body && !same_place) continue;
+      const bool same_process = other->engine == run->engine && other->engine_start == run->engine_start;
+      if (other->body != run->body && !same_process) continue;
       violations.push_back(
           {"isolation",
            fmt::format("gateway-{} sent body {} at {:.3f} s to engine-{} beside body {} at engine-{}",
-                       run->gateway, run->body, seconds(run->sent_at), run->engine, other->body,
+                       run->gateway, run->body, secondsOfRun(run->sent_at), run->engine, other->body,
                        other->engine)});
     }
   }
 }
 
-/// Gateways in touch hold the same evidence.
+/// Gateways that can exchange messages hold the same evidence.
 void checkAgreement(const FleetHistory& history, const FleetContext& context, FleetWorld& world,
                     Violations& violations) {
   const TimePoint end = context.queue.now();
-  if (!history.areMessagesUndisturbed(end - kAgreement, end)) return;
+  if (!history.areMessagesUndisturbed(end - kAgreementTime, end)) return;
   std::set<std::uint64_t> digests;
   for (std::uint32_t number = 0; number < context.site.gateways; ++number) {
-    if (history.isUndisturbed(number, end, end, kAgreement + kSlack))
+    if (history.isUndisturbed(number, end, end, kAgreementTime + kTolerance))
       digests.insert(world.gateways()[number]->crashDigest());
   }
   if (digests.size() > 1)
     violations.push_back({"agreement", fmt::format("{} different digests", digests.size())});
 }
 
-/// No request is taken by keys that the store has not vouched for in their time. One that was taken may go
-/// on.
+/// No request is admitted by keys that the store has not confirmed within their validity. A request that was
+/// admitted before may continue.
 void checkKeys(const FleetHistory& history, const FleetContext& context, Violations& violations) {
   for (const EngineRun& run : history.records().runs) {
-    const Duration age = run.admitted_at - run.vouched_at;
-    if (age <= context.site.key_validity + kKeySlack) continue;
+    const Duration age = run.admitted_at - run.confirmed_at;
+    if (age <= context.site.key_validity + kKeyTolerance) continue;
     violations.push_back(
         {"keys", fmt::format("gateway-{} took attempt {} at {:.3f} s by keys of {:.3f} s before", run.gateway,
-                             run.attempt, seconds(run.admitted_at), toSeconds(age))});
+                             run.attempt, secondsOfRun(run.admitted_at), toSeconds(age))});
   }
 }
 
-void checkAnswers(const FleetHistory& history, Violations& violations) {
+void checkResponses(const FleetHistory& history, Violations& violations) {
   const Records& records = history.records();
   for (std::size_t index = 0; index < records.attempts.size(); ++index) {
     const Attempt& attempt = records.attempts[index];
     if (attempt.events_broken) violations.push_back({"whole_streams", fmt::format("attempt {}", index)});
-    if (attempt.end == AttemptEnd::none)
+    if (attempt.outcome == AttemptOutcome::pending)
       violations.push_back({"final_answers", fmt::format("attempt {}", index)});
   }
-  std::vector<std::uint32_t> begun(records.attempts.size());
-  for (const EngineRun& run : records.runs) begun[run.attempt] += run.began_at ? 1 : 0;
-  for (std::size_t index = 0; index < begun.size(); ++index) {
-    if (records.attempts[index].kind != RequestKind::at_most_once || begun[index] < 2) continue;
-    violations.push_back({"at_most_once", fmt::format("attempt {} ran {} times", index, begun[index])});
+  std::vector<std::uint32_t> starts(records.attempts.size());
+  for (const EngineRun& run : records.runs) starts[run.attempt] += run.started_at ? 1 : 0;
+  for (std::size_t index = 0; index < starts.size(); ++index) {
+    if (records.attempts[index].kind != RequestKind::at_most_once || starts[index] < 2) continue;
+    violations.push_back({"at_most_once", fmt::format("attempt {} ran {} times", index, starts[index])});
   }
 }
 
@@ -190,7 +197,7 @@
   checkIsolation(history, violations);
   checkAgreement(history, context, world, violations);
   checkKeys(history, context, violations);
-  checkAnswers(history, violations);
+  checkResponses(history, violations);
   return violations;
 }
 
--- a/sim/gateway_world/fleet_checkers.h
+++ b/sim/gateway_world/fleet_checkers.h
@@ -1,12 +1,12 @@
 #pragma once
-/// @file Checkers of a simulated fleet. Each judges by what callers and engines saw.
+/// @file Checkers of a simulated fleet. They depend only on what callers and engines observed.
 
 #include "sim/gateway_world/fleet_world.h"
 #include "sim/world/run_result.h"
 
 namespace crankspur::gateway_sim {
 
-/// Judges a run that is over.
+/// Checks a completed run.
 sim::Violations checkFleet(const FleetContext& context, FleetWorld& world);
 
 }  // namespace crankspur::gateway_sim
--- a/sim/gateway_world/fleet_context.h
+++ b/sim/gateway_world/fleet_context.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file What all parts of a simulated fleet share.
+/// @file State shared by all parts of a simulated fleet.
 
 #include <set>
 
@@ -11,10 +11,10 @@
 
 namespace crankspur::gateway_sim {
 
-/// Datagrams between gateways are lost or doubled with these probabilities.
+/// Probabilities that a datagram between gateways is lost or duplicated.
 struct DatagramFaults {
-  double lost = 0;
-  double doubled = 0;
+  double loss = 0;
+  double duplication = 0;
 };
 
 /// See the file comment.
--- a/sim/gateway_world/fleet_faults.cc
+++ b/sim/gateway_world/fleet_faults.cc
@@ -8,46 +8,46 @@
 constexpr std::uint64_t kMaxFaults = 12;
 constexpr std::uint64_t kMaxSeries = 4;
 constexpr std::uint64_t kFirstMilliseconds = 2'000;
-/// No fault begins in the last seconds, so that gateways have time to agree.
-constexpr std::uint64_t kQuietMilliseconds = 20'000;
+/// No fault begins in this last part of the load time, so that gateways can reach agreement.
+constexpr std::uint64_t kFaultFreeMilliseconds = 20'000;
 constexpr double kEngineShare = 0.3;
 constexpr double kResetShare = 0.5;
 constexpr double kGatewayShare = 0.4;
 
 }  // namespace
 
-Duration FleetFaults::drawTime(std::uint64_t least_milliseconds, std::uint64_t most_milliseconds) {
-  return std::chrono::milliseconds(random_.uniform(least_milliseconds, most_milliseconds));
+Duration FleetFaults::drawDuration(std::uint64_t min_milliseconds, std::uint64_t max_milliseconds) {
+  return std::chrono::milliseconds(random_.uniform(min_milliseconds, max_milliseconds));
 }
 
-/// Each draw is one fault or a series of the same.
+/// Each draw yields one fault or a series of faults of one kind.
 void FleetFaults::plan() {
   const std::uint64_t draws = random_.uniform(0, kMaxFaults);
   const auto load = static_cast<std::uint64_t>(context_.site.load_time / std::chrono::milliseconds(1));
-  const std::uint64_t last = load - kQuietMilliseconds;
+  const std::uint64_t last = load - kFaultFreeMilliseconds;
   for (std::uint64_t draw = 0; draw < draws; ++draw) {
     const auto fault =
         static_cast<FleetFault>(random_.uniform(0, static_cast<std::uint64_t>(FleetFault::last)));
-    const std::uint64_t strikes = random_.uniform(1, kMaxSeries);
+    const std::uint64_t injections = random_.uniform(1, kMaxSeries);
     std::uint64_t at = random_.uniform(kFirstMilliseconds, last);
-    for (std::uint64_t strike_number = 0; strike_number < strikes && at < last; ++strike_number) {
-      context_.queue.after(std::chrono::milliseconds(at), [this, fault] { strike(fault); });
+    for (std::uint64_t injection = 0; injection < injections && at < last; ++injection) {
+      context_.queue.after(std::chrono::milliseconds(at), [this, fault] { inject(fault); });
       at += random_.uniform(500, 5'000);
     }
   }
 }
 
-void FleetFaults::planOnly(FleetFault fault, Duration least, Duration most) {
-  const Duration end = context_.site.load_time - std::chrono::milliseconds(kQuietMilliseconds);
+void FleetFaults::planRepeated(FleetFault fault, Duration min_interval, Duration max_interval) {
+  const Duration end = context_.site.load_time - std::chrono::milliseconds(kFaultFreeMilliseconds);
   Duration at = std::chrono::milliseconds(kFirstMilliseconds);
   while (at < end) {
-    context_.queue.after(at, [this, fault] { strike(fault); });
-    at += drawTime(static_cast<std::uint64_t>(least / std::chrono::milliseconds(1)),
-                   static_cast<std::uint64_t>(most / std::chrono::milliseconds(1)));
+    context_.queue.after(at, [this, fault] { inject(fault); });
+    at += drawDuration(static_cast<std::uint64_t>(min_interval / std::chrono::milliseconds(1)),
+                       static_cast<std::uint64_t>(max_interval / std::chrono::milliseconds(1)));
   }
 }
 
-void FleetFaults::strike(FleetFault fault) {
+void FleetFaults::inject(FleetFault fault) {
   context_.trace.note("faults", "kind {}", static_cast<int>(fault));
   switch (fault) {
     case FleetFault::engines_crash:
@@ -60,20 +60,20 @@
       return killGateways(kGatewayShare);
     case FleetFault::all_gateways_killed:
       return killGateways(1.0);
-    case FleetFault::gateways_cut:
-      return cutGateways();
+    case FleetFault::gateways_partitioned:
+      return partitionGateways();
     case FleetFault::gateway_paused:
       return pauseGateway();
     case FleetFault::gateway_suspended:
       return suspendGateway();
-    case FleetFault::store_silent:
-      return setStore(StoreMode::silent);
+    case FleetFault::store_unresponsive:
+      return setStore(StoreMode::unresponsive);
     case FleetFault::store_refuses:
       return setStore(StoreMode::refuses);
-    case FleetFault::store_late:
-      return setStore(StoreMode::late);
-    case FleetFault::store_answer_lost:
-      return setStore(StoreMode::answer_lost);
+    case FleetFault::store_slow:
+      return setStore(StoreMode::slow);
+    case FleetFault::store_response_lost:
+      return setStore(StoreMode::response_lost);
     case FleetFault::store_rows_lost:
       context_.records.store.push_back(
           {context_.queue.now(), context_.queue.now() + std::chrono::seconds(2)});
@@ -83,7 +83,7 @@
   }
 }
 
-void FleetFaults::note(std::uint32_t gateway, Duration time) {
+void FleetFaults::recordDisturbance(std::uint32_t gateway, Duration time) {
   context_.records.gateways[gateway].push_back({context_.queue.now(), context_.queue.now() + time});
 }
 
@@ -94,7 +94,7 @@
 }
 
 void FleetFaults::resetConnections() {
-  context_.network.resetSome(kResetShare * (1 + random_.unit()));
+  context_.network.resetRandomChannels(kResetShare * (1 + random_.unit()));
   context_.records.connections.push_back({context_.queue.now(), context_.queue.now()});
 }
 
@@ -103,8 +103,8 @@
   for (std::uint32_t number = 0; number < world_.gateways().size(); ++number) {
     GatewayNode& gateway = *world_.gateways()[number];
     if (!gateway.host().up() || !random_.chance(share)) continue;
-    const Duration down = drawTime(200, 2'000);
-    note(number, down);
+    const Duration down = drawDuration(200, 2'000);
+    recordDisturbance(number, down);
     gateway.kill(silent);
     context_.queue.after(down, [&gateway] {
       if (!gateway.host().up()) gateway.start();
@@ -112,53 +112,53 @@
   }
 }
 
-void FleetFaults::cutGateways() {
-  const std::uint64_t number = next_cut_++;
-  const Duration time = drawTime(1'000, 12'000);
+void FleetFaults::partitionGateways() {
+  const std::uint64_t number = next_partition_++;
+  const Duration time = drawDuration(1'000, 12'000);
   std::set<std::string> inside;
   std::set<std::string> outside = {world_.store().host().name()};
   for (std::uint32_t index = 0; index < world_.gateways().size(); ++index) {
     const std::string& name = world_.gateways()[index]->host().name();
-    const bool is_cut = random_.chance(kGatewayShare);
-    (is_cut ? inside : outside).insert(name);
-    if (is_cut) note(index, time);
+    const bool is_partitioned = random_.chance(kGatewayShare);
+    (is_partitioned ? inside : outside).insert(name);
+    if (is_partitioned) recordDisturbance(index, time);
   }
-  context_.network.cut(number, std::move(inside), std::move(outside));
+  context_.network.partition(number, std::move(inside), std::move(outside));
   context_.queue.after(time, [this, number] { context_.network.heal(number); });
 }
 
 void FleetFaults::pauseGateway() {
   const auto number = static_cast<std::uint32_t>(random_.uniform(0, world_.gateways().size() - 1));
-  const Duration time = drawTime(300, 7'000);
-  note(number, time);
+  const Duration time = drawDuration(300, 7'000);
+  recordDisturbance(number, time);
   world_.gateways()[number]->pause(time);
 }
 
 void FleetFaults::suspendGateway() {
   const auto number = static_cast<std::uint32_t>(random_.uniform(0, world_.gateways().size() - 1));
-  const Duration time = drawTime(1'000, 15'000);
-  note(number, time);
+  const Duration time = drawDuration(1'000, 15'000);
+  recordDisturbance(number, time);
   world_.gateways()[number]->suspend(time);
 }
 
 void FleetFaults::setStore(StoreMode mode) {
-  const Duration time = drawTime(500, 8'000);
+  const Duration time = drawDuration(500, 8'000);
   context_.records.store.push_back({context_.queue.now(), context_.queue.now() + time});
   world_.store().setMode(mode);
   context_.queue.after(time, [this, mode] {
-    if (world_.store().mode() == mode) world_.store().setMode(StoreMode::sound);
+    if (world_.store().mode() == mode) world_.store().setMode(StoreMode::healthy);
   });
 }
 
 void FleetFaults::disturbDatagrams() {
-  context_.datagrams.lost = 0.3 * random_.unit();
-  context_.datagrams.doubled = 0.2 * random_.unit();
-  context_.network.setDisturbance(drawTime(1, 300), random_.unit());
-  const Duration time = drawTime(1'000, 15'000);
+  context_.datagrams.loss = 0.3 * random_.unit();
+  context_.datagrams.duplication = 0.2 * random_.unit();
+  context_.network.setExtraDelay(drawDuration(1, 300), random_.unit());
+  const Duration time = drawDuration(1'000, 15'000);
   context_.records.messages.push_back({context_.queue.now(), context_.queue.now() + time});
   context_.queue.after(time, [this] {
     context_.datagrams = {};
-    context_.network.setDisturbance(Duration(0), 0);
+    context_.network.setExtraDelay(Duration(0), 0);
   });
 }
 
--- a/sim/gateway_world/fleet_history.cc
+++ b/sim/gateway_world/fleet_history.cc
@@ -6,16 +6,16 @@
 namespace crankspur::gateway_sim {
 namespace {
 
-/// After so long of contact all gateways know what one of them saw.
-constexpr Duration kContact = std::chrono::seconds(1);
-/// The same after a gateway was killed, cut off, paused or suspended.
-constexpr Duration kContactAfterTrouble = std::chrono::seconds(5);
-/// After trouble of the store rows of engines may be missing for so long.
-constexpr Duration kRowTime = std::chrono::seconds(5);
-/// By how much gateways may differ in the instants of a crash and of a send.
-constexpr Duration kInstantTolerance = std::chrono::milliseconds(100);
-
-bool touches(const std::vector<Disturbance>& disturbances, TimePoint from, TimePoint to) {
+/// Gateways that could exchange messages for this long have received what one of them observed.
+constexpr Duration kPropagationTime = std::chrono::seconds(1);
+/// Likewise after a gateway was killed, partitioned, paused or suspended.
+constexpr Duration kRecoveryTime = std::chrono::seconds(5);
+/// How long rows of engines may be missing after a failure of the store.
+constexpr Duration kRowRecoveryTime = std::chrono::seconds(5);
+/// Maximum difference between gateways in the times of a crash and of a send.
+constexpr Duration kTimeTolerance = std::chrono::milliseconds(100);
+
+bool overlapsAny(const std::vector<Disturbance>& disturbances, TimePoint from, TimePoint to) {
   return std::any_of(disturbances.begin(), disturbances.end(), [&](const Disturbance& disturbance) {
     return disturbance.from <= to && disturbance.to >= from;
   });
@@ -25,9 +25,9 @@
 
 FleetHistory::FleetHistory(const FleetContext& context) : context_(context) {
   for (const EngineCrash& crash : context.records.crashes) {
-    for (const std::size_t index : crash.during) {
+    for (const std::size_t index : crash.interrupted_runs) {
       const EngineRun& run = context.records.runs[index];
-      std::vector<CrashUnderBody>& crashes = crashes_[run.body];
+      std::vector<BodyCrash>& crashes = crashes_[run.body];
       if (crashes.empty() || crashes.back().engine != crash.engine || crashes.back().at != crash.at) {
         crashes.push_back({crash.at, crash.engine, run.sent_at, run.sent_at, run.gateway, crash.silent});
       }
@@ -36,42 +36,42 @@
     }
   }
   for (const Attempt& attempt : context.records.attempts) {
-    if (attempt.end != AttemptEnd::answered) continue;
-    answers_[attempt.body].push_back({attempt.ended_at, wasCleared(attempt)});
+    if (attempt.outcome != AttemptOutcome::completed) continue;
+    responses_[attempt.body].push_back({attempt.ended_at, isKnownToAll(attempt)});
   }
 }
 
-bool FleetHistory::wasCleared(const Attempt& attempt) const {
-  const TimePoint told = attempt.ended_at + kContact;
+bool FleetHistory::isKnownToAll(const Attempt& attempt) const {
+  const TimePoint received_at = attempt.ended_at + kPropagationTime;
   for (std::uint32_t gateway = 0; gateway < context_.site.gateways; ++gateway) {
-    if (!isUndisturbed(gateway, attempt.ended_at, told, kContactAfterTrouble)) return false;
+    if (!isUndisturbed(gateway, attempt.ended_at, received_at, kRecoveryTime)) return false;
   }
-  return areMessagesUndisturbed(attempt.ended_at, told);
+  return areMessagesUndisturbed(attempt.ended_at, received_at);
 }
 
-std::vector<CrashUnderBody> FleetHistory::crashesUnder(BodyId body, TimePoint until) const {
+std::vector<BodyCrash> FleetHistory::crashesOf(BodyId body, TimePoint until) const {
   const auto found = crashes_.find(body);
   if (found == crashes_.end()) return {};
-  std::vector<CrashUnderBody> before;
-  for (const CrashUnderBody& crash : found->second) {
+  std::vector<BodyCrash> before;
+  for (const BodyCrash& crash : found->second) {
     if (crash.at <= until) before.push_back(crash);
   }
   return before;
 }
 
 std::uint32_t FleetHistory::crashesInSequence(BodyId body, TimePoint until, TimePoint now,
-                                              Count count_as) const {
+                                              Bound bound) const {
   std::uint32_t count = 0;
   TimePoint last{};
-  for (const CrashUnderBody& crash : crashesUnder(body, until)) {
-    const bool cleared = isCleared(body, crash.at, now, count_as);
-    // A power loss breaks no connection, so that gateways may not learn of it. An engine whose row is missing
-    // counts as one that leaves as planned, which breaks its last connections by right.
+  for (const BodyCrash& crash : crashesOf(body, until)) {
+    const bool cleared = isCleared(body, crash.at, now, bound);
+    // A power loss closes no connection, so gateways may not detect it. An engine whose row is missing counts
+    // as leaving as planned, so that the loss of its last connections is no crash.
     const bool may_be_unknown =
-        count_as == Count::at_least && (crash.silent || !isStoreUndisturbed(crash.at - kRowTime, crash.at));
+        bound == Bound::lower && (crash.silent || !isStoreUndisturbed(crash.at - kRowRecoveryTime, crash.at));
     if (cleared || may_be_unknown) continue;
     const TimePoint sent_at =
-        count_as == Count::at_least ? crash.first_sent_at : crash.last_sent_at + kInstantTolerance;
+        bound == Bound::lower ? crash.first_sent_at : crash.last_sent_at + kTimeTolerance;
     if (count > 0 && sent_at < last) continue;
     ++count;
     last = crash.at;
@@ -79,15 +79,15 @@
   return count;
 }
 
-/// A whole answer that some gateway may not have heard of clears only where the fewest crashes are to be
-/// counted.
-bool FleetHistory::isCleared(BodyId body, TimePoint crashed_at, TimePoint until, Count count_as) const {
-  const auto found = answers_.find(body);
-  if (found == answers_.end()) return false;
-  return std::any_of(found->second.begin(), found->second.end(), [&](const WholeAnswer& answer) {
-    if (answer.at < crashed_at) return false;
-    if (count_as == Count::at_least) return answer.at < until;
-    return answer.known_to_all && answer.at > crashed_at + kInstantTolerance && answer.at + kContact < until;
+/// A complete response that some gateway may not know of clears earlier crashes only for the lower bound.
+bool FleetHistory::isCleared(BodyId body, TimePoint crashed_at, TimePoint until, Bound bound) const {
+  const auto found = responses_.find(body);
+  if (found == responses_.end()) return false;
+  return std::any_of(found->second.begin(), found->second.end(), [&](const CompleteResponse& response) {
+    if (response.at < crashed_at) return false;
+    if (bound == Bound::lower) return response.at < until;
+    return response.known_to_all && response.at > crashed_at + kTimeTolerance &&
+           response.at + kPropagationTime < until;
   });
 }
 
@@ -100,37 +100,37 @@
 }
 
 bool FleetHistory::isUndisturbed(std::uint32_t gateway, TimePoint from, TimePoint to, Duration margin) const {
-  return !touches(context_.records.gateways[gateway], from - margin, to);
+  return !overlapsAny(context_.records.gateways[gateway], from - margin, to);
 }
 
 bool FleetHistory::isStoreUndisturbed(TimePoint from, TimePoint to) const {
-  return !touches(context_.records.store, from, to);
+  return !overlapsAny(context_.records.store, from, to);
 }
 
 bool FleetHistory::areConnectionsUndisturbed(TimePoint from, TimePoint to) const {
-  return !touches(context_.records.connections, from, to);
+  return !overlapsAny(context_.records.connections, from, to);
 }
 
 bool FleetHistory::areMessagesUndisturbed(TimePoint from, TimePoint to) const {
-  return !touches(context_.records.messages, from, to);
+  return !overlapsAny(context_.records.messages, from, to);
 }
 
-bool FleetHistory::knows(std::uint32_t gateway, const std::vector<CrashUnderBody>& crashes,
-                         TimePoint at) const {
-  if (crashes.empty() || at < crashes.back().at + kContact) return false;
+bool FleetHistory::hasReceived(std::uint32_t gateway, const std::vector<BodyCrash>& crashes,
+                               TimePoint at) const {
+  if (crashes.empty() || at < crashes.back().at + kPropagationTime) return false;
   const TimePoint first = crashes.front().at;
   if (!areMessagesUndisturbed(first, at)) return false;
-  for (const CrashUnderBody& crash : crashes) {
-    if (!isUndisturbed(crash.gateway, crash.at, crash.at + kContact, kContactAfterTrouble)) return false;
+  for (const BodyCrash& crash : crashes) {
+    if (!isUndisturbed(crash.gateway, crash.at, crash.at + kPropagationTime, kRecoveryTime)) return false;
   }
-  if (isUndisturbed(gateway, first, at, kContactAfterTrouble)) return true;
-  if (!isUndisturbed(gateway, at, at, kContactAfterTrouble)) return false;
-  // It was away; those that saw the crashes, or the store, tell it.
-  const bool witnesses_tell = std::all_of(crashes.begin(), crashes.end(), [&](const CrashUnderBody& crash) {
-    return isUndisturbed(crash.gateway, crash.at, at, kContactAfterTrouble);
+  if (isUndisturbed(gateway, first, at, kRecoveryTime)) return true;
+  if (!isUndisturbed(gateway, at, at, kRecoveryTime)) return false;
+  // It was disturbed in between; the gateways that observed the crashes, or the store's record, supply them.
+  const bool observers_undisturbed = std::all_of(crashes.begin(), crashes.end(), [&](const BodyCrash& crash) {
+    return isUndisturbed(crash.gateway, crash.at, at, kRecoveryTime);
   });
   const bool quarantined = crashes.size() >= policy_.crashes_until_quarantined;
-  return witnesses_tell || (quarantined && isStoreUndisturbed(first, at));
+  return observers_undisturbed || (quarantined && isStoreUndisturbed(first, at));
 }
 
 bool FleetHistory::isPoison(BodyId body) const {
--- a/sim/gateway_world/fleet_history.h
+++ b/sim/gateway_world/fleet_history.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Questions about the records of a run that several checkers ask.
+/// @file Queries on the records of a run that several checkers share.
 
 #include <map>
 #include <vector>
@@ -9,13 +9,13 @@
 
 namespace crankspur::gateway_sim {
 
-/// A crash of an engine that had a request of one body.
-struct CrashUnderBody {
+/// A crash of an engine that held at least one attempt of a given body.
+struct BodyCrash {
   TimePoint at{};
   std::uint32_t engine = 0;
-  TimePoint first_sent_at{};  ///< When attempts of the request that it had were sent there.
-  TimePoint last_sent_at{};
-  std::uint32_t gateway = 0;  ///< That sent one of them.
+  TimePoint first_sent_at{};  ///< When the first of these attempts was sent to the engine.
+  TimePoint last_sent_at{};   ///< When the last of them was sent.
+  std::uint32_t gateway = 0;  ///< A gateway that sent one of them.
   bool silent = false;
 };
 
@@ -25,43 +25,43 @@
   explicit FleetHistory(const FleetContext& context);
 
   const Records& records() const { return context_.records; }
-  /// @return crashes under the body before `until`, in their order.
-  std::vector<CrashUnderBody> crashesUnder(BodyId body, TimePoint until) const;
-  /// How to count where gateways may differ by the way of a message.
-  enum class Count { at_least, at_most };
-  /// @return crashes under the body in sequence until `until`, but for those that whole answers until `now`
-  /// cleared.
-  std::uint32_t crashesInSequence(BodyId body, TimePoint until, TimePoint now, Count count_as) const;
-  /// @return how long a request is quarantined after so many crashes.
+  /// @return crashes of engines that held the body, up to `until`, in order.
+  std::vector<BodyCrash> crashesOf(BodyId body, TimePoint until) const;
+  /// Which bound to compute where gateways may differ because messages are in transit.
+  enum class Bound { lower, upper };
+  /// @return number of sequential crashes of engines that held the body, up to `until`, except those cleared
+  /// by complete responses up to `now`.
+  std::uint32_t crashesInSequence(BodyId body, TimePoint until, TimePoint now, Bound bound) const;
+  /// @return duration of the quarantine after this many crashes.
   Duration quarantineAfter(std::size_t crashes) const;
 
-  /// @return whether nothing was done to the gateway between the instants, and for `margin` before.
+  /// @return whether no fault affected the gateway from `margin` before `from` until `to`.
   bool isUndisturbed(std::uint32_t gateway, TimePoint from, TimePoint to, Duration margin) const;
   bool isStoreUndisturbed(TimePoint from, TimePoint to) const;
   bool areConnectionsUndisturbed(TimePoint from, TimePoint to) const;
   bool areMessagesUndisturbed(TimePoint from, TimePoint to) const;
-  /// @return whether a gateway has had time to know all of the crashes at `at`: it and those that saw them
-  /// were in touch.
-  bool knows(std::uint32_t gateway, const std::vector<CrashUnderBody>& crashes, TimePoint at) const;
+  /// @return whether the gateway must have received all of the crashes by `at`, because it and the gateways
+  /// that observed them could exchange messages for long enough.
+  bool hasReceived(std::uint32_t gateway, const std::vector<BodyCrash>& crashes, TimePoint at) const;
   bool isPoison(BodyId body) const;
-  /// @return engines that crashed between the instants.
+  /// @return number of engines that crashed between `from` and `to`.
   std::size_t crashedEngines(TimePoint from, TimePoint to) const;
 
   bool crashedBetween(std::uint32_t engine, TimePoint from, TimePoint to) const;
 
 private:
-  struct WholeAnswer {
+  struct CompleteResponse {
     TimePoint at{};
-    bool known_to_all = false;  ///< Every gateway could hear of it within a second.
+    bool known_to_all = false;  ///< Every gateway could receive it within a second.
   };
 
-  bool wasCleared(const Attempt& attempt) const;
-  bool isCleared(BodyId body, TimePoint crashed_at, TimePoint until, Count count_as) const;
+  bool isKnownToAll(const Attempt& attempt) const;
+  bool isCleared(BodyId body, TimePoint crashed_at, TimePoint until, Bound bound) const;
 
   const FleetContext& context_;
   gateway::CrashPolicy policy_;
-  std::map<BodyId, std::vector<CrashUnderBody>> crashes_;
-  std::map<BodyId, std::vector<WholeAnswer>> answers_;
+  std::map<BodyId, std::vector<BodyCrash>> crashes_;
+  std::map<BodyId, std::vector<CompleteResponse>> responses_;
 };
 
 }  // namespace crankspur::gateway_sim
--- a/sim/gateway_world/fleet_run.cc
+++ b/sim/gateway_world/fleet_run.cc
@@ -9,9 +9,9 @@
 namespace crankspur::gateway_sim {
 namespace {
 
-/// From the start of the processes to the first request.
+/// Time from the start of the processes to the first request.
 constexpr Duration kWarmUp = std::chrono::seconds(3);
-/// After the last request, so that all of them end and gateways agree.
+/// Time after the last request in which all requests end and gateways reach agreement.
 constexpr Duration kWindDown = std::chrono::seconds(9);
 
 constexpr const char* kMixed = "gateway";
@@ -22,9 +22,9 @@
   using std::chrono::milliseconds;
   using std::chrono::seconds;
   if (scenario == kResets)
-    return faults.planOnly(FleetFault::connections_reset, milliseconds(600), seconds(12));
+    return faults.planRepeated(FleetFault::connections_reset, milliseconds(600), seconds(12));
   if (scenario == kRestarts)
-    return faults.planOnly(FleetFault::all_gateways_killed, seconds(10), seconds(20));
+    return faults.planRepeated(FleetFault::all_gateways_killed, seconds(10), seconds(20));
   faults.plan();
 }
 
@@ -38,16 +38,16 @@
 sim::RunResult runFleet(const sim::RunOptions& options) {
   RandomSource random(options.seed);
   FleetContext context(random.bits(), options.removed, options.keep_trace_lines);
-  const TimePoint load_begins = context.queue.now() + kWarmUp;
-  context.site = drawFleetSite(random, load_begins);
-  context.site.retries_after_breaks = options.scenario == kResets;
+  const TimePoint load_start = context.queue.now() + kWarmUp;
+  context.site = drawFleetSite(random, load_start);
+  context.site.retries_broken_responses = options.scenario == kResets;
   FleetWorld world(context);
   FleetFaults faults(context, world, random.bits());
   world.start();
-  context.queue.runUntil(load_begins);
+  context.queue.runUntil(load_start);
   world.callers().start();
   planFaults(options.scenario, faults);
-  context.queue.runUntil(load_begins + context.site.load_time + kWindDown);
+  context.queue.runUntil(load_start + context.site.load_time + kWindDown);
 
   sim::RunResult result;
   result.seed = options.seed;
@@ -56,7 +56,7 @@
   result.violations = checkFleet(context, world);
   result.requests = context.records.attempts.size();
   for (const Attempt& attempt : context.records.attempts) {
-    result.answered += attempt.end == AttemptEnd::answered ? 1 : 0;
+    result.answered += attempt.outcome == AttemptOutcome::completed ? 1 : 0;
   }
   result.events = context.queue.processed();
   result.trace_hash = context.trace.hash();
--- a/sim/gateway_world/fleet_run.h
+++ b/sim/gateway_world/fleet_run.h
@@ -5,9 +5,9 @@
 
 namespace crankspur::gateway_sim {
 
-/// @return names of the scenarios: "gateway" draws from all faults, the others play one kind again and again.
+/// @return names of the scenarios: "gateway" draws from all faults, the others repeat one kind.
 const std::vector<std::string>& fleetScenarioNames();
-/// Runs one seed of such a scenario.
+/// Runs one of these scenarios with one seed.
 sim::RunResult runFleet(const sim::RunOptions& options);
 
 }  // namespace crankspur::gateway_sim
--- a/sim/gateway_world/fleet_site.cc
+++ b/sim/gateway_world/fleet_site.cc
@@ -8,9 +8,9 @@
 using gateway::Repeatability;
 using gateway::Route;
 
-/// Longer than the first quarantine, so that its end is within the run.
+/// Longer than the first quarantine, so that the quarantine ends within the run.
 constexpr Duration kLoadTime = std::chrono::seconds(100);
-/// Bodies of poison requests; all others are innocent.
+/// Bodies from this number on are poison requests; all others are harmless.
 constexpr BodyId kFirstPoisonBody = 1'000'000;
 constexpr std::uint32_t kSmallFleet = 8;
 constexpr std::uint32_t kLargeFleet = 40;
@@ -38,8 +38,8 @@
   poison.effect = static_cast<PoisonEffect>(random.uniform(0, 2));
   poison.from = start + std::chrono::milliseconds(random.uniform(1'000, 20'000));
   poison.to = start + kLoadTime;
-  poison.pause = std::chrono::milliseconds(random.uniform(300, 3'000));
-  poison.in_pairs = random.chance(0.3);
+  poison.mean_interval = std::chrono::milliseconds(random.uniform(300, 3'000));
+  poison.concurrent = random.chance(0.3);
   return poison;
 }
 
--- a/sim/gateway_world/fleet_site.h
+++ b/sim/gateway_world/fleet_site.h
@@ -12,41 +12,41 @@
 
 /// What a poison request does to the engine that runs it.
 enum class PoisonEffect {
-  at_once,            ///< Crashes it as soon as it begins to run.
-  midway,             ///< Crashes it while it reads the prompt.
-  after_first_bytes,  ///< Crashes it after the first events of the answer.
+  on_start,           ///< Crashes the engine when the request starts to run.
+  midway,             ///< Crashes the engine during prefill.
+  after_first_bytes,  ///< Crashes the engine after the first events of the response.
 };
 
-/// A request that crashes engines, sent again and again.
+/// A request that crashes engines, sent repeatedly.
 struct PoisonRequest {
   BodyId body = 0;
-  PoisonEffect effect = PoisonEffect::at_once;
+  PoisonEffect effect = PoisonEffect::on_start;
   TimePoint from{};
   TimePoint to{};
-  Duration pause{0};      ///< Mean time between its attempts.
-  bool in_pairs = false;  ///< Sent at two gateways at once.
-  bool leaves = false;    ///< Its caller sometimes leaves before the engine has crashed.
+  Duration mean_interval{0};           ///< Mean time between attempts.
+  bool concurrent = false;             ///< Sent to two gateways at the same time.
+  bool caller_may_disconnect = false;  ///< The caller may disconnect before the engine has crashed.
 };
 
-/// See the file comment. Instants are true time.
+/// See the file comment. Times are true time.
 struct FleetSite {
   std::uint32_t gateways = 3;
   std::uint32_t engines = 9;
   std::uint32_t engine_slots = 8;
   std::uint32_t zones = 3;
   double requests_per_second = 12;
-  std::uint32_t popular_bodies = 4;  ///< Innocent bodies that many callers send.
+  std::uint32_t popular_bodies = 4;  ///< Harmless bodies that many callers send.
   Duration load_time{0};
   Duration key_validity = std::chrono::seconds(5);
   std::vector<PoisonRequest> poison;
-  bool retries_after_breaks = false;  ///< Callers come back also when an answer broke off.
+  bool retries_broken_responses = false;  ///< Callers also retry when a response broke off.
 };
 
-/// @param start when load begins.
+/// @param start when the load begins.
 FleetSite drawFleetSite(RandomSource& random, TimePoint start);
-/// @return the configuration in force at all gateways of the site.
+/// @return the configuration that all gateways of the site use.
 std::shared_ptr<const gateway::Configuration> makeFleetConfiguration();
-/// @return the path that requests of the kind are sent to.
+/// @return the path to which requests of the kind are sent.
 std::string pathOf(RequestKind kind);
 
 inline constexpr const char* kFleetHost = "fleet.example";
--- a/sim/gateway_world/fleet_world.cc
+++ b/sim/gateway_world/fleet_world.cc
@@ -5,7 +5,7 @@
 namespace crankspur::gateway_sim {
 namespace {
 
-constexpr std::size_t kSeeds = 3;
+constexpr std::size_t kSeedMembers = 3;
 constexpr std::uint64_t kMaxStartSpreadMilliseconds = 300;
 
 }  // namespace
@@ -42,7 +42,7 @@
 
 std::vector<std::string> FleetWorld::seedNames() const {
   std::vector<std::string> names;
-  for (std::size_t index = 0; index < std::min(kSeeds, gateways_.size()); ++index) {
+  for (std::size_t index = 0; index < std::min(kSeedMembers, gateways_.size()); ++index) {
     names.push_back(gateways_[index]->memberName());
   }
   return names;
--- a/sim/gateway_world/fleet_world.h
+++ b/sim/gateway_world/fleet_world.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file The whole of a simulated fleet: gateways, engines, the store, callers.
+/// @file A simulated fleet: gateways, engines, the store and callers.
 
 #include <memory>
 #include <string>
@@ -24,11 +24,11 @@
   std::vector<std::unique_ptr<EngineProcess>>& engines() { return engines_; }
   EngineProcess& engine(std::uint32_t number) { return *engines_.at(number); }
   EngineProcess& engineAt(const std::string& address);
-  /// @return the gateway, or nullptr.
+  /// @return the gateway with this member name, or nullptr.
   GatewayNode* gatewayNamed(const std::string& member);
   StoreNode& store() { return store_; }
   Callers& callers() { return callers_; }
-  /// @return member names that gateways are told at their start.
+  /// @return names of the members that gateways are given as seeds when they start.
   std::vector<std::string> seedNames() const;
   std::shared_ptr<const gateway::Configuration> configuration() const { return configuration_; }
 
--- a/sim/gateway_world/gateway_node.cc
+++ b/sim/gateway_world/gateway_node.cc
@@ -9,24 +9,24 @@
 namespace crankspur::gateway_sim {
 namespace {
 
-/// How often two clocks are compared to notice a suspension, as in the product.
-constexpr Duration kSuspensionLook = std::chrono::milliseconds(100);
-/// Of what all gateways together may repeat; a deployment's slack grows with its size.
+/// Interval at which two clocks are compared to detect a suspension, as in production.
+constexpr Duration kSuspensionCheckInterval = std::chrono::milliseconds(100);
+/// Slack of the retry budget that all gateways share, per gateway; that of a deployment grows with its size.
 constexpr double kRetrySlackPerGateway = 8;
-/// Tolerance that makes all crashes count, in sequence or not.
-constexpr Duration kNoSequence = std::chrono::hours(1);
+/// Longer than a run; as a tolerance it makes all crashes count, sequential or not.
+constexpr Duration kUnlimited = std::chrono::hours(1);
 
 gateway::GatewaySettings gatewaySettings(const FleetContext& context) {
   gateway::GatewaySettings settings;
   settings.retry_budget.slack = kRetrySlackPerGateway * context.site.gateways;
   gateway::CrashPolicy& policy = settings.crash_policy;
-  if (!context.has(sim::Mechanism::CrashSequence)) policy.sequence_tolerance = kNoSequence;
+  if (!context.has(sim::Mechanism::CrashSequence)) policy.sequence_tolerance = kUnlimited;
   if (!context.has(sim::Mechanism::CrashClearing)) policy.clear_on_response = false;
   if (!context.has(sim::Mechanism::CrashIsolation)) {
     policy.crashes_until_isolated = policy.crashes_until_quarantined;
   }
   if (!context.has(sim::Mechanism::SignsOfLife)) {
-    policy.read_delay = kNoSequence;
+    policy.read_delay = kUnlimited;
     policy.min_restart_time = Duration(0);
   }
   return settings;
@@ -60,13 +60,13 @@
   MemberRecord self;
   self.name = member_name_;
   self.address = member_name_;
-  self.zone = host_.place().zone;
-  self.region = host_.place().region;
+  self.zone = host_.location().zone;
+  self.region = host_.location().region;
   self.incarnation = static_cast<std::uint64_t>(context_.queue.now().time_since_epoch().count());
   const std::uint64_t seed =
       combineHashes(hashBytes(member_name_), combineHashes(self.incarnation, context_.random.bits()));
   process_ = std::make_unique<Process>(gatewaySettings(context_), seed, self, now(), suspicions_);
-  vouched_at_ = {};
+  confirmed_at_ = {};
   std::vector<MemberRecord> seeds;
   for (const std::string& name : world_.seedNames()) {
     MemberRecord record;
@@ -79,7 +79,7 @@
   pumpMembership();
   pumpCrashes();
   readStore();
-  lookForSuspension();
+  checkSuspension();
 }
 
 void GatewayNode::kill(bool silent) {
@@ -136,7 +136,7 @@
   });
 }
 
-void GatewayNode::lookForSuspension() {
+void GatewayNode::checkSuspension() {
   const auto suspended = process_->suspension.onTick(host_.now().time_since_epoch(), steadyNow());
   if (suspended && context_.has(sim::Mechanism::SuspensionClock)) {
     context_.trace.note(host_.name(), "notices a suspension");
@@ -146,7 +146,7 @@
     pump();
   }
   process_->crashes.onRunning(now());
-  arm(process_->suspension_timer, now() + kSuspensionLook, [this] { lookForSuspension(); });
+  arm(process_->suspension_timer, now() + kSuspensionCheckInterval, [this] { checkSuspension(); });
 }
 
 }  // namespace crankspur::gateway_sim
--- a/sim/gateway_world/gateway_node.h
+++ b/sim/gateway_world/gateway_node.h
@@ -1,7 +1,6 @@
 #pragma once
-/// @file One gateway of a simulated fleet: hosts the product's decision classes on the virtual clock, and
-/// carries out their actions over the simulated network. The glue does what TrafficLoop and GatewayControl do
-/// with sockets.
+/// @file One gateway of a simulated fleet: runs the production decision classes on the virtual clock and
+/// executes their actions over the simulated network, as TrafficLoop and GatewayControl do over sockets.
 
 #include <functional>
 #include <map>
@@ -24,14 +23,14 @@
 
 class FleetWorld;
 
-/// What a caller hears of its attempt, at the caller.
+/// Handlers of the response to an attempt, which run at the caller.
 struct CallerHandlers {
   std::function<void(int status, gateway::RequestCause cause, Duration retry_after)> on_refused;
   std::function<void(const std::string&)> on_bytes;
   std::function<void()> on_end;
 };
 
-/// A request as a caller sends it.
+/// A request from a caller.
 struct CallerRequest {
   std::uint64_t attempt = 0;
   BodyId body = 0;
@@ -45,29 +44,29 @@
   GatewayNode(FleetContext& context, FleetWorld& world, std::uint32_t number);
   ~GatewayNode();
 
-  /// Starts a process that knows nothing.
+  /// Starts a process without state.
   void start();
-  /// Ends the process.
-  /// @param silent its connections are not closed.
+  /// Kills the process.
+  /// @param silent the connections are not closed, as at a power loss.
   void kill(bool silent);
-  /// The machine stands still for `time`: the steady clock stands with it, the boot clock runs on.
+  /// Suspends the machine for `time`: the steady clock stops, the boot clock continues.
   void suspend(Duration time);
-  /// The process stands still for `time`, as when it is stopped by a signal.
+  /// Pauses the process for `time`, as when it is stopped by a signal.
   void pause(Duration time);
 
   sim::Host& host() { return host_; }
   const std::string& memberName() const { return member_name_; }
-  /// @return a sum over the evidence that its control side holds.
+  /// @return digest of the evidence that the control side holds; 0 without a process.
   std::uint64_t crashDigest() const;
 
   /// A caller's request arrived on a connection.
   void onRequest(const sim::ChannelPointer& channel, const CallerRequest& request,
                  const CallerHandlers& handlers);
-  /// A frame from another gateway.
+  /// A frame from another gateway arrived.
   void onDatagram(const std::string& from, const Message& message);
 
 private:
-  /// A timer of the process. Like Asio's it does not count the time of a suspension.
+  /// A timer of the process. Like an Asio timer, it does not count the time of a suspension.
   struct Timer {
     std::uint64_t generation = 0;
     Duration due{0};  ///< On the steady clock.
@@ -77,16 +76,16 @@
     CallerHandlers handlers;
     sim::ChannelPointer channel;
     TimePoint admitted_at{};
-    TimePoint vouched_at{};  ///< When the store had last vouched for what was known then.
+    TimePoint confirmed_at{};  ///< When the store had last confirmed the state known at admission.
   };
   struct Exchange {
     gateway::ClientId client = 0;
     sim::ChannelPointer channel;  ///< Null until connected.
-    std::string body;             ///< Kept until the gateway says what becomes of it.
+    std::string body;             ///< Buffered until the gateway forwards or discards it.
     bool head = false;
     bool ended = false;
   };
-  /// Everything that ends with the process.
+  /// State that is lost when the process ends.
   struct Process;
 
   TimePoint now() const;
@@ -97,40 +96,41 @@
 
   // Traffic (gateway_node_traffic.cc).
   void pump();
-  void carryOut(const gateway::Refuse& action);
-  void carryOut(const gateway::Dispatch& action);
-  void carryOut(const gateway::CancelExchange& action);
-  void carryOut(const gateway::DiscardResponse& action);
-  void carryOut(const gateway::ForwardResponse& action);
-  void carryOut(const gateway::ForwardHead& action);
-  void carryOut(const gateway::ForwardBytes& action);
-  void carryOut(const gateway::EndResponse& action);
-  void carryOut(const gateway::AbortResponse& action);
-  void carryOut(const gateway::ReportUnreachable& action);
-  void carryOut(const gateway::ReportWrongBackend& action);
-  void carryOut(const gateway::ProbeBackend& action);
+  void execute(const gateway::Refuse& action);
+  void execute(const gateway::Dispatch& action);
+  void execute(const gateway::CancelExchange& action);
+  void execute(const gateway::DiscardResponse& action);
+  void execute(const gateway::ForwardResponse& action);
+  void execute(const gateway::ForwardHead& action);
+  void execute(const gateway::ForwardBytes& action);
+  void execute(const gateway::EndResponse& action);
+  void execute(const gateway::AbortResponse& action);
+  void execute(const gateway::ReportUnreachable& action);
+  void execute(const gateway::ReportWrongBackend& action);
+  void execute(const gateway::ProbeBackend& action);
   void connect(gateway::ExchangeId id, EngineProcess& engine, const EngineRequest& request);
-  EngineAnswerHandlers answerHandlers(gateway::ExchangeId id);
+  EngineResponseHandlers responseHandlers(gateway::ExchangeId id);
   void onEngineHead(gateway::ExchangeId id, const EngineHead& head);
   void onEngineBytes(gateway::ExchangeId id, const std::string& bytes);
   void onEngineEnd(gateway::ExchangeId id);
   void onLost(gateway::ExchangeId id, bool sent);
-  void answerCaller(const Client& client, sim::Task deliver);
-  void forgetClient(gateway::ClientId id, bool close);
+  void sendToCaller(const Client& client, sim::Task deliver);
+  void removeClient(gateway::ClientId id, bool close);
 
   // Control (gateway_node_control.cc).
   void readStore();
-  void onStoreAnswer(const EngineTableNews& news, TimePoint asked_at, TimePoint asked_true);
-  void onStoreTrouble();
+  void onStoreResponse(const EngineTableUpdate& table_update, TimePoint requested_at,
+                       TimePoint requested_true_time);
+  void onStoreFailure();
   void publish();
   void pumpCrashes();
-  void carryOut(const gateway::SendCrashMessage& action);
-  void carryOut(const gateway::NotifyTraffic& action);
-  void carryOut(const gateway::CallStore& action);
+  void execute(const gateway::SendCrashMessage& action);
+  void execute(const gateway::NotifyTraffic& action);
+  void execute(const gateway::CallStore& action);
   void pumpMembership();
   void sendDatagram(const std::string& member, const Message& message);
   std::vector<std::string> otherMembers() const;
-  void lookForSuspension();
+  void checkSuspension();
 
   FleetContext& context_;
   FleetWorld& world_;
@@ -138,9 +138,9 @@
   std::string member_name_;
   sim::Host host_;
   SuspicionTrace suspicions_;
-  Duration suspended_{0};  ///< In all.
+  Duration suspended_{0};  ///< Total time.
   std::unique_ptr<Process> process_;
-  TimePoint vouched_at_{};  ///< True time at which the store last vouched for what this start knows.
+  TimePoint confirmed_at_{};  ///< True time at which the store last confirmed this process's state.
 };
 
 }  // namespace crankspur::gateway_sim
--- a/sim/gateway_world/gateway_node_control.cc
+++ b/sim/gateway_world/gateway_node_control.cc
@@ -11,17 +11,17 @@
 namespace {
 
 constexpr Duration kReadInterval = std::chrono::milliseconds(150);
-/// Time after which a call of the store counts as unanswered.
-constexpr Duration kStorePatience = std::chrono::milliseconds(1'200);
+/// Timeout of a call to the store.
+constexpr Duration kStoreTimeout = std::chrono::milliseconds(1'200);
 constexpr Duration kPublishDelay = std::chrono::milliseconds(5);
-constexpr Duration kMaxPublishPause = std::chrono::seconds(5);
+constexpr Duration kMaxPublishInterval = std::chrono::seconds(5);
 constexpr Duration kThreadDelay = std::chrono::microseconds(50);
 
 gateway::ListedBackend listedBackend(const EngineProcess& engine, const EngineRow& row,
                                      const std::string& name) {
   gateway::ListedBackend listed;
   listed.id = name;
-  listed.born_ms = row.born_ms;
+  listed.born_ms = row.started_ms;
   listed.pool = kFleetPool;
   listed.address = engine.address();
   listed.zone = fmt::format("zone-{}", engine.number() % 3);
@@ -32,48 +32,52 @@
 
 }  // namespace
 
-/// Asks for what has changed; again after a while, or when no answer came in time.
+/// Requests the changed rows; repeats after an interval, or when no response arrived in time.
 void GatewayNode::readStore() {
   const std::uint64_t call = ++process_->store_call;
-  const TimePoint asked_at = now();
-  const TimePoint asked_true = context_.queue.now();
-  const auto news = std::make_shared<EngineTableNews>();
+  const TimePoint requested_at = now();
+  const TimePoint requested_true_time = context_.queue.now();
+  const auto table_update = std::make_shared<EngineTableUpdate>();
   StoreNode& store = world_.store();
-  arm(process_->store_timer, asked_at + kStorePatience, [this] {
-    onStoreTrouble();
+  arm(process_->store_timer, requested_at + kStoreTimeout, [this] {
+    onStoreFailure();
     readStore();
   });
   store.call(
-      host_, [news, &store, version = process_->table_version] { *news = store.changesSince(version); },
-      [this, news, call, asked_at, asked_true](bool acted) {
+      host_,
+      [table_update, &store, version = process_->table_version] {
+        *table_update = store.changesSince(version);
+      },
+      [this, table_update, call, requested_at, requested_true_time](bool executed) {
         if (call != process_->store_call) return;
-        if (acted) {
-          onStoreAnswer(*news, asked_at, asked_true);
+        if (executed) {
+          onStoreResponse(*table_update, requested_at, requested_true_time);
         } else {
-          onStoreTrouble();
+          onStoreFailure();
         }
         arm(process_->store_timer, now() + kReadInterval, [this] { readStore(); });
       });
 }
 
-void GatewayNode::onStoreTrouble() {
+void GatewayNode::onStoreFailure() {
   process_->fleet.onPlatformFailure(now());
 }
 
-void GatewayNode::onStoreAnswer(const EngineTableNews& news, TimePoint asked_at, TimePoint asked_true) {
-  process_->table_version = news.version;
-  for (const EngineRow& row : news.rows) {
+void GatewayNode::onStoreResponse(const EngineTableUpdate& table_update, TimePoint requested_at,
+                                  TimePoint requested_true_time) {
+  process_->table_version = table_update.version;
+  for (const EngineRow& row : table_update.rows) {
     EngineProcess& engine = world_.engine(row.engine);
-    const std::string name = fmt::format("i-{}#{}", row.engine, row.born_ms);
+    const std::string name = fmt::format("i-{}#{}", row.engine, row.started_ms);
     std::string& listed = process_->listed[row.engine];
     if (!listed.empty() && (listed != name || !row.present)) process_->fleet.onRemoved(listed, now());
     listed = row.present ? name : "";
     if (row.present) process_->fleet.onListed(listedBackend(engine, row, name), now());
   }
-  process_->contact->confirm(asked_at);
-  vouched_at_ = std::max(vouched_at_, asked_true);
+  process_->contact->confirm(requested_at);
+  confirmed_at_ = std::max(confirmed_at_, requested_true_time);
   const bool first = !std::exchange(process_->has_configuration, true);
-  if (!news.rows.empty() || first) publish();
+  if (!table_update.rows.empty() || first) publish();
 }
 
 void GatewayNode::publish() {
@@ -82,8 +86,8 @@
     snapshot->configuration = world_.configuration();
   }
   snapshot->backends = process_->fleet.backends(now());
-  snapshot->own_zone = host_.place().zone;
-  snapshot->own_region = host_.place().region;
+  snapshot->own_zone = host_.location().zone;
+  snapshot->own_region = host_.location().region;
   snapshot->peer_count = static_cast<std::uint32_t>(otherMembers().size());
   snapshot->share_divisor = snapshot->peer_count + 1;
   snapshot->contact = process_->contact;
@@ -92,16 +96,16 @@
     process_->traffic.onSnapshot(snapshot, now());
     pump();
   });
-  TimePoint next = std::min(now() + kMaxPublishPause, process_->fleet.nextChange(now()));
+  TimePoint next = std::min(now() + kMaxPublishInterval, process_->fleet.nextChange(now()));
   if (snapshot->configuration == nullptr) next = std::min(next, now() + std::chrono::milliseconds(100));
   arm(process_->publish_timer, std::max(next, now() + kPublishDelay), [this] { publish(); });
 }
 
-// Poison requests.
+// Evidence against poison requests.
 
 void GatewayNode::pumpCrashes() {
   for (const gateway::CrashAction& action : process_->crashes.takeActions()) {
-    std::visit([this](const auto& chosen) { carryOut(chosen); }, action);
+    std::visit([this](const auto& chosen) { execute(chosen); }, action);
   }
   arm(process_->crash_timer, process_->crashes.nextTimer(), [this] {
     process_->crashes.onTimer(otherMembers(), now());
@@ -109,41 +113,41 @@
   });
 }
 
-void GatewayNode::carryOut(const gateway::SendCrashMessage& action) {
+void GatewayNode::execute(const gateway::SendCrashMessage& action) {
   if (context_.has(sim::Mechanism::CrashExchange)) sendDatagram(action.member, action.message);
 }
 
-void GatewayNode::carryOut(const gateway::NotifyTraffic& action) {
+void GatewayNode::execute(const gateway::NotifyTraffic& action) {
   host_.post(kThreadDelay,
              [this, update = action.update] { process_->traffic.onCrashUpdate(update, now()); });
 }
 
-void GatewayNode::carryOut(const gateway::CallStore& action) {
+void GatewayNode::execute(const gateway::CallStore& action) {
   StoreNode& store = world_.store();
   const gateway::CrashRecordCall call = action.call;
-  const bool keeps = context_.has(sim::Mechanism::QuarantineRecord);
-  const auto settled = std::make_shared<bool>(false);
+  const bool keeps_record = context_.has(sim::Mechanism::QuarantineRecord);
+  const auto done = std::make_shared<bool>(false);
   const auto row = std::make_shared<gateway::StoredRecord>();
   const auto written = std::make_shared<bool>(false);
-  const auto answered = [this, call, settled, row, written](bool acted) {
-    if (std::exchange(*settled, true)) return;
+  const auto finish = [this, call, done, row, written](bool executed) {
+    if (std::exchange(*done, true)) return;
     if (call.kind == gateway::CrashRecordCall::Kind::write) {
-      process_->crashes.onRecordWritten(acted && *written, now());
+      process_->crashes.onRecordWritten(executed && *written, now());
     } else {
-      process_->crashes.onRecordRead(acted ? std::optional(*row) : std::nullopt, now());
+      process_->crashes.onRecordRead(executed ? std::optional(*row) : std::nullopt, now());
       publish();
     }
     pumpCrashes();
   };
   store.call(
       host_,
-      [&store, call, keeps, row, written] {
+      [&store, call, keeps_record, row, written] {
         const bool writes = call.kind == gateway::CrashRecordCall::Kind::write;
-        *written = writes && (!keeps || store.writeRecord(call.text, call.expected_version));
+        *written = writes && (!keeps_record || store.writeRecord(call.text, call.expected_version));
         if (!writes) *row = store.record();
       },
-      answered);
-  host_.post(kStorePatience, [answered] { answered(false); });
+      finish);
+  host_.post(kStoreTimeout, [finish] { finish(false); });
 }
 
 // Other gateways.
@@ -165,9 +169,9 @@
     const DecodedFrame decoded = decodeFrame(frame);
     if (decoded.message) receiver->onDatagram(from, *decoded.message);
   };
-  if (context_.random.chance(context_.datagrams.lost)) return;
+  if (context_.random.chance(context_.datagrams.loss)) return;
   context_.network.datagram(host_, receiver->host(), deliver);
-  if (context_.random.chance(context_.datagrams.doubled)) {
+  if (context_.random.chance(context_.datagrams.duplication)) {
     context_.network.datagram(host_, receiver->host(), deliver);
   }
 }
--- a/sim/gateway_world/gateway_node_traffic.cc
+++ b/sim/gateway_world/gateway_node_traffic.cc
@@ -11,25 +11,25 @@
 
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(500);
 constexpr Duration kProbeTimeout = std::chrono::milliseconds(300);
-/// From the traffic thread to the control thread.
+/// Delay between the traffic thread and the control thread.
 constexpr Duration kThreadDelay = std::chrono::microseconds(50);
 constexpr std::uint32_t kPromptTokens = 900;
 
-gateway::IncomingRequest incoming(const CallerRequest& request, const std::string& body) {
-  gateway::IncomingRequest made;
-  made.host = kFleetHost;
-  made.path = pathOf(request.kind) + "1";
-  made.body = body;
-  made.client.emplace();
-  made.client->request_id = fmt::format("a{}", request.attempt);
-  made.client->api_key = kFleetKey;
-  made.client->model = kFleetModel;
-  made.client->deadline = request.deadline;
+gateway::IncomingRequest makeIncomingRequest(const CallerRequest& request, const std::string& body) {
+  gateway::IncomingRequest result;
+  result.host = kFleetHost;
+  result.path = pathOf(request.kind) + "1";
+  result.body = body;
+  result.client.emplace();
+  result.client->request_id = fmt::format("a{}", request.attempt);
+  result.client->api_key = kFleetKey;
+  result.client->model = kFleetModel;
+  result.client->deadline = request.deadline;
   if (request.kind == RequestKind::resumable_stream) {
-    made.client->prompt = {{1 + request.body % 3, 600}, {1'000 + std::uint64_t{request.body}, 300}};
-    made.client->prompt_tokens = kPromptTokens;
+    result.client->prompt = {{1 + request.body % 3, 600}, {1'000 + std::uint64_t{request.body}, 300}};
+    result.client->prompt_tokens = kPromptTokens;
   }
-  return made;
+  return result;
 }
 
 }  // namespace
@@ -37,14 +37,14 @@
 void GatewayNode::onRequest(const sim::ChannelPointer& channel, const CallerRequest& request,
                             const CallerHandlers& handlers) {
   const gateway::ClientId id = process_->next_client++;
-  process_->clients.emplace(id, Client{request, handlers, channel, context_.queue.now(), vouched_at_});
+  process_->clients.emplace(id, Client{request, handlers, channel, context_.queue.now(), confirmed_at_});
   channel->onClosed(sim::Side::Server, [this, id] {
     if (process_->clients.erase(id) == 0) return;
     process_->traffic.onClientGone(id, now());
     pump();
   });
   const std::string body = fmt::format("body {}", request.body);
-  process_->traffic.onRequest(id, incoming(request, body), now());
+  process_->traffic.onRequest(id, makeIncomingRequest(request, body), now());
   pump();
 }
 
@@ -54,7 +54,7 @@
     const std::vector<gateway::GatewayAction> actions = process_->traffic.takeActions();
     if (actions.empty()) break;
     for (const gateway::GatewayAction& action : actions) {
-      std::visit([this](const auto& chosen) { carryOut(chosen); }, action);
+      std::visit([this](const auto& chosen) { execute(chosen); }, action);
     }
   }
   process_->pumping = false;
@@ -72,11 +72,11 @@
   });
 }
 
-void GatewayNode::answerCaller(const Client& client, sim::Task deliver) {
+void GatewayNode::sendToCaller(const Client& client, sim::Task deliver) {
   client.channel->send(sim::Side::Server, std::move(deliver));
 }
 
-void GatewayNode::forgetClient(gateway::ClientId id, bool close) {
+void GatewayNode::removeClient(gateway::ClientId id, bool close) {
   const auto found = process_->clients.find(id);
   if (found == process_->clients.end()) return;
   const sim::ChannelPointer channel = found->second.channel;
@@ -84,28 +84,29 @@
   if (close) channel->close(sim::Side::Server);
 }
 
-void GatewayNode::carryOut(const gateway::Refuse& action) {
+void GatewayNode::execute(const gateway::Refuse& action) {
   const auto found = process_->clients.find(action.client);
   if (found == process_->clients.end()) return;
-  const auto told = found->second.handlers.on_refused;
-  answerCaller(found->second, [told, action] { told(action.status, action.cause, action.retry_after); });
-  forgetClient(action.client, false);
+  const auto on_refused = found->second.handlers.on_refused;
+  sendToCaller(found->second,
+               [on_refused, action] { on_refused(action.status, action.cause, action.retry_after); });
+  removeClient(action.client, false);
 }
 
-void GatewayNode::carryOut(const gateway::Dispatch& action) {
+void GatewayNode::execute(const gateway::Dispatch& action) {
   const auto found = process_->clients.find(action.client);
   if (found == process_->clients.end()) return;
-  const CallerRequest& asked = found->second.request;
+  const CallerRequest& caller_request = found->second.request;
   EngineRequest request;
-  request.attempt = asked.attempt;
-  request.body = asked.body;
-  request.kind = asked.kind;
+  request.attempt = caller_request.attempt;
+  request.body = caller_request.body;
+  request.kind = caller_request.kind;
   request.expected_engine = action.terms.expected_backend;
   request.resume_after = action.terms.resume_after.value_or(0);
   request.gateway = number_;
   request.sent_at = context_.queue.now();
   request.admitted_at = found->second.admitted_at;
-  request.vouched_at = found->second.vouched_at;
+  request.confirmed_at = found->second.confirmed_at;
   process_->exchanges[action.exchange].client = action.client;
   context_.trace.note(host_.name(), "sends attempt {} of body {} to {}", request.attempt, request.body,
                       action.address);
@@ -113,37 +114,37 @@
 }
 
 void GatewayNode::connect(gateway::ExchangeId id, EngineProcess& engine, const EngineRequest& request) {
-  const EngineAnswerHandlers answer = answerHandlers(id);
+  const EngineResponseHandlers response = responseHandlers(id);
   context_.network.connect(
       host_, engine.host(), kConnectTimeout, [](const sim::ChannelPointer&) {},
-      [this, id, &engine, request, answer](const sim::ChannelPointer& channel) {
+      [this, id, &engine, request, response](const sim::ChannelPointer& channel) {
         const auto found = process_->exchanges.find(id);
         if (found == process_->exchanges.end()) return channel->close(sim::Side::Client);
         found->second.channel = channel;
         channel->onClosed(sim::Side::Client, [this, id] { onLost(id, true); });
         const std::size_t record = engine.onWritten(request);
-        channel->send(sim::Side::Client, [&engine, record, channel, request, answer] {
-          engine.onRequest(record, channel, request, answer);
+        channel->send(sim::Side::Client, [&engine, record, channel, request, response] {
+          engine.onRequest(record, channel, request, response);
         });
       },
       [this, id] { onLost(id, false); });
 }
 
-EngineAnswerHandlers GatewayNode::answerHandlers(gateway::ExchangeId id) {
-  EngineAnswerHandlers answer;
-  answer.on_head = [this, id](const EngineHead& head) { onEngineHead(id, head); };
-  answer.on_bytes = [this, id](const std::string& bytes) { onEngineBytes(id, bytes); };
-  answer.on_end = [this, id] { onEngineEnd(id); };
-  return answer;
+EngineResponseHandlers GatewayNode::responseHandlers(gateway::ExchangeId id) {
+  EngineResponseHandlers response;
+  response.on_head = [this, id](const EngineHead& head) { onEngineHead(id, head); };
+  response.on_bytes = [this, id](const std::string& bytes) { onEngineBytes(id, bytes); };
+  response.on_end = [this, id] { onEngineEnd(id); };
+  return response;
 }
 
 void GatewayNode::onEngineHead(gateway::ExchangeId id, const EngineHead& head) {
   if (!process_->exchanges.contains(id)) return;
-  gateway::BackendResponse answer;
-  answer.genuine = true;
-  answer.not_run = head.not_run;
-  answer.wrong_backend = head.wrong_engine;
-  process_->traffic.onHead(id, head.status, answer, now());
+  gateway::BackendResponse response;
+  response.genuine = true;
+  response.not_run = head.not_run;
+  response.wrong_backend = head.wrong_engine;
+  process_->traffic.onHead(id, head.status, response, now());
   pump();
 }
 
@@ -175,7 +176,7 @@
   pump();
 }
 
-void GatewayNode::carryOut(const gateway::CancelExchange& action) {
+void GatewayNode::execute(const gateway::CancelExchange& action) {
   const auto found = process_->exchanges.find(action.exchange);
   if (found == process_->exchanges.end()) return;
   const sim::ChannelPointer channel = found->second.channel;
@@ -183,66 +184,67 @@
   if (channel) channel->close(sim::Side::Client);
 }
 
-void GatewayNode::carryOut(const gateway::DiscardResponse& action) {
+void GatewayNode::execute(const gateway::DiscardResponse& action) {
   process_->exchanges.erase(action.exchange);
 }
 
-void GatewayNode::carryOut(const gateway::ForwardResponse& action) {
+void GatewayNode::execute(const gateway::ForwardResponse& action) {
   const auto found = process_->clients.find(action.client);
   if (found == process_->clients.end()) return;
-  answerCaller(found->second, found->second.handlers.on_end);
-  forgetClient(action.client, false);
+  sendToCaller(found->second, found->second.handlers.on_end);
+  removeClient(action.client, false);
 }
 
-void GatewayNode::carryOut(const gateway::ForwardHead& action) {
+void GatewayNode::execute(const gateway::ForwardHead& action) {
   const auto exchange = process_->exchanges.find(action.exchange);
   if (exchange == process_->exchanges.end() || exchange->second.body.empty()) return;
-  carryOut(gateway::ForwardBytes{action.client, std::exchange(exchange->second.body, {})});
+  execute(gateway::ForwardBytes{action.client, std::exchange(exchange->second.body, {})});
 }
 
-void GatewayNode::carryOut(const gateway::ForwardBytes& action) {
+void GatewayNode::execute(const gateway::ForwardBytes& action) {
   const auto found = process_->clients.find(action.client);
   if (found == process_->clients.end()) return;
-  const auto told = found->second.handlers.on_bytes;
-  answerCaller(found->second, [told, bytes = action.bytes] { told(bytes); });
+  const auto on_bytes = found->second.handlers.on_bytes;
+  sendToCaller(found->second, [on_bytes, bytes = action.bytes] { on_bytes(bytes); });
 }
 
-void GatewayNode::carryOut(const gateway::EndResponse& action) {
+void GatewayNode::execute(const gateway::EndResponse& action) {
   const auto found = process_->clients.find(action.client);
   if (found == process_->clients.end()) return;
-  answerCaller(found->second, found->second.handlers.on_end);
-  forgetClient(action.client, false);
+  sendToCaller(found->second, found->second.handlers.on_end);
+  removeClient(action.client, false);
 }
 
-void GatewayNode::carryOut(const gateway::AbortResponse& action) {
-  forgetClient(action.client, true);
+void GatewayNode::execute(const gateway::AbortResponse& action) {
+  removeClient(action.client, true);
 }
 
-void GatewayNode::carryOut(const gateway::ProbeBackend& action) {
-  const auto probed = [this, probe = action.probe](bool answered) {
-    process_->traffic.onProbeResult(probe, answered, now());
+void GatewayNode::execute(const gateway::ProbeBackend& action) {
+  const auto on_result = [this, probe = action.probe](bool responded) {
+    process_->traffic.onProbeResult(probe, responded, now());
     pump();
   };
   EngineProcess& engine = world_.engineAt(action.address);
   context_.network.connect(
       host_, engine.host(), kProbeTimeout, [](const sim::ChannelPointer&) {},
-      [&engine, probed](const sim::ChannelPointer& channel) {
-        channel->onClosed(sim::Side::Client, [probed] { probed(false); });
-        channel->send(sim::Side::Client,
-                      [&engine, channel, probed] { engine.onProbe(channel, [probed] { probed(true); }); });
+      [&engine, on_result](const sim::ChannelPointer& channel) {
+        channel->onClosed(sim::Side::Client, [on_result] { on_result(false); });
+        channel->send(sim::Side::Client, [&engine, channel, on_result] {
+          engine.onProbe(channel, [on_result] { on_result(true); });
+        });
       },
-      [probed] { probed(false); });
+      [on_result] { on_result(false); });
 }
 
-void GatewayNode::carryOut(const gateway::ReportUnreachable& action) {
+void GatewayNode::execute(const gateway::ReportUnreachable& action) {
   host_.post(kThreadDelay, [this, action] {
     process_->fleet.onUnreachable(action.slot, action.incarnation, now());
     publish();
   });
 }
 
-void GatewayNode::carryOut(const gateway::ReportWrongBackend&) {
-  // Engines of the simulation hold one version of weights.
+void GatewayNode::execute(const gateway::ReportWrongBackend&) {
+  // Simulated engines hold a single version of the weights.
 }
 
 }  // namespace crankspur::gateway_sim
--- a/sim/gateway_world/gateway_process_state.h
+++ b/sim/gateway_world/gateway_process_state.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Internal to this package: what a gateway of the simulation loses when its process ends.
+/// @file Internal to this package: the state that a simulated gateway loses when its process ends.
 
 #include "gateway_control/gossip_socket.h"
 #include "sim/gateway_world/gateway_node.h"
@@ -29,9 +29,9 @@
   std::unique_ptr<Membership> membership;
   std::shared_ptr<gateway::PlatformContact> contact = std::make_shared<gateway::PlatformContact>();
   std::uint64_t table_version = 0;
-  std::map<std::uint32_t, std::string> listed;  ///< Name of each engine's listed start.
+  std::map<std::uint32_t, std::string> listed;  ///< Name of the listed process of each engine.
   bool has_configuration = false;
-  std::uint64_t store_call = 0;  ///< Number of the last one; answers of earlier ones are ignored.
+  std::uint64_t store_call = 0;  ///< Number of the latest call; responses to earlier calls are ignored.
   Timer store_timer;
   Timer publish_timer;
   Timer membership_timer;
--- a/sim/gateway_world/records.h
+++ b/sim/gateway_world/records.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file What callers and engines saw during a run. Checkers judge by these records alone; instants are true
-/// time.
+/// @file Records of what callers and engines observed during a run, and of the faults. Checkers depend on
+/// these records; times are true time.
 
 #include <cstdint>
 #include <optional>
@@ -11,48 +11,48 @@
 
 namespace crankspur::gateway_sim {
 
-/// Names a request body: attempts of one body are the same request.
+/// Identifies a request body; attempts with one body are the same request.
 using BodyId = std::uint32_t;
 
 /// How a request may be repeated.
 enum class RequestKind { plain, resumable_stream, at_most_once };
 
-/// One request that reached an engine.
+/// One request that a gateway wrote to the connection of an engine.
 struct EngineRun {
   std::uint64_t attempt = 0;  ///< Index of the caller's attempt.
   BodyId body = 0;
   std::uint32_t engine = 0;
-  std::uint64_t engine_start = 0;  ///< Counts the starts of the engine.
+  std::uint64_t engine_start = 0;  ///< Number of the engine's process start.
   std::uint32_t gateway = 0;
-  TimePoint sent_at{};      ///< When the gateway decided to send it.
-  TimePoint admitted_at{};  ///< When the gateway took the caller's request.
-  TimePoint vouched_at{};   ///< When the store had last vouched for what the gateway knew then.
+  TimePoint sent_at{};       ///< When the gateway decided to send it.
+  TimePoint admitted_at{};   ///< When the gateway received the caller's request.
+  TimePoint confirmed_at{};  ///< When the store had last confirmed the gateway's state at that time.
   TimePoint arrived_at{};
-  std::optional<TimePoint> began_at;  ///< When the engine began to run it.
-  std::optional<TimePoint> ended_at;  ///< When the engine was done with it, crashed or not.
-  bool whole = false;                 ///< It ran to its end.
+  std::optional<TimePoint> started_at;  ///< When the engine started to run it.
+  std::optional<TimePoint> ended_at;    ///< When the engine finished or dropped it, or crashed.
+  bool complete = false;                ///< It ran to completion.
 };
 
 /// One crash of an engine.
 struct EngineCrash {
   std::uint32_t engine = 0;
   TimePoint at{};
-  bool silent = false;              ///< Its connections were not closed, as at a power loss.
-  std::optional<BodyId> cause;      ///< The poison request that crashed it.
-  std::vector<std::size_t> during;  ///< Indexes of the runs that it had.
+  bool silent = false;                        ///< The connections were not closed, as at a power loss.
+  std::optional<BodyId> cause;                ///< The poison request that crashed it.
+  std::vector<std::size_t> interrupted_runs;  ///< Indexes of the runs that the engine held.
 };
 
 /// How an attempt ended for its caller.
-enum class AttemptEnd {
-  none,         ///< It has not.
-  answered,     ///< Whole, with success.
-  quarantined,  ///< Refused because engines had crashed under the request.
-  refused,      ///< Refused as not run, for any other reason.
-  failed,       ///< The gateway answered that it may have run.
-  cut,          ///< The answer broke off, or the gateway did.
-  left,         ///< The caller left.
-  no_gateway,   ///< No gateway took it.
-  unanswered,   ///< The caller gave up well after its deadline.
+enum class AttemptOutcome {
+  pending,       ///< Not ended yet.
+  completed,     ///< Complete response with success.
+  quarantined,   ///< Refused because engines had crashed while they held the request.
+  refused,       ///< Refused as not run, for any other reason.
+  failed,        ///< The gateway responded that the request may have run.
+  aborted,       ///< The response broke off, or the connection to the gateway did.
+  disconnected,  ///< The caller disconnected.
+  unreachable,   ///< The gateway did not accept the connection.
+  timed_out,     ///< No response by the deadline and some time after it.
 };
 
 /// One attempt of a caller.
@@ -62,31 +62,31 @@
   std::uint32_t gateway = 0;
   TimePoint sent_at{};
   Duration deadline{0};
-  AttemptEnd end = AttemptEnd::none;
+  AttemptOutcome outcome = AttemptOutcome::pending;
   TimePoint ended_at{};
   Duration retry_after{0};
-  std::uint32_t events = 0;    ///< Of a stream, in order and without gaps.
-  bool events_broken = false;  ///< One was missing, repeated or out of order.
+  std::uint32_t events = 0;    ///< Number of events received of a stream.
+  bool events_broken = false;  ///< An event was missing, repeated or out of order.
 };
 
-/// A time in which something was done to a process or to the network around it.
+/// A period in which a fault affected a process or the network.
 struct Disturbance {
   TimePoint from{};
   TimePoint to{};
 };
 
-/// Everything that happened.
+/// All records of a run.
 struct Records {
   std::vector<Attempt> attempts;
   std::vector<EngineRun> runs;
   std::vector<EngineCrash> crashes;
-  /// By gateway: downtimes, pauses, suspensions, cuts.
+  /// By gateway: downtimes, pauses, suspensions, partitions.
   std::vector<std::vector<Disturbance>> gateways;
-  /// Of the store: silence, refusals, late answers.
+  /// Of the store: no responses, refusals, slow or lost responses, lost rows.
   std::vector<Disturbance> store;
   /// Resets of connections anywhere.
   std::vector<Disturbance> connections;
-  /// Of datagrams, and delays of all messages.
+  /// Loss and duplication of datagrams, and delays of all messages.
   std::vector<Disturbance> messages;
 };
 
--- a/sim/gateway_world/store_node.cc
+++ b/sim/gateway_world/store_node.cc
@@ -3,11 +3,11 @@
 namespace crankspur::gateway_sim {
 namespace {
 
-/// Rows of engines that have not written for so long are dropped.
+/// Rows of engines that have not written for this long are dropped.
 constexpr Duration kRowLifetime = std::chrono::milliseconds(3'600);
-constexpr Duration kExpiryLook = std::chrono::milliseconds(200);
-constexpr std::uint64_t kMaxLateMilliseconds = 2'000;
-constexpr double kAnswerLost = 0.5;
+constexpr Duration kExpiryInterval = std::chrono::milliseconds(200);
+constexpr std::uint64_t kMaxResponseDelayMilliseconds = 2'000;
+constexpr double kResponseLossProbability = 0.5;
 
 }  // namespace
 
@@ -23,7 +23,7 @@
     row.present = false;
     row.version = ++version_;
   }
-  host_.post(kExpiryLook, [this] { expireRows(); });
+  host_.post(kExpiryInterval, [this] { expireRows(); });
 }
 
 void StoreNode::loseRows(double share) {
@@ -34,42 +34,44 @@
   }
 }
 
-void StoreNode::writeEngine(sim::Host& from, std::uint32_t engine, std::uint64_t born_ms) {
-  context_.network.datagram(from, host_, [this, engine, born_ms] {
-    if (mode_ == StoreMode::silent || mode_ == StoreMode::refuses) return;
+void StoreNode::writeEngine(sim::Host& from, std::uint32_t engine, std::uint64_t started_ms) {
+  context_.network.datagram(from, host_, [this, engine, started_ms] {
+    if (mode_ == StoreMode::unresponsive || mode_ == StoreMode::refuses) return;
     EngineRow& row = rows_[engine];
-    const bool changed = row.born_ms != born_ms || !row.present || row.version == 0;
+    const bool changed = row.started_ms != started_ms || !row.present || row.version == 0;
     row.engine = engine;
-    row.born_ms = born_ms;
+    row.started_ms = started_ms;
     row.present = true;
     row.written_at = context_.queue.now();
     if (changed) row.version = ++version_;
   });
 }
 
-void StoreNode::call(sim::Host& from, const sim::Task& act, const std::function<void(bool acted)>& reply) {
-  context_.network.datagram(from, host_, [this, &from, epoch = from.epoch(), act, reply] {
-    if (mode_ == StoreMode::silent) return;
-    const bool acts = mode_ != StoreMode::refuses;
-    if (acts) act();
-    if (mode_ == StoreMode::answer_lost && context_.random.chance(kAnswerLost)) return;
-    const bool late = mode_ == StoreMode::late;
-    const auto delay = std::chrono::milliseconds(late ? context_.random.uniform(0, kMaxLateMilliseconds) : 0);
-    host_.post(delay, [this, &from, epoch, acts, reply] {
-      context_.network.datagram(host_, from, [&from, epoch, acts, reply] {
-        if (from.epoch() == epoch) reply(acts);
+void StoreNode::call(sim::Host& from, const sim::Task& operation,
+                     const std::function<void(bool executed)>& reply) {
+  context_.network.datagram(from, host_, [this, &from, epoch = from.epoch(), operation, reply] {
+    if (mode_ == StoreMode::unresponsive) return;
+    const bool executes = mode_ != StoreMode::refuses;
+    if (executes) operation();
+    if (mode_ == StoreMode::response_lost && context_.random.chance(kResponseLossProbability)) return;
+    const bool slow = mode_ == StoreMode::slow;
+    const auto delay =
+        std::chrono::milliseconds(slow ? context_.random.uniform(0, kMaxResponseDelayMilliseconds) : 0);
+    host_.post(delay, [this, &from, epoch, executes, reply] {
+      context_.network.datagram(host_, from, [&from, epoch, executes, reply] {
+        if (from.epoch() == epoch) reply(executes);
       });
     });
   });
 }
 
-EngineTableNews StoreNode::changesSince(std::uint64_t version) {
-  EngineTableNews news;
-  news.version = version_;
+EngineTableUpdate StoreNode::changesSince(std::uint64_t version) {
+  EngineTableUpdate update;
+  update.version = version_;
   for (const auto& [engine, row] : rows_) {
-    if (row.version > version) news.rows.push_back(row);
+    if (row.version > version) update.rows.push_back(row);
   }
-  return news;
+  return update;
 }
 
 gateway::StoredRecord StoreNode::record() const {
--- a/sim/gateway_world/store_node.h
+++ b/sim/gateway_world/store_node.h
@@ -1,5 +1,6 @@
 #pragma once
-/// @file The platform's store as gateways and engines see it: the table of engines and this program's record.
+/// @file The platform's store as gateways and engines use it: the table of engines and the gateways' record
+/// of poison requests.
 
 #include <functional>
 #include <map>
@@ -12,26 +13,26 @@
 
 namespace crankspur::gateway_sim {
 
-/// How the store treats calls.
+/// How the store handles calls.
 enum class StoreMode {
-  sound,
-  silent,       ///< Does nothing and never answers.
-  refuses,      ///< Does nothing, and says so.
-  late,         ///< Answers after up to two seconds.
-  answer_lost,  ///< Does what it is asked and often does not answer.
+  healthy,
+  unresponsive,   ///< Executes nothing and never responds.
+  refuses,        ///< Executes nothing and responds so.
+  slow,           ///< Responds after up to two seconds.
+  response_lost,  ///< Executes calls and often does not respond.
 };
 
 /// An engine's row.
 struct EngineRow {
   std::uint32_t engine = 0;
-  std::uint64_t born_ms = 0;
-  std::uint64_t version = 0;  ///< Of the table, when the row changed last.
+  std::uint64_t started_ms = 0;
+  std::uint64_t version = 0;  ///< Version of the table at the row's last change.
   bool present = true;
   TimePoint written_at{};
 };
 
-/// Rows of engines that changed.
-struct EngineTableNews {
+/// The rows of engines that changed, and the version of the table that includes them.
+struct EngineTableUpdate {
   std::uint64_t version = 0;
   std::vector<EngineRow> rows;
 };
@@ -44,18 +45,18 @@
   sim::Host& host() { return host_; }
   void setMode(StoreMode mode) { mode_ = mode; }
   StoreMode mode() const { return mode_; }
-  /// Drops rows of engines, which write them again with their next heartbeat.
+  /// Drops a random share of the rows; engines write them again with their next heartbeat.
   void loseRows(double share);
 
   // Called by engines, over the network.
-  void writeEngine(sim::Host& from, std::uint32_t engine, std::uint64_t born_ms);
+  void writeEngine(sim::Host& from, std::uint32_t engine, std::uint64_t started_ms);
 
-  /// A call of a gateway: `act` runs at the store unless it is silent or refuses; `reply` runs at the caller
-  /// if the call is answered, with whether the store acted.
-  void call(sim::Host& from, const sim::Task& act, const std::function<void(bool acted)>& reply);
+  /// A call from a gateway: `operation` runs at the store unless the store is unresponsive or refuses;
+  /// `reply` runs at the caller if the store responds, with whether `operation` was executed.
+  void call(sim::Host& from, const sim::Task& operation, const std::function<void(bool executed)>& reply);
 
-  // To be used within `act`.
-  EngineTableNews changesSince(std::uint64_t version);
+  // To be called from `operation`.
+  EngineTableUpdate changesSince(std::uint64_t version);
   gateway::StoredRecord record() const;
   bool writeRecord(const std::string& text, std::uint64_t expected_version);
 
@@ -64,7 +65,7 @@
 
   FleetContext& context_;
   sim::Host host_;
-  StoreMode mode_ = StoreMode::sound;
+  StoreMode mode_ = StoreMode::healthy;
   std::map<std::uint32_t, EngineRow> rows_;
   std::uint64_t version_ = 1;
   std::string record_;
--- a/sim/gateway_world/suspicion_trace.h
+++ b/sim/gateway_world/suspicion_trace.h
@@ -1,12 +1,12 @@
 #pragma once
-/// @file Writes what a gateway suspects into the trace of a run.
+/// @file Writes the suspicions of a gateway to the trace of a run.
 
 #include "gateway/request_observer.h"
 #include "sim/gateway_world/fleet_context.h"
 
 namespace crankspur::gateway_sim {
 
-/// Notes suspicions; other records of a gateway are left out.
+/// Traces suspicions; ignores the other events of a gateway.
 class SuspicionTrace : public gateway::RequestObserver {
 public:
   SuspicionTrace(FleetContext& context, const sim::Host& host) : context_(context), host_(host) {}
--- a/sim/kernel/event_queue.h
+++ b/sim/kernel/event_queue.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Virtual time: a queue of events that run in the order of (instant, insertion).
+/// @file Virtual time: a queue of events, which run in the order of (instant, insertion).
 
 #include <cstdint>
 #include <functional>
@@ -16,13 +16,13 @@
 class EventQueue : public Clock {
 public:
   TimePoint now() const override { return now_; }
-  /// Runs `task` at the instant, or at once when it has passed.
+  /// Schedules `task` for `instant`, or for the current time when `instant` has passed.
   void at(TimePoint instant, Task task);
-  /// Runs `task` after `delay`.
+  /// Schedules `task` after `delay`.
   void after(Duration delay, Task task) { at(now_ + delay, std::move(task)); }
   /// Runs every event up to and including `end`, then sets the time to `end`.
   void runUntil(TimePoint end);
-  /// @return events run so far.
+  /// @return number of events run so far.
   std::uint64_t processed() const { return processed_; }
 
 private:
--- a/sim/kernel/host.h
+++ b/sim/kernel/host.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file A machine with one process on it: it can crash, restart as a new epoch, be paused and woken, and
-/// has a clock of its own.
+/// @file A simulated machine with one process, which can crash, restart with a new epoch, be paused and be
+/// resumed. Each machine has its own clock.
 
 #include <cstdint>
 #include <string>
@@ -10,32 +10,32 @@
 
 namespace crankspur::sim {
 
-/// Where a host stands.
-struct Place {
+/// Location of a host.
+struct Location {
   std::string zone;
   std::string region;
 };
 
-/// One machine. Work given to it runs only while the epoch that it was given to is up.
+/// One machine. A posted task runs only if the process is still in the epoch in which the task was posted.
 class Host {
 public:
-  Host(std::string name, Place place, EventQueue& queue)
-      : name_(std::move(name)), place_(std::move(place)), queue_(queue) {}
+  Host(std::string name, Location location, EventQueue& queue)
+      : name_(std::move(name)), location_(std::move(location)), queue_(queue) {}
   Host(const Host&) = delete;
   Host& operator=(const Host&) = delete;
 
   const std::string& name() const { return name_; }
-  const Place& place() const { return place_; }
+  const Location& location() const { return location_; }
   bool up() const { return up_; }
   bool paused() const { return paused_; }
-  /// @return number of the present process start; 0 before the first.
+  /// @return number of the current process start; 0 before the first.
   std::uint64_t epoch() const { return epoch_; }
 
-  /// Starts a process: a new epoch.
+  /// Starts a process, which begins a new epoch.
   void start();
-  /// Ends the process; what was posted to it never runs.
+  /// Ends the process; its pending tasks never run.
   void stop();
-  /// Freezes the process: timers and deliveries wait, in order, until wake().
+  /// Pauses the process: timers and deliveries are deferred, in order, until wake().
   void pause();
   void wake();
 
@@ -50,12 +50,12 @@
   void post(Duration delay, Task task);
   /// Runs `task` when this host's clock shows `local`.
   void postAt(TimePoint local, Task task);
-  /// Runs `task` now if `epoch` is up; later if the host is paused; never if it has ended.
+  /// Runs `task` now, or after wake() if the process is paused; drops it if `epoch` has ended.
   void run(std::uint64_t epoch, Task task);
 
 private:
   std::string name_;
-  Place place_;
+  Location location_;
   EventQueue& queue_;
   bool up_ = false;
   bool paused_ = false;
--- a/sim/kernel/network.cc
+++ b/sim/kernel/network.cc
@@ -6,7 +6,7 @@
 namespace crankspur::sim {
 
 namespace {
-/// Closed channels are forgotten after this many new ones.
+/// Expired channels are removed after this many new channels.
 constexpr std::size_t kSweepInterval = 512;
 }  // namespace
 
@@ -21,7 +21,7 @@
   const Side to = other(side);
   Host& receiver = host(to);
   if (receiver.up() && receiver.epoch() != end(to).epoch) {
-    // The other machine came back without this connection: its system answers with a reset.
+    // The other host restarted without this connection: its operating system responds with a reset.
     network_.queue_.after(network_.delay(host(side), receiver),
                           [self = shared_from_this()] { self->reset(); });
     return;
@@ -33,8 +33,8 @@
   Host& receiver = host(to);
   Host& sender = host(other(to));
   End& receiving = end(to);
-  if (network_.blocked(sender, receiver) || !receiving.held.empty()) {
-    receiving.held.push_back(std::move(task));
+  if (network_.isBlocked(sender, receiver) || !receiving.queued.empty()) {
+    receiving.queued.push_back(std::move(task));
     return;
   }
   const TimePoint arrival =
@@ -50,42 +50,42 @@
 void Channel::close(Side side) {
   if (!open_) return;
   open_ = false;
-  end(side).told_closed = true;
-  transmit(other(side), [self = shared_from_this(), side] { self->tellClosed(other(side)); });
+  end(side).close_reported = true;
+  transmit(other(side), [self = shared_from_this(), side] { self->reportClosed(other(side)); });
 }
 
 void Channel::onClosed(Side side, Task handler) {
-  end(side).closed = std::move(handler);
+  end(side).on_closed = std::move(handler);
 }
 
 void Channel::reset() {
   if (generation_ > 0) return;
   open_ = false;
   ++generation_;
-  client_end_.held.clear();
-  server_end_.held.clear();
+  client_end_.queued.clear();
+  server_end_.queued.clear();
   for (const Side side : {Side::Client, Side::Server}) {
     network_.queue_.after(Duration(0), [self = shared_from_this(), side] {
-      self->host(side).run(self->end(side).epoch, [self, side] { self->tellClosed(side); });
+      self->host(side).run(self->end(side).epoch, [self, side] { self->reportClosed(side); });
     });
   }
 }
 
-void Channel::tellClosed(Side side) {
-  End& told = end(side);
+void Channel::reportClosed(Side side) {
+  End& notified = end(side);
   open_ = false;
-  if (told.told_closed) return;
-  told.told_closed = true;
-  // Handlers often hold the channel: to keep one after its only call would keep the channel for ever.
-  const Task closed = std::exchange(told.closed, {});
-  if (closed) closed();
+  if (notified.close_reported) return;
+  notified.close_reported = true;
+  // Handlers often own the channel; a handler kept after its only call would leak the channel.
+  const Task on_closed = std::exchange(notified.on_closed, {});
+  if (on_closed) on_closed();
 }
 
 void Channel::release() {
   for (End* const end : {&client_end_, &server_end_}) {
-    // Moved out first, since what is destroyed may let go of this channel.
-    const Task closed = std::exchange(end->closed, {});
-    const std::vector<Task> held = std::exchange(end->held, {});
+    // Moved out first, because destroying them may release other references to this channel.
+    const Task on_closed = std::exchange(end->on_closed, {});
+    const std::vector<Task> queued = std::exchange(end->queued, {});
   }
 }
 
@@ -98,29 +98,28 @@
 void Network::connect(Host& client, Host& server, Duration timeout,
                       const std::function<void(ChannelPointer)>& accepted,
                       const std::function<void(ChannelPointer)>& opened, const Task& failed) {
-  auto settled = std::make_shared<bool>(false);
-  client.post(timeout, [settled, failed] {
-    if (*settled) return;
-    *settled = true;
+  auto done = std::make_shared<bool>(false);
+  client.post(timeout, [done, failed] {
+    if (*done) return;
+    *done = true;
     failed();
   });
-  if (blocked(client, server)) return;
+  if (isBlocked(client, server)) return;
   const std::uint64_t client_epoch = client.epoch();
-  queue_.after(delay(client, server), [this, &client, &server, client_epoch, settled, accepted, opened,
-                                       failed] {
-    const auto answer = [this, &client, &server, client_epoch](const Task& task) {
-      if (blocked(client, server)) return;
+  queue_.after(delay(client, server), [this, &client, &server, client_epoch, done, accepted, opened, failed] {
+    const auto respond = [this, &client, &server, client_epoch](const Task& task) {
+      if (isBlocked(client, server)) return;
       queue_.after(delay(server, client), [&client, client_epoch, task] { client.run(client_epoch, task); });
     };
     if (!server.up()) {
-      answer([settled, failed] {
-        if (*settled) return;
-        *settled = true;
+      respond([done, failed] {
+        if (*done) return;
+        *done = true;
         failed();
       });
       return;
     }
-    // A paused server's system still takes the connection; its process sees it when it wakes.
+    // The operating system of a paused server still accepts the connection; the process sees it after wake().
     if (!client.up() || client.epoch() != client_epoch) return;
     auto channel = std::make_shared<Channel>(*this, client, server);
     channels_.push_back(channel);
@@ -128,13 +127,13 @@
       channels_since_sweep_ = 0;
       channels_.remove_if([](const std::weak_ptr<Channel>& entry) { return entry.expired(); });
     }
-    // The handshake travels on the channel, so that nothing the server says overtakes it.
-    channel->transmit(Side::Client, [settled, opened, channel] {
-      if (*settled) {
+    // The handshake is sent on the channel, so that no message of the server overtakes it.
+    channel->transmit(Side::Client, [done, opened, channel] {
+      if (*done) {
         channel->close(Side::Client);
         return;
       }
-      *settled = true;
+      *done = true;
       opened(channel);
     });
     server.run(server.epoch(), [accepted, channel] { accepted(channel); });
@@ -142,7 +141,7 @@
 }
 
 void Network::datagram(Host& from, Host& to, Task deliver) {
-  if (blocked(from, to)) return;
+  if (isBlocked(from, to)) return;
   queue_.after(delay(from, to), [&to, deliver = std::move(deliver)] { to.run(to.epoch(), deliver); });
 }
 
@@ -159,44 +158,44 @@
   host.stop();
 }
 
-void Network::cut(std::uint64_t number, std::set<std::string> first, std::set<std::string> second) {
-  cuts_[number] = {std::move(first), std::move(second)};
+void Network::partition(std::uint64_t number, std::set<std::string> first, std::set<std::string> second) {
+  partitions_[number] = {std::move(first), std::move(second)};
 }
 
 void Network::heal(std::uint64_t number) {
-  if (cuts_.erase(number) > 0) flushHeld();
+  if (partitions_.erase(number) > 0) flushQueued();
 }
 
-bool Network::blocked(const Host& first, const Host& second) const {
-  for (const auto& [number, cut] : cuts_) {
-    if (cut.first.contains(first.name()) && cut.second.contains(second.name())) return true;
-    if (cut.first.contains(second.name()) && cut.second.contains(first.name())) return true;
+bool Network::isBlocked(const Host& first, const Host& second) const {
+  for (const auto& [number, groups] : partitions_) {
+    if (groups.first.contains(first.name()) && groups.second.contains(second.name())) return true;
+    if (groups.first.contains(second.name()) && groups.second.contains(first.name())) return true;
   }
   return false;
 }
 
-void Network::flushHeld() {
+void Network::flushQueued() {
   for (const auto& entry : channels_) {
     const ChannelPointer channel = entry.lock();
-    if (!channel || blocked(channel->client_, channel->server_)) continue;
+    if (!channel || isBlocked(channel->client_, channel->server_)) continue;
     for (const Side to : {Side::Client, Side::Server}) {
-      std::vector<Task> held = std::move(channel->end(to).held);
-      channel->end(to).held.clear();
-      for (Task& task : held) channel->transmit(to, std::move(task));
+      std::vector<Task> queued = std::move(channel->end(to).queued);
+      channel->end(to).queued.clear();
+      for (Task& task : queued) channel->transmit(to, std::move(task));
     }
   }
 }
 
-void Network::setDisturbance(Duration extra, double share) {
-  disturbance_ = extra;
-  disturbance_share_ = share;
+void Network::setExtraDelay(Duration max_delay, double probability) {
+  extra_delay_ = max_delay;
+  extra_delay_probability_ = probability;
 }
 
-std::size_t Network::resetSome(double share) {
+std::size_t Network::resetRandomChannels(double probability) {
   std::size_t count = 0;
   for (const auto& entry : channels_) {
     const ChannelPointer channel = entry.lock();
-    if (!channel || !channel->open() || !random_.chance(share)) continue;
+    if (!channel || !channel->open() || !random_.chance(probability)) continue;
     channel->reset();
     ++count;
   }
@@ -205,15 +204,15 @@
 
 Duration Network::delay(const Host& from, const Host& to) {
   Duration base = delays_.same_zone;
-  if (from.place().region != to.place().region) {
+  if (from.location().region != to.location().region) {
     base = delays_.other_region;
-  } else if (from.place().zone != to.place().zone) {
+  } else if (from.location().zone != to.location().zone) {
     base = delays_.other_zone;
   }
   const double jitter = random_.exponential(static_cast<double>(base.count()) * delays_.jitter);
   Duration total = base + Duration(static_cast<std::int64_t>(jitter));
-  if (disturbance_share_ > 0 && random_.chance(disturbance_share_)) {
-    total += Duration(static_cast<std::int64_t>(random_.unit() * static_cast<double>(disturbance_.count())));
+  if (extra_delay_probability_ > 0 && random_.chance(extra_delay_probability_)) {
+    total += Duration(static_cast<std::int64_t>(random_.unit() * static_cast<double>(extra_delay_.count())));
   }
   return total;
 }
--- a/sim/kernel/network.h
+++ b/sim/kernel/network.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Network of the simulation: ordered channels (connections), datagrams, delays and cuts.
+/// @file Simulated network: ordered channels (connections), datagrams, delays and partitions.
 
 #include <cstdint>
 #include <functional>
@@ -17,21 +17,21 @@
 
 class Network;
 
-/// Which end of a channel.
+/// End of a channel.
 enum class Side { Client, Server };
 
-/// One connection. Messages of one side arrive in order; those of different channels may overtake each
-/// other. A message is a task that runs at the other end's host.
+/// One connection. Messages from one side arrive in order; messages of different channels may overtake each
+/// other. A message is a task that runs at the host of the other end.
 class Channel : public std::enable_shared_from_this<Channel> {
 public:
   Channel(Network& network, Host& client, Host& server);
   /// Sends a message from `side`.
   void send(Side side, Task deliver);
-  /// Ends the connection from `side`; what was sent before still arrives.
+  /// Closes the connection from `side`; messages sent before still arrive.
   void close(Side side);
-  /// Sets what runs at `side` when the other end closed or the connection was reset.
+  /// Sets the handler that runs at `side` when the other end closes or the connection is reset.
   void onClosed(Side side, Task handler);
-  /// Breaks the connection: what is on its way is lost and both ends are told.
+  /// Resets the connection: messages in transit are lost and both ends are notified.
   void reset();
   bool open() const { return open_; }
   Host& host(Side side) const { return side == Side::Client ? client_ : server_; }
@@ -40,15 +40,15 @@
   friend class Network;
   struct End {
     std::uint64_t epoch = 0;
-    Task closed;
-    TimePoint last_arrival{};  ///< Arrival of the latest message towards this end.
-    std::vector<Task> held;    ///< Messages towards this end that wait for a cut to heal.
-    bool told_closed = false;
+    Task on_closed;
+    TimePoint last_arrival{};  ///< Arrival of the latest message to this end.
+    std::vector<Task> queued;  ///< Messages to this end, queued until a partition heals.
+    bool close_reported = false;
   };
   End& end(Side side) { return side == Side::Client ? client_end_ : server_end_; }
   void transmit(Side to, Task task);
-  void tellClosed(Side side);
-  /// Drops handlers and held messages, which may hold this channel.
+  void reportClosed(Side side);
+  /// Drops handlers and queued messages, which may own this channel.
   void release();
 
   Network& network_;
@@ -57,7 +57,7 @@
   End client_end_;
   End server_end_;
   bool open_ = true;
-  std::uint64_t generation_ = 0;  ///< Grows at a reset, so that what is on its way is lost.
+  std::uint64_t generation_ = 0;  ///< Incremented by a reset, so that messages in transit are lost.
 };
 
 using ChannelPointer = std::shared_ptr<Channel>;
@@ -72,57 +72,58 @@
   Duration same_zone = std::chrono::microseconds(150);
   Duration other_zone = std::chrono::microseconds(1200);
   Duration other_region = std::chrono::milliseconds(20);
-  double jitter = 0.3;  ///< Mean of the random addition, as a share of the delay.
+  double jitter = 0.3;  ///< Mean of the random addition, relative to the delay.
 };
 
-/// Every connection and datagram of a run.
+/// All connections and datagrams of a run.
 class Network {
 public:
   Network(EventQueue& queue, NetworkDelays delays, std::uint64_t seed)
       : queue_(queue), delays_(delays), random_(seed) {}
   Network(const Network&) = delete;
   Network& operator=(const Network&) = delete;
-  /// Connections that are still open would otherwise hold themselves.
+  /// Releases the connections, which would otherwise keep themselves alive through their handlers.
   ~Network();
 
   /// Opens a connection. `accepted` runs at the server and then `opened` at the client; or `failed` at the
-  /// client when nobody listens or no answer comes within `timeout`.
+  /// client when no process listens or no response arrives within `timeout`.
   void connect(Host& client, Host& server, Duration timeout,
                const std::function<void(ChannelPointer)>& accepted,
                const std::function<void(ChannelPointer)>& opened, const Task& failed);
   /// Sends a message that may be lost or overtaken.
   void datagram(Host& from, Host& to, Task deliver);
 
-  /// Ends a host's process and its connections.
-  /// @param silent as at a power loss: the other ends are not told until they send after a restart.
+  /// Ends a host's process and closes its connections.
+  /// @param silent as at a power loss: the other ends are not notified until they send after a restart.
   void crash(Host& host, bool silent);
 
-  /// Cuts every path between two groups of hosts until heal() with the same number.
-  void cut(std::uint64_t number, std::set<std::string> first, std::set<std::string> second);
+  /// Blocks all paths between two groups of hosts until heal() is called with the same number.
+  void partition(std::uint64_t number, std::set<std::string> first, std::set<std::string> second);
   void heal(std::uint64_t number);
-  bool blocked(const Host& first, const Host& second) const;
-  /// Adds `extra` with the probability `share` to every message, so that channels overtake each other.
-  void setDisturbance(Duration extra, double share);
-  /// Breaks a random share of the open connections.
-  /// @return connections broken.
-  std::size_t resetSome(double share);
-  /// @return a delay drawn for one message.
+  bool isBlocked(const Host& first, const Host& second) const;
+  /// Adds a random delay of up to `max_delay` to each message with the given probability, so that messages of
+  /// different channels overtake each other.
+  void setExtraDelay(Duration max_delay, double probability);
+  /// Resets each open connection with the given probability.
+  /// @return number of connections reset.
+  std::size_t resetRandomChannels(double probability);
+  /// @return a random delay for one message.
   Duration delay(const Host& from, const Host& to);
 
 private:
   friend class Channel;
-  struct Cut {
+  struct Partition {
     std::set<std::string> first;
     std::set<std::string> second;
   };
-  void flushHeld();
+  void flushQueued();
 
   EventQueue& queue_;
   NetworkDelays delays_;
   RandomSource random_;
-  std::map<std::uint64_t, Cut> cuts_;
-  Duration disturbance_{0};
-  double disturbance_share_ = 0;
+  std::map<std::uint64_t, Partition> partitions_;
+  Duration extra_delay_{0};
+  double extra_delay_probability_ = 0;
   std::list<std::weak_ptr<Channel>> channels_;
   std::size_t channels_since_sweep_ = 0;
 };
--- a/sim/kernel/trace.h
+++ b/sim/kernel/trace.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Trace of a run: a hash over every noted line and, when asked for, the lines themselves.
+/// @file Trace of a run: a hash over all lines and, on request, the lines themselves.
 
 #include <fmt/format.h>
 
@@ -12,18 +12,18 @@
 
 namespace crankspur::sim {
 
-/// Records what happened in a run. Two runs of one seed must have the same hash.
+/// Records the events of a run. Two runs of one seed must have the same hash.
 class Trace {
 public:
   /// @param keep_lines whether lines are kept for reading; the hash covers them in either case.
   Trace(const EventQueue& queue, bool keep_lines) : queue_(queue), keep_lines_(keep_lines) {}
 
-  /// Notes one line; the virtual time in seconds and `who` come before it.
+  /// Adds one line, prefixed with the virtual time in seconds and `source`.
   template <typename... Values>
-  void note(const std::string& who, fmt::format_string<Values...> format, Values&&... values) {
+  void note(const std::string& source, fmt::format_string<Values...> format, Values&&... values) {
     buffer_.clear();
     const double seconds = toSeconds(queue_.now().time_since_epoch()) - kStartSeconds;
-    fmt::format_to(std::back_inserter(buffer_), "{:10.6f} {:<16} ", seconds, who);
+    fmt::format_to(std::back_inserter(buffer_), "{:10.6f} {:<16} ", seconds, source);
     fmt::format_to(std::back_inserter(buffer_), format, std::forward<Values>(values)...);
     const std::string_view line(buffer_.data(), buffer_.size());
     hash_ = hashBytes(line, hash_);
@@ -34,7 +34,7 @@
   const std::vector<std::string>& lines() const { return lines_; }
 
 private:
-  /// The queue's time starts at one hour; the trace counts from the start.
+  /// The queue's time starts at one hour; times in the trace are relative to it.
   static constexpr double kStartSeconds = 3600.0;
 
   const EventQueue& queue_;
--- a/sim/world/context.h
+++ b/sim/world/context.h
@@ -62,7 +62,7 @@
   client.post(timeout, [settle] { settle(std::nullopt); });
   const std::uint64_t epoch = client.epoch();
   const auto answer = [&context, &client, &server, epoch, settle](Reply reply) {
-    if (context.network.blocked(server, client)) return;
+    if (context.network.isBlocked(server, client)) return;
     context.queue.after(context.network.delay(server, client), [&client, epoch, settle, reply] {
       client.run(epoch, [settle, reply] { settle(reply); });
     });
--- a/sim/world/router_control.cc
+++ b/sim/world/router_control.cc
@@ -206,8 +206,8 @@
   snapshot->bundle = current ? current->bundle : nullptr;
   snapshot->engines = process_->engines->engines(now());
   snapshot->runners = process_->engines->runners(now());
-  snapshot->own_zone = host_.place().zone;
-  snapshot->own_region = host_.place().region;
+  snapshot->own_zone = host_.location().zone;
+  snapshot->own_region = host_.location().region;
   snapshot->router_count =
       std::max<std::uint32_t>(static_cast<std::uint32_t>(process_->membership->liveMembers().size()), 1);
   process_->claims_by_group = process_->claim_group->inForce();
@@ -232,7 +232,7 @@
     });
   }
   if (!process_->membership->takeChanges().empty()) {
-    const auto routers = aliveInRegion(process_->membership->liveMembers(), host_.place().region);
+    const auto routers = aliveInRegion(process_->membership->liveMembers(), host_.location().region);
     process_->engines->setRouters(host_.name(), routers, now());
   }
   for (const EngineRecord& record : process_->membership->takeEngineChanges()) {
--- a/sim/world/router_node.cc
+++ b/sim/world/router_node.cc
@@ -43,13 +43,13 @@
   MemberRecord self;
   self.name = host_.name();
   self.address = host_.name();
-  self.zone = host_.place().zone;
-  self.region = host_.place().region;
+  self.zone = host_.location().zone;
+  self.region = host_.location().region;
   self.incarnation = host_.epoch();
   process.membership = makeMembership(self, {}, context_.random.bits(), now());
   process.membership->seed(seeds_, now());
   process.engines =
-      std::make_unique<EngineTable>(EngineTableOptions{host_.place().region}, context_.random.bits());
+      std::make_unique<EngineTable>(EngineTableOptions{host_.location().region}, context_.random.bits());
   process.bundles = std::make_unique<BundleHolder>(keys_);
   process.lease =
       makeLease(host_.name() + "#" + std::to_string(host_.epoch()), kLeaseLifetime, context_.random.bits());
@@ -135,8 +135,8 @@
   Hello hello;
   hello.node_name = host_.name();
   hello.incarnation = host_.epoch();
-  hello.zone = host_.place().zone;
-  hello.region = host_.place().region;
+  hello.zone = host_.location().zone;
+  hello.region = host_.location().region;
   hello.bundle_version = bundleVersion();
   hello.address = host_.name();
   sendToSidecar(id, hello);
--- a/sim/world/sidecar_node.cc
+++ b/sim/world/sidecar_node.cc
@@ -30,11 +30,11 @@
   host_.start();
   context_.trace.note(host_.name(), "start, process {}", host_.epoch());
   process_ = std::make_unique<Process>();
-  const Place& place = host_.place();
+  const Location& location = host_.location();
   process_->directory =
-      std::make_unique<RouterDirectory>(host_.name(), place.zone, place.region, context_.random.bits());
+      std::make_unique<RouterDirectory>(host_.name(), location.zone, location.region, context_.random.bits());
   for (const std::string& seed : seeds_) process_->directory->addSeed(seed);
-  process_->selector = std::make_unique<RendezvousRouterSelector>(place.zone, place.region);
+  process_->selector = std::make_unique<RendezvousRouterSelector>(location.zone, location.region);
   process_->bundles = std::make_unique<BundleHolder>(keys_);
   upkeep();
 }
--- a/sim/world/site.h
+++ b/sim/world/site.h
@@ -13,14 +13,14 @@
 /// One machine of a site.
 struct SiteMachine {
   std::string name;
-  Place place;
+  Location place;
   std::string pool;  ///< Engines and runners only.
 };
 
 /// What stands at a site and how callers use it.
 struct Site {
   std::string name;
-  std::vector<Place> zones;
+  std::vector<Location> zones;
   std::vector<SiteMachine> routers;
   std::vector<SiteMachine> sidecars;
   std::vector<SiteMachine> engines;
--- a/sim/world/world.cc
+++ b/sim/world/world.cc
@@ -55,7 +55,7 @@
 }
 
 void World::addPlatform() {
-  const Place place = options_.site.zones.front();
+  const Location place = options_.site.zones.front();
   platform_ = std::make_unique<PlatformNode>(*context_, addHost({"platform", place, ""}), random_.bits());
   platform_->setWriteObserver([this](const TableRow& row) { observeRow(row); });
   for (std::size_t index = 0; index < kOperators; ++index) {
--- a/tests/sim/check_test.cc
+++ b/tests/sim/check_test.cc
@@ -1,5 +1,5 @@
-/// @file The simulation itself: a fixed set of seeds is clean, a seed replays exactly, and each checker is
-/// able to fail when the mechanism it watches is taken away.
+/// @file Tests of the simulation: a fixed set of seeds has no violations, a seed replays exactly, and each
+/// checker fails when the mechanism that it covers is removed.
 
 #include <catch2/catch.hpp>
 #include <set>
@@ -29,17 +29,17 @@
 
 }  // namespace
 
-TEST_CASE("a seed gives the same trace twice and another seed gives another", "[sim]") {
+TEST_CASE("runs of one seed have the same trace and another seed has a different one", "[sim]") {
   const RunResult first = runOne(7, "pair");
-  const RunResult again = runOne(7, "pair");
+  const RunResult repeated = runOne(7, "pair");
   const RunResult other = runOne(8, "pair");
   REQUIRE(first.requests > 0);
-  CHECK(first.trace_hash == again.trace_hash);
-  CHECK(first.events == again.events);
+  CHECK(first.trace_hash == repeated.trace_hash);
+  CHECK(first.events == repeated.events);
   CHECK(first.trace_hash != other.trace_hash);
 }
 
-TEST_CASE("keeping the trace's lines does not change the run", "[sim]") {
+TEST_CASE("keeping the trace lines does not change the run", "[sim]") {
   RunOptions options;
   options.seed = 3;
   options.scenario = "router_restart";
@@ -51,7 +51,7 @@
   CHECK_FALSE(with_lines.trace_lines.empty());
 }
 
-TEST_CASE("each scenario at today's sites is clean on a fixed seed", "[sim]") {
+TEST_CASE("each scenario except the large one has no violations on a fixed seed", "[sim]") {
   for (const std::string& scenario : scenarioNames()) {
     if (scenario == "large") continue;
     const RunResult result = runOne(11, scenario);
@@ -61,58 +61,58 @@
   }
 }
 
-TEST_CASE("a quiet fleet serves everything", "[sim]") {
+TEST_CASE("a quiet fleet has no violations", "[sim]") {
   const RunResult result = runOne(21, "quiet");
   INFO(describe(result));
   CHECK(result.violations.empty());
 }
 
-TEST_CASE("a fleet of gateways is simulated alike for each run of a seed", "[sim]") {
+TEST_CASE("runs of a fleet of gateways with one seed have the same trace", "[sim]") {
   const RunResult first = runOne(30, "gateway");
-  const RunResult again = runOne(30, "gateway");
+  const RunResult repeated = runOne(30, "gateway");
   REQUIRE(first.requests > 0);
-  CHECK(first.trace_hash == again.trace_hash);
+  CHECK(first.trace_hash == repeated.trace_hash);
   CHECK(first.trace_hash != runOne(31, "gateway").trace_hash);
 }
 
-// Each of these seeds broke a promise: evidence of a crash withdrawn by an answer of the next start or read
-// with an old age (36), crashes counted twice (35, 40, 91), a reset taken for a crash (69, 87), a cleared
-// request left in the record (167), evidence that others had cleared kept by one that was stopped meanwhile
-// (160, 2241).
-TEST_CASE("a fleet of gateways keeps its promises about poison requests", "[sim]") {
+// Each of these seeds has produced a violation: evidence of a crash withdrawn by a response of the next
+// process or read with an outdated age (36), crashes counted twice (35, 40, 91), a reset mistaken for a crash
+// (69, 87), a cleared request left in the record (167), evidence that other gateways had cleared kept by a
+// gateway that was stopped in the meantime (160, 2241).
+TEST_CASE("a fleet of gateways contains poison requests on seeds that once failed", "[sim]") {
   const std::uint64_t seed = GENERATE(35, 36, 40, 69, 87, 91, 160, 167, 2241);
   const RunResult result = runOne(seed, "gateway");
   INFO(describe(result));
   CHECK(result.violations.empty());
 }
 
-TEST_CASE("a leaving mark counts for an engine that restarted with a lower incarnation", "[sim]") {
+TEST_CASE("a leaving mark applies to an engine that restarted with a lower incarnation", "[sim]") {
   const RunResult result = runOne(368, "pair");
   INFO(describe(result));
   CHECK(result.violations.empty());
 }
 
-TEST_CASE("a back end of a large fleet that says itself that it leaves gets nothing new after 5 s", "[sim]") {
+TEST_CASE("a back end of a large fleet that announces that it leaves gets no new work after 5 s", "[sim]") {
   const std::uint64_t seed = GENERATE(298, 944);
   const RunResult result = runOne(seed, "large");
   INFO(describe(result));
   CHECK(result.violations.empty());
 }
 
-TEST_CASE("a mark that a back end gave itself does not hold for its next process", "[sim]") {
+TEST_CASE("a leaving mark that a back end set itself does not apply to its next process", "[sim]") {
   for (const RunResult& result : {runOne(937, "pair"), runOne(168, "wider_pair")}) {
     INFO(describe(result));
     CHECK(result.violations.empty());
   }
 }
 
-TEST_CASE("a leaving mark reaches routers beside the list although messages are lost", "[sim]") {
+TEST_CASE("a leaving mark reaches routers by paths other than the list although messages are lost", "[sim]") {
   const RunResult result = runOne(1881, "pair");
   INFO(describe(result));
   CHECK(result.violations.empty());
 }
 
-TEST_CASE("planned work takes no service its last application runner", "[sim]") {
+TEST_CASE("planned work does not remove the last application runner of a service", "[sim]") {
   const RunResult result = runOne(3933, "leaving_engine");
   INFO(describe(result));
   CHECK(result.violations.empty());
@@ -136,7 +136,7 @@
   CHECK(result.violations.empty());
 }
 
-TEST_CASE("a refused dispatch is not taken for a later one of the same request that ran", "[sim]") {
+TEST_CASE("a refused dispatch is not mistaken for a later dispatch of the same request that ran", "[sim]") {
   const RunResult result = runOne(987, "engine_crash");
   INFO(describe(result));
   CHECK(result.violations.empty());
--- a/tests/sim/claim/claim_group_world.cc
+++ b/tests/sim/claim/claim_group_world.cc
@@ -12,35 +12,36 @@
 const TimePoint kDeadline = kNow + std::chrono::seconds(2);
 const std::string kKey = "key";
 const std::string kEarlierToken = "earlier";
-/// Keys' lifetime and coverage are such that a young group does not cover a key and another one does.
+/// Lifetime of a key, and the time that a group covers unless it is recent: a recent group does not cover a
+/// key.
 constexpr Duration kLifetime = std::chrono::minutes(1);
 
-ClaimGroupMember nameOf(const World& world, int member) {
+ClaimGroupMember groupMember(const World& world, int member) {
   return {fmt::format("m{}", member), world.members[static_cast<std::size_t>(member)].incarnation};
 }
 
-int numberOf(const ClaimGroupMember& member) {
+int memberNumber(const ClaimGroupMember& member) {
   return member.address[1] - '0';
 }
 
-std::vector<ClaimGroupMember> presentMembers(const World& world) {
+std::vector<ClaimGroupMember> currentMembers(const World& world) {
   std::vector<ClaimGroupMember> members;
-  for (int i = 0; i < kMembers; ++i) members.push_back(nameOf(world, i));
+  for (int i = 0; i < kMembers; ++i) members.push_back(groupMember(world, i));
   return members;
 }
 
 // ---- digests
 
-struct LetterDigest {
-  std::string operator()(const ClaimPrepare& letter) const {
-    return fmt::format("p{}{}", letter.epoch, letter.token);
+struct MessageDigest {
+  std::string operator()(const ClaimPrepare& message) const {
+    return fmt::format("p{}{}", message.epoch, message.token);
   }
-  std::string operator()(const ClaimRelease& letter) const {
-    return fmt::format("r{}{}", letter.epoch, letter.token);
+  std::string operator()(const ClaimRelease& message) const {
+    return fmt::format("r{}{}", message.epoch, message.token);
   }
-  std::string operator()(const ClaimSeal& letter) const { return fmt::format("s{}", letter.epoch); }
-  std::string operator()(const ClaimInstall& letter) const {
-    return fmt::format("i{}{}{}", letter.row.epoch, letter.row.installer, votesDigest(letter.carried));
+  std::string operator()(const ClaimSeal& message) const { return fmt::format("s{}", message.epoch); }
+  std::string operator()(const ClaimInstall& message) const {
+    return fmt::format("i{}{}{}", message.row.epoch, message.row.installer, votesDigest(message.carried));
   }
   static std::string votesDigest(const std::vector<ClaimVote>& votes) {
     std::string text = "[";
@@ -58,16 +59,16 @@
 
 std::string sealedDigest(const ClaimSealed& sealed) {
   return fmt::format("{}.{}{:d}{}", sealed.voter.address, sealed.voter.incarnation, sealed.installed,
-                     LetterDigest::votesDigest(sealed.votes));
+                     MessageDigest::votesDigest(sealed.votes));
 }
 
-std::string letterDigest(const Envelope& envelope) {
-  return fmt::format("{}>{}", envelope.from, envelope.to) + std::visit(LetterDigest{}, envelope.letter);
+std::string messageDigest(const Envelope& envelope) {
+  return fmt::format("{}>{}", envelope.from, envelope.to) + std::visit(MessageDigest{}, envelope.message);
 }
 
 // ---- deliveries
 
-/// Delivers one letter and counts its answer.
+/// Delivers one message and counts the response to it.
 class Delivery {
 public:
   Delivery(World& world, const Scenario& scenario, const Envelope& envelope)
@@ -75,7 +76,7 @@
 
   void operator()(const ClaimPrepare& prepare) {
     ClaimReply ballot = member().voter.onPrepare(prepare, kNow);
-    if (scenario_.without == Without::Incarnations) ballot.voter_incarnation = 1;
+    if (scenario_.removed == RemovedSafeguard::Incarnations) ballot.voter_incarnation = 1;
     ClaimantState& claimant = world_.claimants[static_cast<std::size_t>(envelope_.from)];
     if (claimant.claim->outcome()) return;
     claimant.ballots.insert(ballotDigest(ballot));
@@ -85,19 +86,19 @@
   void operator()(const ClaimSeal& seal) {
     const ClaimVoter before = member().voter;
     ClaimSealed sealed = member().voter.onSeal(seal, kNow);
-    if (scenario_.without == Without::Sealing) {
+    if (scenario_.removed == RemovedSafeguard::Sealing) {
       member().voter = before;
     } else {
       member().sealed = std::max(member().sealed, seal.epoch);
     }
     ChangeState& change = world_.changes[static_cast<std::size_t>(envelope_.from)];
     if (change.change->step() != EpochStep::Seal) return;
-    if (scenario_.without == Without::Carrying) sealed.votes.clear();
-    change.heard.insert(sealedDigest(sealed));
+    if (scenario_.removed == RemovedSafeguard::Carrying) sealed.votes.clear();
+    change.sealing_responses.insert(sealedDigest(sealed));
     change.change->onSealed(sealed);
   }
   void operator()(ClaimInstall install) {
-    if (scenario_.without == Without::Quarantine) install.quarantine = Duration{0};
+    if (scenario_.removed == RemovedSafeguard::Quarantine) install.quarantine = Duration{0};
     if (member().voter.onInstall(install, kNow)) member().installed = install.row.epoch;
   }
 
@@ -109,21 +110,22 @@
   Envelope envelope_;
 };
 
-// ---- letters without effect
+// ---- messages without effect
 
-/// Tells letters that need not arrive any more: they would change nothing, or only keep somebody from voting
-/// or from winning. Never to arrive is allowed to each letter, so dropping them hides no way to run twice.
-class IdleLetter {
+/// Detects messages that need not arrive any more: they would change nothing, or only keep a member from
+/// voting or a claimant from being granted its claim. Any message may be lost, so dropping these hides no way
+/// to run twice.
+class ObsoleteMessage {
 public:
-  IdleLetter(const World& world, const Scenario& scenario, const Envelope& envelope)
+  ObsoleteMessage(const World& world, const Scenario& scenario, const Envelope& envelope)
       : world_(world), scenario_(scenario), envelope_(envelope) {}
 
   bool operator()(const ClaimPrepare& prepare) const {
     const ClaimantState& claimant = world_.claimants[static_cast<std::size_t>(envelope_.from)];
-    const bool lost = claimant.claim->outcome() == GroupClaimOutcome::HeldByOther ||
-                      claimant.claim->outcome() == GroupClaimOutcome::Unavailable;
-    if (claimant.ran || claimant.gave_up || lost) return true;
-    return scenario_.without != Without::Incarnations &&
+    const bool claim_failed = claimant.claim->outcome() == GroupClaimOutcome::HeldByOther ||
+                              claimant.claim->outcome() == GroupClaimOutcome::Unavailable;
+    if (claimant.ran || claimant.abandoned || claim_failed) return true;
+    return scenario_.removed != RemovedSafeguard::Incarnations &&
            (member().sealed >= prepare.epoch || member().installed > prepare.epoch);
   }
   bool operator()(const ClaimRelease& release) const {
@@ -136,9 +138,9 @@
   bool operator()(const ClaimInstall& install) const {
     const std::uint64_t epoch = install.row.epoch;
     const auto& members = install.row.members;
-    const bool named =
-        std::find(members.begin(), members.end(), nameOf(world_, envelope_.to)) != members.end();
-    return !named || member().sealed >= epoch || member().installed >= epoch;
+    const bool is_member =
+        std::find(members.begin(), members.end(), groupMember(world_, envelope_.to)) != members.end();
+    return !is_member || member().sealed >= epoch || member().installed >= epoch;
   }
 
 private:
@@ -149,83 +151,85 @@
   const Envelope& envelope_;
 };
 
-void dropIdleLetters(World& world, const Scenario& scenario) {
-  const auto idle = [&](const Envelope& envelope) {
-    return std::visit(IdleLetter(world, scenario, envelope), envelope.letter);
+void dropObsoleteMessages(World& world, const Scenario& scenario) {
+  const auto obsolete = [&](const Envelope& envelope) {
+    return std::visit(ObsoleteMessage(world, scenario, envelope), envelope.message);
   };
   std::vector<Envelope> kept;
-  for (const Envelope& envelope : world.mail) {
-    if (!idle(envelope)) kept.push_back(envelope);
+  for (const Envelope& envelope : world.in_transit) {
+    if (!obsolete(envelope)) kept.push_back(envelope);
   }
-  world.mail = std::move(kept);
+  world.in_transit = std::move(kept);
 }
 
 // ---- steps
 
-/// Collects the successors of one state.
-class Steps {
+/// Builds the successors of one state.
+class SuccessorBuilder {
 public:
-  Steps(const World& world, const Scenario& scenario) : world_(world), scenario_(scenario) {}
+  SuccessorBuilder(const World& world, const Scenario& scenario) : world_(world), scenario_(scenario) {}
 
-  std::vector<World> all() {
+  std::vector<World> build() {
     deliver();
     for (std::size_t i = 0; i < world_.claimants.size(); ++i) claimantSteps(i);
     for (std::size_t i = 0; i < world_.changes.size(); ++i) changeSteps(i);
     if (world_.restarts < scenario_.restarts) restarts();
-    for (World& world : next_) dropIdleLetters(world, scenario_);
+    for (World& world : next_) dropObsoleteMessages(world, scenario_);
     return std::move(next_);
   }
 
 private:
-  World& add() { return next_.emplace_back(world_); }
+  World& addSuccessor() { return next_.emplace_back(world_); }
 
   void deliver() {
     std::set<std::string> seen;
-    for (std::size_t i = 0; i < world_.mail.size(); ++i) {
-      if (!seen.insert(letterDigest(world_.mail[i])).second) continue;
-      World& after = add();
-      const Envelope envelope = after.mail[i];
-      after.mail.erase(after.mail.begin() + static_cast<std::ptrdiff_t>(i));
-      std::visit(Delivery(after, scenario_, envelope), envelope.letter);
+    for (std::size_t i = 0; i < world_.in_transit.size(); ++i) {
+      if (!seen.insert(messageDigest(world_.in_transit[i])).second) continue;
+      World& after = addSuccessor();
+      const Envelope envelope = after.in_transit[i];
+      after.in_transit.erase(after.in_transit.begin() + static_cast<std::ptrdiff_t>(i));
+      std::visit(Delivery(after, scenario_, envelope), envelope.message);
     }
   }
 
   void claimantSteps(std::size_t number) {
     const ClaimantState& claimant = world_.claimants[number];
     if (!claimant.claim) {
-      // Claimants are alike: the first one starts first.
+      // Claimants are interchangeable, so they start in order.
       if (number > 0 && !world_.claimants[number - 1].claim) return;
-      const bool waits = scenario_.later_claimant && number + 1 == world_.claimants.size();
-      if (waits && world_.row.epoch == 1) return;
+      const bool starts_later = scenario_.later_claimant && number + 1 == world_.claimants.size();
+      if (starts_later && world_.row.epoch == 1) return;
       start(number, world_.row);
-      if (world_.row.epoch > 1) start(number, firstWorld(scenario_).row);  // It may know an older row.
+      if (world_.row.epoch > 1)
+        start(number, initialWorld(scenario_).row);  // It may still have an older row.
       return;
     }
-    if (claimant.ran || claimant.gave_up) return;
-    if (scenario_.releases) giveUp(number);
+    if (claimant.ran || claimant.abandoned) return;
+    if (scenario_.releases) abandon(number);
     const auto outcome = claimant.claim->outcome();
-    if (outcome == GroupClaimOutcome::Granted) run(add(), number);
-    if (outcome == GroupClaimOutcome::GrantedForTable) askTable(number);
+    if (outcome == GroupClaimOutcome::Granted) run(addSuccessor(), number);
+    if (outcome == GroupClaimOutcome::GrantedForTable) claimInTable(number);
   }
 
   void start(std::size_t number, const ClaimGroupRow& row) {
-    World& after = add();
+    World& after = addSuccessor();
     const std::string token(1, static_cast<char>('a' + number));
     ClaimantState& claimant = after.claimants[number];
     claimant.claim.emplace(kKey, token, row, kLifetime, kDeadline);
     for (const ClaimGroupMember& member : row.members) {
-      after.mail.push_back(Envelope{static_cast<int>(number), numberOf(member), claimant.claim->prepare()});
+      after.in_transit.push_back(
+          Envelope{static_cast<int>(number), memberNumber(member), claimant.claim->prepare()});
     }
   }
 
   /// At the deadline, or after any decision if nothing was dispatched, the claim is released.
-  void giveUp(std::size_t number) {
-    World& after = add();
+  void abandon(std::size_t number) {
+    World& after = addSuccessor();
     ClaimantState& claimant = after.claimants[number];
     claimant.claim->abandon();
-    claimant.gave_up = true;
+    claimant.abandoned = true;
     for (int member = 0; member < kMembers; ++member) {
-      after.mail.push_back(Envelope{static_cast<int>(number), member, claimant.claim->release()});
+      after.in_transit.push_back(Envelope{static_cast<int>(number), member, claimant.claim->release()});
     }
   }
 
@@ -234,14 +238,14 @@
     ++after.runs;
   }
 
-  void askTable(std::size_t number) {
+  void claimInTable(std::size_t number) {
     const std::string token(1, static_cast<char>('a' + number));
-    World& after = add();
-    if (scenario_.without == Without::Table || !after.claim_row || *after.claim_row == token) {
+    World& after = addSuccessor();
+    if (scenario_.removed == RemovedSafeguard::Table || !after.claim_row || *after.claim_row == token) {
       after.claim_row = token;
       run(after, number);
     } else {
-      after.claimants[number].gave_up = true;
+      after.claimants[number].abandoned = true;
     }
   }
 
@@ -250,7 +254,7 @@
     if (!state.change) return startChange(number);
     switch (state.change->step()) {
       case EpochStep::Seal:
-        return reportGone(number);
+        return reportRemoved(number);
       case EpochStep::WriteClaims:
         return writeClaims(number);
       case EpochStep::SwapRow:
@@ -263,27 +267,28 @@
   }
 
   void startChange(std::size_t number) {
-    World& after = add();
+    World& after = addSuccessor();
     ChangeState& state = after.changes[number];
-    state.change.emplace(after.row, presentMembers(after), fmt::format("x{}", number), kLifetime);
+    state.change.emplace(after.row, currentMembers(after), fmt::format("x{}", number), kLifetime);
     for (const ClaimGroupMember& member : after.row.members) {
-      after.mail.push_back(Envelope{static_cast<int>(number), numberOf(member), state.change->seal()});
+      after.in_transit.push_back(
+          Envelope{static_cast<int>(number), memberNumber(member), state.change->seal()});
     }
   }
 
-  void reportGone(std::size_t number) {
+  void reportRemoved(std::size_t number) {
     for (const ClaimGroupMember& member : world_.changes[number].change->row().members) {
-      if (nameOf(world_, numberOf(member)) == member) continue;
-      const std::string mark = "gone" + member.address;
-      if (world_.changes[number].heard.contains(mark)) continue;
-      World& after = add();
-      after.changes[number].heard.insert(mark);
+      if (groupMember(world_, memberNumber(member)) == member) continue;
+      const std::string removed_member = "gone" + member.address;
+      if (world_.changes[number].sealing_responses.contains(removed_member)) continue;
+      World& after = addSuccessor();
+      after.changes[number].sealing_responses.insert(removed_member);
       after.changes[number].change->onMemberGone(member);
     }
   }
 
   void writeClaims(std::size_t number) {
-    World& after = add();
+    World& after = addSuccessor();
     ClaimEpochChange& change = *after.changes[number].change;
     for (const ClaimVote& vote : change.carried()) {
       if (!after.claim_row) after.claim_row = vote.token;
@@ -293,23 +298,23 @@
 
   void swapRow(std::size_t number) {
     const ClaimEpochChange& change = *world_.changes[number].change;
-    if (world_.changes[number].row_asked) {
-      World& after = add();
-      after.changes[number].row_asked = false;
+    if (world_.changes[number].row_requested) {
+      World& after = addSuccessor();
+      after.changes[number].row_requested = false;
       after.changes[number].change->onRow(after.row);
       return;
     }
-    const bool fits = world_.row.row_version == change.row().row_version;
-    World& answered = add();
-    if (fits) swapIn(answered, change);
-    answered.changes[number].change->rowSwapped(fits);
-    if (!fits) return;
-    World& unanswered = add();
-    swapIn(unanswered, change);
-    unanswered.changes[number].row_asked = true;
+    const bool version_matches = world_.row.row_version == change.row().row_version;
+    World& confirmed = addSuccessor();
+    if (version_matches) writeRow(confirmed, change);
+    confirmed.changes[number].change->rowSwapped(version_matches);
+    if (!version_matches) return;
+    World& unconfirmed = addSuccessor();
+    writeRow(unconfirmed, change);
+    unconfirmed.changes[number].row_requested = true;
   }
 
-  static void swapIn(World& after, const ClaimEpochChange& change) {
+  static void writeRow(World& after, const ClaimEpochChange& change) {
     const std::uint64_t version = after.row.row_version + 1;
     after.row = change.newRow();
     after.row.row_version = version;
@@ -317,30 +322,31 @@
 
   void install(std::size_t number) {
     if (world_.changes[number].installed) return;
-    World& after = add();
+    World& after = addSuccessor();
     ChangeState& state = after.changes[number];
     state.installed = true;
     for (const ClaimGroupMember& member : state.change->newRow().members) {
-      after.mail.push_back(Envelope{static_cast<int>(number), numberOf(member), state.change->install()});
+      after.in_transit.push_back(
+          Envelope{static_cast<int>(number), memberNumber(member), state.change->install()});
     }
   }
 
   void restarts() {
     for (std::size_t i = 0; i < world_.members.size(); ++i) {
-      World& after = add();
+      World& after = addSuccessor();
       ++after.restarts;
       MemberState& member = after.members[i];
       ++member.incarnation;
       member.installed = 0;
       member.sealed = 0;
-      member.voter = ClaimVoter(nameOf(after, static_cast<int>(i)), kLifetime);
-      if (scenario_.without != Without::Incarnations) continue;
-      // Without incarnations a restarted member would vote on as if it had never voted.
-      ClaimInstall again;
-      again.row = firstWorld(scenario_).row;
-      again.row.members = presentMembers(after);
-      again.covered = kLifetime;
-      member.voter.onInstall(again, kNow);
+      member.voter = ClaimVoter(groupMember(after, static_cast<int>(i)), kLifetime);
+      if (scenario_.removed != RemovedSafeguard::Incarnations) continue;
+      // Without incarnations a restarted member would continue to vote as if it had never voted.
+      ClaimInstall installation;
+      installation.row = initialWorld(scenario_).row;
+      installation.row.members = currentMembers(after);
+      installation.covered = kLifetime;
+      member.voter.onInstall(installation, kNow);
     }
   }
 
@@ -351,20 +357,20 @@
 
 }  // namespace
 
-World firstWorld(const Scenario& scenario) {
+World initialWorld(const Scenario& scenario) {
   World world;
   for (int i = 0; i < kMembers; ++i) {
     world.members.push_back(MemberState{ClaimVoter({fmt::format("m{}", i), 1}, kLifetime), 1, 1, 0});
   }
   world.row.epoch = 1;
-  world.row.members = presentMembers(world);
+  world.row.members = currentMembers(world);
   world.row.installer = "first";
   world.row.row_version = 1;
   ClaimInstall install;
   install.row = world.row;
-  install.covered = scenario.young ? Duration{0} : kLifetime;
+  install.covered = scenario.recent_group ? Duration{0} : kLifetime;
   for (MemberState& member : world.members) member.voter.onInstall(install, kNow);
-  if (scenario.claim_before) {
+  if (scenario.earlier_claim) {
     world.claim_row = kEarlierToken;
     world.runs = 1;
   }
@@ -374,35 +380,35 @@
 }
 
 std::vector<World> successors(const World& world, const Scenario& scenario) {
-  return Steps(world, scenario).all();
+  return SuccessorBuilder(world, scenario).build();
 }
 
 std::string digest(const World& world) {
   std::string text;
   for (const MemberState& member : world.members) {
     text += fmt::format("m{}.{}.{}{}", member.incarnation, member.installed, member.sealed,
-                        LetterDigest::votesDigest(member.voter.votes()));
+                        MessageDigest::votesDigest(member.voter.votes()));
   }
   text += fmt::format("r{}{}t{}", world.row.epoch, world.row.installer, world.claim_row.value_or("-"));
   for (const ClaimantState& claimant : world.claimants) {
-    text += fmt::format("c{:d}{:d}{:d}", claimant.claim.has_value(), claimant.ran, claimant.gave_up);
+    text += fmt::format("c{:d}{:d}{:d}", claimant.claim.has_value(), claimant.ran, claimant.abandoned);
     if (claimant.claim) text += fmt::format("{}", claimant.claim->prepare().epoch);
     for (const std::string& ballot : claimant.ballots) text += ballot + ",";
   }
   for (const ChangeState& state : world.changes) {
-    text += fmt::format("e{:d}{:d}{:d}", state.change.has_value(), state.row_asked, state.installed);
+    text += fmt::format("e{:d}{:d}{:d}", state.change.has_value(), state.row_requested, state.installed);
     if (state.change) {
       text += fmt::format("{}{}", state.change->row().row_version, static_cast<int>(state.change->step()));
       for (const ClaimGroupMember& member : state.change->newRow().members) {
         text += fmt::format(".{}", member.incarnation);
       }
     }
-    for (const std::string& heard : state.heard) text += heard + ",";
+    for (const std::string& response : state.sealing_responses) text += response + ",";
   }
-  std::vector<std::string> letters;
-  for (const Envelope& envelope : world.mail) letters.push_back(letterDigest(envelope));
-  std::sort(letters.begin(), letters.end());
-  for (const std::string& letter : letters) text += "|" + letter;
+  std::vector<std::string> messages;
+  for (const Envelope& envelope : world.in_transit) messages.push_back(messageDigest(envelope));
+  std::sort(messages.begin(), messages.end());
+  for (const std::string& message : messages) text += "|" + message;
   return text;
 }
 
