--- a/sim/gateway_world/gateway_node_traffic.cc
+++ b/sim/gateway_world/gateway_node_traffic.cc
@@ -122,7 +122,7 @@
         if (found == process_->exchanges.end()) return channel->close(sim::Side::Client);
         found->second.channel = channel;
         channel->onClosed(sim::Side::Client, [this, id] { onLost(id, true); });
-        const std::size_t record = engine.onWritten(request);
+        const std::size_t record = engine.onRequestWritten(request);
         channel->send(sim::Side::Client, [&engine, record, channel, request, response] {
           engine.onRequest(record, channel, request, response);
         });
