--- a/src/attempt/attempt.cc
+++ b/src/attempt/attempt.cc
@@ -11,29 +11,29 @@
 namespace front = boost::msm::front;
 
 struct BytesSent {};
-struct Acceptance {};
-struct Piece {};
-struct Complete {};
-struct RefusalNotRun {};
+struct BackendAcceptance {};
+struct ResponsePiece {};
+struct ResponseEnd {};
+struct NotRunRefusal {};
 struct ConnectionFailure {};
 
-/// A state of the table below; `kState` is its public name.
+/// State of the transition table; `kState` is the corresponding public value.
 template <AttemptState State>
-struct AttemptNode : front::state<> {
+struct TableState : front::state<> {
   static constexpr AttemptState kState = State;
 };
 
-/// Transition table of an attempt. An event without a row is refused and changes nothing.
+/// Transition table of an attempt. An event without a row is rejected and leaves the state unchanged.
 struct AttemptTable : front::state_machine_def<AttemptTable> {
-  using NotSent = AttemptNode<AttemptState::NotSent>;
-  using Sent = AttemptNode<AttemptState::Sent>;
-  using Accepted = AttemptNode<AttemptState::Accepted>;
-  using Streaming = AttemptNode<AttemptState::Streaming>;
-  using Done = AttemptNode<AttemptState::Done>;
-  using RefusedNotRun = AttemptNode<AttemptState::RefusedNotRun>;
-  using NeverSent = AttemptNode<AttemptState::NeverSent>;
-  using Lost = AttemptNode<AttemptState::Lost>;
-  using LostStreaming = AttemptNode<AttemptState::LostStreaming>;
+  using NotSent = TableState<AttemptState::NotSent>;
+  using Sent = TableState<AttemptState::Sent>;
+  using Accepted = TableState<AttemptState::Accepted>;
+  using Streaming = TableState<AttemptState::Streaming>;
+  using Done = TableState<AttemptState::Done>;
+  using RefusedNotRun = TableState<AttemptState::RefusedNotRun>;
+  using NeverSent = TableState<AttemptState::NeverSent>;
+  using Lost = TableState<AttemptState::Lost>;
+  using LostStreaming = TableState<AttemptState::LostStreaming>;
   using initial_state = NotSent;
 
   template <typename Source, typename Event, typename Target>
@@ -43,49 +43,49 @@
   struct transition_table : boost::mpl::vector<
       Row<NotSent,   BytesSent,         Sent>,
       Row<NotSent,   ConnectionFailure, NeverSent>,
-      Row<Sent,      Acceptance,        Accepted>,
-      Row<Sent,      Piece,             Streaming>,
-      Row<Sent,      Complete,          Done>,
-      Row<Sent,      RefusalNotRun,     RefusedNotRun>,
+      Row<Sent,      BackendAcceptance, Accepted>,
+      Row<Sent,      ResponsePiece,     Streaming>,
+      Row<Sent,      ResponseEnd,       Done>,
+      Row<Sent,      NotRunRefusal,     RefusedNotRun>,
       Row<Sent,      ConnectionFailure, Lost>,
-      Row<Accepted,  Piece,             Streaming>,
-      Row<Accepted,  Complete,          Done>,
+      Row<Accepted,  ResponsePiece,     Streaming>,
+      Row<Accepted,  ResponseEnd,       Done>,
       Row<Accepted,  ConnectionFailure, Lost>,
-      Row<Streaming, Piece,             Streaming>,
-      Row<Streaming, Complete,          Done>,
+      Row<Streaming, ResponsePiece,     Streaming>,
+      Row<Streaming, ResponseEnd,       Done>,
       Row<Streaming, ConnectionFailure, LostStreaming>
   > {};
   // clang-format on
 
-  /// An event without a row is reported by process_event's result.
+  /// Replaces the assertion of the default handler: process_event() reports an unhandled event.
   template <typename Machine, typename Event>
   void no_transition(const Event&, Machine&, int) {}
 };
 
 using Machine = boost::msm::back::state_machine<AttemptTable>;
 
-/// Collects the public name of each state by the machine's own numbering.
-class StateNames {
+/// Maps each state id that Boost.MSM assigns to the public value of the state.
+class StateMap {
 public:
-  StateNames() {
-    boost::mpl::for_each<States, boost::msm::wrap<boost::mpl::placeholders::_1>>(Collect{*this});
+  StateMap() {
+    boost::mpl::for_each<States, boost::msm::wrap<boost::mpl::placeholders::_1>>(Collector{*this});
   }
-  AttemptState at(int id) const { return names_[static_cast<std::size_t>(id)]; }
+  AttemptState at(int id) const { return states_[static_cast<std::size_t>(id)]; }
 
 private:
   using States = boost::msm::back::generate_state_set<Machine::stt>::type;
-  static constexpr std::size_t kStates = boost::mpl::size<States>::value;
+  static constexpr std::size_t kStateCount = boost::mpl::size<States>::value;
 
-  struct Collect {
-    StateNames& names;
+  struct Collector {
+    StateMap& map;
     template <typename State>
     void operator()(const boost::msm::wrap<State>&) const {
       constexpr int id = boost::msm::back::get_state_id<Machine::stt, State>::value;
-      names.names_[static_cast<std::size_t>(id)] = State::kState;
+      map.states_[static_cast<std::size_t>(id)] = State::kState;
     }
   };
 
-  std::array<AttemptState, kStates> names_{};
+  std::array<AttemptState, kStateCount> states_{};
 };
 
 class AttemptMachine : public Attempt {
@@ -97,13 +97,13 @@
       case AttemptEvent::BytesSent:
         return process(BytesSent{});
       case AttemptEvent::BackendAccepted:
-        return process(Acceptance{});
-      case AttemptEvent::PieceArrived:
-        return process(Piece{});
-      case AttemptEvent::AnswerComplete:
-        return process(Complete{});
+        return process(BackendAcceptance{});
+      case AttemptEvent::PieceReceived:
+        return process(ResponsePiece{});
+      case AttemptEvent::ResponseComplete:
+        return process(ResponseEnd{});
       case AttemptEvent::BackendRefusedNotRun:
-        return process(RefusalNotRun{});
+        return process(NotRunRefusal{});
       case AttemptEvent::ConnectionFailed:
         return process(ConnectionFailure{});
     }
@@ -111,8 +111,8 @@
   }
 
   AttemptState state() const override {
-    static const StateNames names;
-    return names.at(machine_.current_state()[0]);
+    static const StateMap map;
+    return map.at(machine_.current_state()[0]);
   }
 
   RunState runState() const override {
--- a/src/caller/caller_error.cc
+++ b/src/caller/caller_error.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// @return the coarse class that stock clients expect in "type".
-const char* typeOf(int status) {
+/// @return the error category that standard chat-completions clients expect in "type".
+const char* errorTypeOf(int status) {
   if (status == 401) return "authentication_error";
   if (status == 429) return "rate_limit_error";
   if (status >= 500) return "server_error";
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-CallerError fromRefusal(const Refusal& refusal) {
+CallerError toCallerError(const Refusal& refusal) {
   return {refusal.code, refusal.run_state, refusal.retry_after, refusal.message};
 }
 
@@ -35,7 +35,7 @@
   return "unknown";
 }
 
-int statusOf(ErrorCode code) {
+int httpStatusOf(ErrorCode code) {
   switch (code) {
     case ErrorCode::Ok:
       return 200;
@@ -69,24 +69,24 @@
 std::string errorBody(const CallerError& error) {
   const boost::json::object detail = {
       {"code", errorName(error.code)},
-      {"type", typeOf(statusOf(error.code))},
+      {"type", errorTypeOf(httpStatusOf(error.code))},
       {"message", error.message.empty() ? errorName(error.code) : error.message},
       {"param", nullptr},
       {"ran", runStateName(error.run_state)}};
   return boost::json::serialize(boost::json::object{{"error", detail}});
 }
 
-http::Response errorResponseOf(const CallerError& error) {
-  http::Response response = http::jsonResponse(statusOf(error.code), errorBody(error));
-  const bool advised = error.retry_after > Duration::zero();
-  if (advised) {
+http::Response makeErrorResponse(const CallerError& error) {
+  http::Response response = http::jsonResponse(httpStatusOf(error.code), errorBody(error));
+  const bool has_retry_delay = error.retry_after > Duration::zero();
+  if (has_retry_delay) {
     const auto seconds = static_cast<long>(std::ceil(toSeconds(error.retry_after)));
     response.headers["Retry-After"] = fmt::format("{}", seconds);
     response.headers["retry-after-ms"] = fmt::format("{}", error.retry_after.count() / 1000);
   }
-  // Stock clients repeat 409 and 5xx by themselves unless told otherwise.
-  const bool harmless = advised && error.run_state == RunState::NotRun;
-  response.headers["x-should-retry"] = harmless ? "true" : "false";
+  // Standard clients retry 409 and 5xx on their own unless x-should-retry is "false".
+  const bool safe_to_retry = has_retry_delay && error.run_state == RunState::NotRun;
+  response.headers["x-should-retry"] = safe_to_retry ? "true" : "false";
   return response;
 }
 
--- a/src/caller/caller_error.h
+++ b/src/caller/caller_error.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Errors as callers see them: status, JSON body, Retry-After and the event of a broken stream.
+/// @file Error responses to callers: status, JSON body, Retry-After and the final event of a failed stream.
 
 #include <string>
 
@@ -10,30 +10,30 @@
 
 namespace crankspur {
 
-/// One error towards a caller.
+/// Error returned to a caller.
 struct CallerError {
   ErrorCode code = ErrorCode::Internal;
   RunState run_state = RunState::NotRun;
-  Duration retry_after{0};  ///< 0: no advice.
+  Duration retry_after{0};  ///< Delay before the caller should retry; 0: not specified.
   std::string message;
 };
 
-/// @return the error that a refusal means for the caller.
-CallerError fromRefusal(const Refusal& refusal);
+/// Converts a refusal by a router to the error that is returned to the caller.
+CallerError toCallerError(const Refusal& refusal);
 
-/// @return "not_run", "unknown" or "ran".
+/// @return the value of the field "ran": "not_run", "unknown" or "ran".
 const char* runStateName(RunState state);
 
-/// @return the HTTP status of an error code.
-int statusOf(ErrorCode code);
+/// @return the HTTP status code for an error code.
+int httpStatusOf(ErrorCode code);
 
-/// @return {"error":{"code","type","message","param","ran"}}.
+/// @return the JSON body {"error":{"code","type","message","param","ran"}}.
 std::string errorBody(const CallerError& error);
 
-/// @return the whole response, with Retry-After where there is advice.
-http::Response errorResponseOf(const CallerError& error);
+/// @return the complete HTTP response; it has Retry-After headers if `retry_after` is positive.
+http::Response makeErrorResponse(const CallerError& error);
 
-/// @return the server-sent event that ends a stream which cannot be completed.
+/// @return the server-sent event that terminates a stream which cannot be completed.
 std::string errorEvent(const CallerError& error);
 
 }  // namespace crankspur
--- a/src/caller/chat_response.cc
+++ b/src/caller/chat_response.cc
@@ -28,7 +28,7 @@
           {"model", identity.model}};
 }
 
-std::string event(const json::object& chunk) {
+std::string toEvent(const json::object& chunk) {
   return "data: " + json::serialize(chunk) + "\n\n";
 }
 
@@ -37,7 +37,7 @@
   json::object choice = {
       {"index", 0}, {"delta", std::move(delta)}, {"finish_reason", std::move(finish_reason)}};
   chunk["choices"] = json::array{std::move(choice)};
-  return event(chunk);
+  return toEvent(chunk);
 }
 
 json::object modelEntry(std::string id) {
@@ -62,7 +62,7 @@
   json::object chunk = envelope(identity, "chat.completion.chunk");
   chunk["choices"] = json::array{};
   chunk["usage"] = usageObject(usage);
-  return event(chunk);
+  return toEvent(chunk);
 }
 
 std::string chatBody(const ChatIdentity& identity, std::string_view text, std::string_view finish_reason,
--- a/src/caller/request_headers.h
+++ b/src/caller/request_headers.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Headers of caller requests, checked; and what tenant and bundle make of a request.
+/// @file Validation of caller request headers, and of requests against the bundle and the tenant's policy.
 
 #include <cstdint>
 #include <optional>
@@ -13,31 +13,34 @@
 
 namespace crankspur {
 
-/// Bounds of headers.
-inline constexpr std::size_t kMaximumHeaderValueBytes = 128;
-inline constexpr Duration kLongestDeadline = std::chrono::hours(1);
-inline constexpr std::uint32_t kLeastUrgentPriority = 9;
+/// Limits of header values.
+inline constexpr std::size_t kMaxHeaderValueBytes = 128;
+inline constexpr Duration kMaxDeadline = std::chrono::hours(1);
+inline constexpr std::uint32_t kLowestPriority = 9;  ///< 0 is the highest priority.
 
-/// Checked headers of a request.
+/// Validated headers of a request.
 struct CallerHeaders {
-  std::string api_key;          ///< Empty when none was given.
-  std::string idempotency_key;  ///< Empty when none was given.
-  std::string request_id;       ///< The caller's own id; empty when none was given.
+  std::string api_key;          ///< Empty if absent.
+  std::string idempotency_key;  ///< Empty if absent.
+  std::string request_id;       ///< Id assigned by the caller; empty if absent.
   std::optional<Duration> deadline;
   std::optional<std::uint32_t> priority;
 };
 
-/// @param error set when empty is returned.
+/// Parses and validates the headers of a request.
+/// @param error set if nullopt is returned.
 std::optional<CallerHeaders> parseCallerHeaders(const http::Request& request, CallerError& error);
 
-/// Builds the submit of a completion: checks that the tenant may use the model and adapter, and bounds of
-/// prompt and answer. request_id and deadline are left to the caller of this function.
-std::optional<SubmitRequest> admitChat(const ChatRequest& chat, const CallerHeaders& headers,
-                                       const Bundle& bundle, const TenantPolicy& tenant, CallerError& error);
-
-/// Builds the submit of an operation. One that may not be repeated needs an idempotency key.
-std::optional<SubmitRequest> admitOperation(const std::string& operation, const std::string& body,
-                                            const CallerHeaders& headers, const Bundle& bundle,
-                                            const TenantPolicy& tenant, CallerError& error);
+/// Builds the submit message of a completion after checking that the tenant may use the model and adapter and
+/// that the prompt and max_tokens are within the model's limits. The calling function sets request_id and
+/// deadline.
+std::optional<SubmitRequest> buildChatSubmit(const ChatRequest& chat, const CallerHeaders& headers,
+                                             const Bundle& bundle, const TenantPolicy& tenant,
+                                             CallerError& error);
+
+/// Builds the submit message of an operation. A non-repeatable operation requires an idempotency key.
+std::optional<SubmitRequest> buildOperationSubmit(const std::string& operation, const std::string& body,
+                                                  const CallerHeaders& headers, const Bundle& bundle,
+                                                  const TenantPolicy& tenant, CallerError& error);
 
 }  // namespace crankspur
--- a/src/router/completion_flow.cc
+++ b/src/router/completion_flow.cc
@@ -193,7 +193,7 @@
     return abandonDispatch(entry, EventId::BackendProtocolBroken, "a piece does not follow the one before",
                            now);
   }
-  dispatch.attempt->apply(AttemptEvent::PieceArrived);
+  dispatch.attempt->apply(AttemptEvent::PieceReceived);
   notePrefillDone(entry, now);
   if (!entry.first_token_seen) {
     entry.first_token_seen = true;
@@ -214,7 +214,7 @@
     cancelDispatch(entry, now);
     return refuse(entry, ErrorCode::EngineLost, Duration{0}, "the answer's checksum does not agree", now);
   }
-  entry.dispatch->attempt->apply(AttemptEvent::AnswerComplete);
+  entry.dispatch->attempt->apply(AttemptEvent::ResponseComplete);
   StreamEnd message;
   message.request_id = entry.request.request_id;
   message.attempt = entry.request.attempt;
--- a/src/router/operation_flow.cc
+++ b/src/router/operation_flow.cc
@@ -80,7 +80,7 @@
     return;
   }
   if (const auto* piece = std::get_if<BackendPiece>(&event)) {
-    attempt.apply(AttemptEvent::PieceArrived);
+    attempt.apply(AttemptEvent::PieceReceived);
     entry.text += piece->text;
     return;
   }
@@ -99,7 +99,7 @@
 }
 
 void RequestRouterImpl::operationEnd(RequestEntry& entry, TimePoint now) {
-  entry.dispatch->attempt->apply(AttemptEvent::AnswerComplete);
+  entry.dispatch->attempt->apply(AttemptEvent::ResponseComplete);
   const std::string runner = entry.dispatch->backend;
   const std::string result = std::move(entry.text);
   closeDispatch(entry, now);
--- a/src/sidecar/caller_exchange.cc
+++ b/src/sidecar/caller_exchange.cc
@@ -132,13 +132,13 @@
 }
 
 void CallerExchange::performError(const Refusal& refusal) {
-  const CallerError error = fromRefusal(refusal);
+  const CallerError error = toCallerError(refusal);
   if (stream_begun_) {
     // No [DONE] follows, so that no client can take the stream for whole.
     writer_->write(errorEvent(error));
     writer_->end();
   } else {
-    http::Response response = errorResponseOf(error);
+    http::Response response = makeErrorResponse(error);
     for (auto& [name, value] : answerHeaders("application/json")) response.headers[name] = value;
     writer_->respond(std::move(response));
   }
--- a/src/sidecar/caller_service.cc
+++ b/src/sidecar/caller_service.cc
@@ -39,14 +39,14 @@
 }
 
 http::Response methodNotAllowed(const std::string& allowed) {
-  http::Response response = errorResponseOf(refusal(ErrorCode::InvalidRequest, "use " + allowed));
+  http::Response response = makeErrorResponse(refusal(ErrorCode::InvalidRequest, "use " + allowed));
   response.status = 405;
   response.headers["Allow"] = allowed;
   return response;
 }
 
 http::Response notFound() {
-  http::Response response = errorResponseOf(refusal(ErrorCode::InvalidRequest, "no such path"));
+  http::Response response = makeErrorResponse(refusal(ErrorCode::InvalidRequest, "no such path"));
   response.status = 404;
   return response;
 }
@@ -153,7 +153,7 @@
 void CallerService::refuse(const CallerError& error, const std::shared_ptr<http::ResponseWriter>& writer) {
   metrics_.countRequest(errorName(error.code));
   log_.write(EventId::CallerRefused, {{"code", errorName(error.code)}, {"reason", error.message}});
-  writer->respond(errorResponseOf(error));
+  writer->respond(makeErrorResponse(error));
 }
 
 void CallerService::onRequest(const http::Request& request,
@@ -196,7 +196,7 @@
   CallerError error;
   const std::optional<ChatRequest> chat = parseChatRequest(request.body, error);
   if (!chat) return refuse(error, writer);
-  std::optional<SubmitRequest> submit = admitChat(*chat, headers, *bundle_->bundle, tenant, error);
+  std::optional<SubmitRequest> submit = buildChatSubmit(*chat, headers, *bundle_->bundle, tenant, error);
   if (!submit) return refuse(error, writer);
   AnswerForm form;
   form.kind = chat->stream ? AnswerForm::Kind::Stream : AnswerForm::Kind::Whole;
@@ -211,7 +211,7 @@
   const std::string name = request.path().substr(kOperationsPath.size());
   CallerError error;
   std::optional<SubmitRequest> submit =
-      admitOperation(name, request.body, headers, *bundle_->bundle, tenant, error);
+      buildOperationSubmit(name, request.body, headers, *bundle_->bundle, tenant, error);
   if (!submit) return refuse(error, writer);
   AnswerForm form;
   form.kind = AnswerForm::Kind::Operation;
--- a/tests/fuzz/chat_request_fuzzer.cc
+++ b/tests/fuzz/chat_request_fuzzer.cc
@@ -21,6 +21,6 @@
   parseCallerHeaders(request, error);
   checkOperationBody(rest, error);
   const std::optional<ChatRequest> chat = parseChatRequest(rest, error);
-  if (chat) fuzz::check(!chat->model.empty() && chat->model.size() <= kMaximumModelNameBytes);
+  if (chat) fuzz::check(!chat->model.empty() && chat->model.size() <= kMaxModelNameBytes);
   return 0;
 }
--- a/tests/integration/bad_input/bad_input_test.cc
+++ b/tests/integration/bad_input/bad_input_test.cc
@@ -1,5 +1,5 @@
-/// @file Oversize and malformed input to a real sidecar and router: the one connection or request ends, and
-/// the requests of a neighbour go on unharmed.
+/// @file Oversized and malformed input to a real sidecar and router. Only the affected connection or request
+/// may fail; concurrent valid requests must not be disturbed.
 
 #include <fmt/format.h>
 
@@ -32,34 +32,35 @@
   return request;
 }
 
-/// A router and a sidecar that serve.
-struct Site {
-  Site() : site(1) {
-    site.roll(site.signBundle(1));
-    site.startRouter(0);
-    sidecar = &site.startSidecar();
-    callers = fmt::format("127.0.0.1:{}", sidecar->port("listening"));
-    admin = fmt::format("127.0.0.1:{}", sidecar->port("admin"));
-    REQUIRE(eventually([&] { return call(callers, chat(kChatBody)).status == 200; }));
+/// A router and a sidecar that are ready to serve requests.
+struct BadInputSite {
+  BadInputSite() : processes(1) {
+    processes.roll(processes.signBundle(1));
+    processes.startRouter(0);
+    sidecar = &processes.startSidecar();
+    caller_address = fmt::format("127.0.0.1:{}", sidecar->port("listening"));
+    admin_address = fmt::format("127.0.0.1:{}", sidecar->port("admin"));
+    REQUIRE(eventually([&] { return call(caller_address, chat(kChatBody)).status == 200; }));
   }
 
-  std::string routerMetrics() const { return get(site.adminAddress(0), "/metrics").body; }
+  std::string routerMetrics() const { return get(processes.adminAddress(0), "/metrics").body; }
 
-  RouterSite site;
+  RouterSite processes;
   Process* sidecar = nullptr;
-  std::string callers;
-  std::string admin;
+  std::string caller_address;
+  std::string admin_address;
 };
 
-/// Sends one good request after the other until it is stopped.
-class Neighbour {
+/// Sends valid requests one after the other until it is stopped.
+class BackgroundTraffic {
 public:
-  explicit Neighbour(const std::string& address) : thread_([this, address] { run(address); }) {}
-  ~Neighbour() { stop(); }
+  explicit BackgroundTraffic(const std::string& address) : thread_([this, address] { run(address); }) {}
+  ~BackgroundTraffic() { stop(); }
 
-  /// @return answers so far.
-  int answers() const { return answers_; }
-  /// Lets the neighbour end its last request. @return requests that were not answered whole.
+  /// @return number of complete responses so far.
+  int completed() const { return completed_; }
+  /// Stops after the current request.
+  /// @return number of requests without the expected complete response.
   int stop() {
     stopping_ = true;
     if (thread_.joinable()) thread_.join();
@@ -68,40 +69,41 @@
 
 private:
   void run(const std::string& address) {
-    std::string first;
+    std::string expected_text;
     while (!stopping_) {
       const CallResult result = call(address, chat(kChatBody));
       if (result.status != 200 || !result.complete) {
         ++failures_;
         continue;
       }
-      const auto answer = boost::json::parse(result.body);
-      const std::string text(answer.at("choices").at(0).at("message").at("content").as_string());
-      if (first.empty()) first = text;
-      if (text != first) ++failures_;
-      ++answers_;
+      const auto response = boost::json::parse(result.body);
+      const std::string text(response.at("choices").at(0).at("message").at("content").as_string());
+      if (expected_text.empty()) expected_text = text;
+      if (text != expected_text) ++failures_;
+      ++completed_;
     }
   }
 
   std::atomic<bool> stopping_ = false;
-  std::atomic<int> answers_ = 0;
+  std::atomic<int> completed_ = 0;
   std::atomic<int> failures_ = 0;
   std::thread thread_;
 };
 
-/// Runs `bad` while a neighbour sends good requests, at least one of them after the bad input.
-template <typename BadInput>
-void besideNeighbour(const std::string& address, BadInput bad) {
-  Neighbour neighbour(address);
-  bad();
-  const int before = neighbour.answers();
-  CHECK(eventually([&] { return neighbour.answers() > before; }));
-  CHECK(neighbour.stop() == 0);
+/// Sends bad input while valid requests run, and checks that all of them succeed. At least one completes
+/// after the bad input.
+template <typename SendBadInput>
+void checkDuringTraffic(const std::string& address, SendBadInput send_bad_input) {
+  BackgroundTraffic traffic(address);
+  send_bad_input();
+  const int completed_before = traffic.completed();
+  CHECK(eventually([&] { return traffic.completed() > completed_before; }));
+  CHECK(traffic.stop() == 0);
 }
 
-int statusOf(const RawAnswer& answer) {
-  const bool is_http = answer.bytes.rfind("HTTP/1.1 ", 0) == 0 && answer.bytes.size() > 12;
-  return is_http ? std::stoi(answer.bytes.substr(9, 3)) : 0;
+int statusOf(const RawResponse& response) {
+  const bool is_http = response.bytes.rfind("HTTP/1.1 ", 0) == 0 && response.bytes.size() > 12;
+  return is_http ? std::stoi(response.bytes.substr(9, 3)) : 0;
 }
 
 Hello helloOf(const std::string& name) {
@@ -112,7 +114,7 @@
   return hello;
 }
 
-std::string bigEndian(std::uint32_t number) {
+std::string bigEndianBytes(std::uint32_t number) {
   std::string bytes;
   for (int shift = 24; shift >= 0; shift -= 8) bytes += static_cast<char>((number >> shift) & 0xffU);
   return bytes;
@@ -120,8 +122,8 @@
 
 }  // namespace
 
-TEST_CASE("malformed HTTP gets a 4xx that says not run and ends its connection only", "[bad_input]") {
-  Site site;
+TEST_CASE("malformed HTTP receives a 4xx marked not run and closes only its own connection", "[bad_input]") {
+  BadInputSite site;
   const std::string head = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n";
   const std::vector<std::string> malformed = {
       std::string("\x00\x01\xff\xfe not http\r\n\r\n", 18),
@@ -137,36 +139,39 @@
       head + fmt::format("Content-Length: {}\r\n\r\n", 1U << 30U),
       "GET /" + std::string(100'000, 'a') + " HTTP/1.1\r\n\r\n",
   };
-  besideNeighbour(site.callers, [&] {
-    for (const std::string& address : {site.callers, site.admin, site.site.adminAddress(0)}) {
+  checkDuringTraffic(site.caller_address, [&] {
+    for (const std::string& address :
+         {site.caller_address, site.admin_address, site.processes.adminAddress(0)}) {
       for (const std::string& bytes : malformed) {
-        const RawAnswer answer = sendRaw(address, bytes);
-        INFO(address << " got " << bytes.substr(0, 90) << " and said " << answer.bytes.substr(0, 300));
-        CHECK(answer.ended);
-        CHECK(statusOf(answer) >= 400);
-        CHECK(statusOf(answer) < 500);
-        CHECK(answer.bytes.find("\"ran\":\"not_run\"") != std::string::npos);
+        const RawResponse response = sendRaw(address, bytes);
+        INFO(address << " received " << bytes.substr(0, 90) << " and responded "
+                     << response.bytes.substr(0, 300));
+        CHECK(response.closed_by_server);
+        CHECK(statusOf(response) >= 400);
+        CHECK(statusOf(response) < 500);
+        CHECK(response.bytes.find("\"ran\":\"not_run\"") != std::string::npos);
       }
     }
   });
 }
 
-TEST_CASE("a caller that breaks off in the middle of a request leaves nothing behind", "[bad_input]") {
-  Site site;
-  besideNeighbour(site.callers, [&] {
+TEST_CASE("no request remains in flight after a caller stops sending in the middle of one", "[bad_input]") {
+  BadInputSite site;
+  checkDuringTraffic(site.caller_address, [&] {
     const std::string head = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n";
     for (const std::string& bytes : {std::string("PO"), head.substr(0, 40), head, head + "{\"model\""}) {
-      CHECK(sendRaw(site.callers, bytes, true).ended);
+      CHECK(sendRaw(site.caller_address, bytes, true).closed_by_server);
     }
   });
   const auto idle = [&] {
-    return boost::json::parse(get(site.admin, "/status").body).at("requests_in_flight").as_int64() == 0;
+    return boost::json::parse(get(site.admin_address, "/status").body).at("requests_in_flight").as_int64() ==
+           0;
   };
   CHECK(eventually(idle));
 }
 
-TEST_CASE("hostile JSON gets a clear error that says not run", "[bad_input]") {
-  Site site;
+TEST_CASE("an invalid JSON body receives status 400 marked not run", "[bad_input]") {
+  BadInputSite site;
   const std::string message = R"("messages":[{"role":"user","content":"x"}])";
   const std::vector<std::string> bodies = {
       "",
@@ -183,100 +188,103 @@
       std::string("{\"model\":\"m\",\"messages\":[{\"role\":\"user\",\"content\":\"\xff\xc0\"}]}"),
       R"({"model":"m","model":"m")",
   };
-  besideNeighbour(site.callers, [&] {
+  checkDuringTraffic(site.caller_address, [&] {
     for (const std::string& body : bodies) {
-      const CallResult result = call(site.callers, chat(body));
-      INFO(body.substr(0, 90) << " got " << result.body);
+      const CallResult result = call(site.caller_address, chat(body));
+      INFO(body.substr(0, 90) << " received " << result.body);
       CHECK(result.status == 400);
       CHECK(result.body.find("\"ran\":\"not_run\"") != std::string::npos);
     }
   });
 }
 
-TEST_CASE("hostile frames end their own connection to a router only", "[bad_input]") {
-  Site site;
+TEST_CASE("a malformed frame closes only its own connection to a router", "[bad_input]") {
+  BadInputSite site;
   const std::string hello = encodeFrame(helloOf("broken"));
-  Hello future = helloOf("future");
-  future.lowest_version = 900;
-  future.highest_version = 901;
-  std::string cut_submit = encodeFrame(completion("cut", "hello"));
-  cut_submit[cut_submit.size() - 1] = '\xff';
+  Hello unsupported_hello = helloOf("future");
+  unsupported_hello.lowest_version = 900;
+  unsupported_hello.highest_version = 901;
+  std::string corrupt_submit = encodeFrame(completion("cut", "hello"));
+  corrupt_submit[corrupt_submit.size() - 1] = '\xff';
   const std::vector<std::string> malformed = {
       "GET / HTTP/1.1\r\n\r\n",
-      bigEndian(0xffffffffU) + "\x01",
-      bigEndian(kMaxFrameBytes + 1) + "\x01",
-      bigEndian(4) + std::string("\x00", 1) + "abcd",
-      bigEndian(4) + "\xee" + "abcd",
-      bigEndian(8) + "\x01" + std::string(8, '\xff'),
+      bigEndianBytes(0xffffffffU) + "\x01",
+      bigEndianBytes(kMaxFrameBytes + 1) + "\x01",
+      bigEndianBytes(4) + std::string("\x00", 1) + "abcd",
+      bigEndianBytes(4) + "\xee" + "abcd",
+      bigEndianBytes(8) + "\x01" + std::string(8, '\xff'),
       encodeFrame(completion("early", "hello")),
-      encodeFrame(future),
+      encodeFrame(unsupported_hello),
       hello + hello,
-      hello + bigEndian(0xffffffffU) + "\x02",
-      hello + cut_submit,
+      hello + bigEndianBytes(0xffffffffU) + "\x02",
+      hello + corrupt_submit,
   };
-  besideNeighbour(site.callers, [&] {
+  checkDuringTraffic(site.caller_address, [&] {
     for (const std::string& bytes : malformed) {
       INFO(toHex(hashBytes(bytes)) << " " << bytes.size() << " bytes");
-      CHECK(sendRaw(site.site.routerAddress(0), bytes).ended);
+      CHECK(sendRaw(site.processes.routerAddress(0), bytes).closed_by_server);
     }
-    // Broken off within a frame, before and after the greeting.
-    CHECK(sendRaw(site.site.routerAddress(0), hello.substr(0, 3), true).ended);
-    CHECK(sendRaw(site.site.routerAddress(0), hello + bigEndian(100) + "\x02", true).ended);
+    // Truncated frames: before and after the Hello message.
+    CHECK(sendRaw(site.processes.routerAddress(0), hello.substr(0, 3), true).closed_by_server);
+    CHECK(sendRaw(site.processes.routerAddress(0), hello + bigEndianBytes(100) + "\x02", true)
+              .closed_by_server);
   });
-  const auto forgotten = [&] {
+  const auto one_sidecar_left = [&] {
     return site.routerMetrics().find("crankspur_router_sidecars 1") != std::string::npos;
   };
-  CHECK(eventually(forgotten));
+  CHECK(eventually(one_sidecar_left));
 }
 
-TEST_CASE("bundles that are no bundles are refused, whoever offers them", "[bad_input]") {
-  Site site;
-  const BundleBody good = site.site.signBundle(9);
-  const auto spoilt = [&good](auto change) {
-    BundleBody body = good;
+TEST_CASE("a router rejects invalid bundles that a sidecar offers and keeps the bundle in effect",
+          "[bad_input]") {
+  BadInputSite site;
+  const BundleBody valid = site.processes.signBundle(9);
+  const auto corrupted = [&valid](auto change) {
+    BundleBody body = valid;
     change(body);
     return body;
   };
-  std::vector<BundleBody> bad = {
-      spoilt([](BundleBody& body) { body.document = ""; }),
-      spoilt([](BundleBody& body) { body.document += std::string(1U << 20U, '#'); }),
-      spoilt([](BundleBody& body) { body.version = 10; }),
-      spoilt([](BundleBody& body) { body.author_signature = ""; }),
-      spoilt([](BundleBody& body) { body.author_signature = "not base64!"; }),
-      spoilt([](BundleBody& body) { body.approver_signature = std::string(100'000, 'A'); }),
-      spoilt([](BundleBody& body) { std::swap(body.author_signature, body.approver_signature); }),
+  std::vector<BundleBody> invalid = {
+      corrupted([](BundleBody& body) { body.document = ""; }),
+      corrupted([](BundleBody& body) { body.document += std::string(1U << 20U, '#'); }),
+      corrupted([](BundleBody& body) { body.version = 10; }),
+      corrupted([](BundleBody& body) { body.author_signature = ""; }),
+      corrupted([](BundleBody& body) { body.author_signature = "not base64!"; }),
+      corrupted([](BundleBody& body) { body.approver_signature = std::string(100'000, 'A'); }),
+      corrupted([](BundleBody& body) { std::swap(body.author_signature, body.approver_signature); }),
   };
-  besideNeighbour(site.callers, [&] {
+  checkDuringTraffic(site.caller_address, [&] {
     std::uint64_t version = 20;
-    for (BundleBody& body : bad) {
-      // Each under a version of its own, as a refused version is not asked for again for a while.
-      if (body.version == good.version) body.version = version++;
-      TestSidecar offering(site.site.routerAddress(0), body);
-      const std::string refused = fmt::format("bundles_refused_total {}", &body - bad.data() + 1);
-      INFO(refused);
-      CHECK(eventually([&] { return site.routerMetrics().find(refused) != std::string::npos; }));
+    for (BundleBody& body : invalid) {
+      // Each has its own version because a rejected version is not requested again for a while.
+      if (body.version == valid.version) body.version = version++;
+      TestSidecar sidecar(site.processes.routerAddress(0), body);
+      const std::string rejection_count = fmt::format("bundles_refused_total {}", &body - invalid.data() + 1);
+      INFO(rejection_count);
+      CHECK(eventually([&] { return site.routerMetrics().find(rejection_count) != std::string::npos; }));
     }
   });
-  CHECK(site.site.status(0).find("\"bundle_version\":1,") != std::string::npos);
+  CHECK(site.processes.status(0).find("\"bundle_version\":1,") != std::string::npos);
 }
 
-TEST_CASE("a spoilt row of the accepted bundle changes nothing", "[bad_input]") {
-  Site site;
-  const std::string platform = site.site.platformAddress();
-  besideNeighbour(site.callers, [&] {
+TEST_CASE("a corrupted bundle row in the table leaves the bundle in effect unchanged", "[bad_input]") {
+  BadInputSite site;
+  const std::string platform = site.processes.platformAddress();
+  checkDuringTraffic(site.caller_address, [&] {
     for (const std::string& row : {std::string("{"), std::string("[]"), std::string(R"({"version":99})"),
                                    std::string(1U << 16U, 'x')}) {
-      const auto held = boost::json::parse(get(platform, "/v1/rows?key=crankspur%2Fbundle").body);
+      const auto current_row = boost::json::parse(get(platform, "/v1/rows?key=crankspur%2Fbundle").body);
       const boost::json::object transaction{
           {"conditions", boost::json::array{boost::json::object{{"key", "crankspur/bundle"},
-                                                                {"version", held.at("version")}}}},
+                                                                {"version", current_row.at("version")}}}},
           {"writes", boost::json::array{boost::json::object{{"key", "crankspur/bundle"}, {"value", row}}}}};
       REQUIRE(post(platform, "/v1/transactions", boost::json::serialize(transaction)).status == 200);
-      // A router that starts meanwhile looks at the row at once.
-      site.site.startRouter(1, {"--peers=" + site.site.routerAddress(0), "--bundle_row_interval_ms=50"});
-      CHECK(
-          eventually([&] { return site.site.status(1).find("\"bundle_version\":1,") != std::string::npos; }));
-      CHECK(site.site.status(0).find("\"bundle_version\":1,") != std::string::npos);
+      // A router that starts now reads the row immediately.
+      site.processes.startRouter(
+          1, {"--peers=" + site.processes.routerAddress(0), "--bundle_row_interval_ms=50"});
+      CHECK(eventually(
+          [&] { return site.processes.status(1).find("\"bundle_version\":1,") != std::string::npos; }));
+      CHECK(site.processes.status(0).find("\"bundle_version\":1,") != std::string::npos);
     }
   });
 }
--- a/tests/integration/bad_input/raw_call.cc
+++ b/tests/integration/bad_input/raw_call.cc
@@ -14,33 +14,34 @@
 
 namespace asio = boost::asio;
 
-constexpr std::chrono::seconds kPatience{15};
+constexpr std::chrono::seconds kTimeout{15};
 
 }  // namespace
 
-RawAnswer sendRaw(const std::string& address, const std::string& bytes, bool half_close) {
+RawResponse sendRaw(const std::string& address, const std::string& bytes, bool half_close) {
   asio::io_context context;
   asio::ip::tcp::socket socket(context);
   boost::system::error_code error;
   socket.connect(parseEndpoint(address, error));
-  RawAnswer answer;
+  RawResponse response;
   std::array<char, 4096> chunk{};
   const std::function<void()> read = [&] {
-    socket.async_read_some(asio::buffer(chunk), [&](boost::system::error_code failure, std::size_t count) {
-      answer.bytes.append(chunk.data(), count);
-      if (!failure) return read();
-      answer.ended = true;
+    socket.async_read_some(asio::buffer(chunk), [&](boost::system::error_code io_error, std::size_t count) {
+      response.bytes.append(chunk.data(), count);
+      if (!io_error) return read();
+      response.closed_by_server = true;
       context.stop();
     });
   };
   read();
-  // The server may end the connection before it has read everything; what it answered counts.
-  asio::async_write(socket, asio::buffer(bytes), [&](boost::system::error_code failure, std::size_t) {
+  // The server may close the connection before it has read everything, so a write error is not a failure:
+  // only the response matters.
+  asio::async_write(socket, asio::buffer(bytes), [&](boost::system::error_code io_error, std::size_t) {
     boost::system::error_code ignored;
-    if (!failure && half_close) socket.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
+    if (!io_error && half_close) socket.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
   });
-  context.run_for(kPatience);
-  return answer;
+  context.run_for(kTimeout);
+  return response;
 }
 
 }  // namespace crankspur::testing
--- a/tests/integration/bad_input/raw_call.h
+++ b/tests/integration/bad_input/raw_call.h
@@ -1,19 +1,19 @@
 #pragma once
-/// @file Raw bytes to a TCP port, as a hostile or broken client sends them.
+/// @file Sends raw bytes to a TCP port, to simulate a malicious or faulty client.
 
 #include <string>
 
 namespace crankspur::testing {
 
-/// What came back.
-struct RawAnswer {
+/// Bytes received from the server.
+struct RawResponse {
   std::string bytes;
-  bool ended = false;  ///< The server ended the connection by itself.
+  bool closed_by_server = false;  ///< Whether the server closed the connection.
 };
 
-/// Connects, sends `bytes` and reads until the server ends the connection; gives up after 15 s.
+/// Connects, sends `bytes` and reads until the server closes the connection or 15 s have passed.
 /// @param address "IP:port".
-/// @param half_close says after sending that nothing more follows.
-RawAnswer sendRaw(const std::string& address, const std::string& bytes, bool half_close = false);
+/// @param half_close whether to shut down the sending direction after `bytes`.
+RawResponse sendRaw(const std::string& address, const std::string& bytes, bool half_close = false);
 
 }  // namespace crankspur::testing
--- a/tests/integration/gateway/gateway_process_test.cc
+++ b/tests/integration/gateway/gateway_process_test.cc
@@ -2,18 +2,18 @@
 
 namespace crankspur::gateway {
 
-TEST_CASE("a gateway passes request and answer on unaltered", "[gateway_process]") {
-  Site site(Repeatability::AtMostOnce, false);
+TEST_CASE("a gateway forwards request and response unaltered", "[gateway_process]") {
+  GatewaySite site(Repeatability::AtMostOnce, false);
   const std::string text(100'000, 'x');
   site.send("one", text);
-  Asked& asked = site.nextAsked(1);
-  CHECK(asked.request.method == "POST");
-  CHECK(asked.request.target == "/r/1?q=a%20b");
-  CHECK(asked.request.header("Host") == "desk.example");
-  CHECK(asked.request.header("X-Kept") == "k");
-  CHECK(asked.request.header("X-Expect").starts_with("b"));
-  CHECK(asked.request.body == text);
-  asked.writer->respond({201, sealed("one"), text + "y"});
+  ReceivedRequest& received = site.awaitRequest(1);
+  CHECK(received.request.method == "POST");
+  CHECK(received.request.target == "/r/1?q=a%20b");
+  CHECK(received.request.header("Host") == "desk.example");
+  CHECK(received.request.header("X-Kept") == "k");
+  CHECK(received.request.header("X-Expect").starts_with("b"));
+  CHECK(received.request.body == text);
+  received.writer->respond({201, sealed("one"), text + "y"});
   site.runUntil([&] { return site.done; });
   CHECK_FALSE(site.error);
   CHECK(site.status == 201);
@@ -23,39 +23,39 @@
   site.runUntil([&] { return site.process->inFlight() == 0; });
 }
 
-TEST_CASE("a gateway passes each event on as it comes", "[gateway_process]") {
-  Site site(Repeatability::AtMostOnce, true);
+TEST_CASE("a gateway forwards each event of a stream as soon as it is received", "[gateway_process]") {
+  GatewaySite site(Repeatability::AtMostOnce, true);
   site.send("one");
-  Asked& asked = site.nextAsked(1);
-  asked.writer->begin(200, sealed("one"));
+  ReceivedRequest& received = site.awaitRequest(1);
+  received.writer->begin(200, sealed("one"));
   site.runUntil([&] { return site.status == 200; });
   for (const std::string event : {"id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"}) {
     const std::string expected = site.body + event;
-    asked.writer->write(event);
+    received.writer->write(event);
     site.runUntil([&] { return site.body == expected; });
   }
   CHECK_FALSE(site.done);
-  SECTION("to its end") {
-    asked.writer->end();
+  SECTION("stream completed") {
+    received.writer->end();
     site.runUntil([&] { return site.done; });
     CHECK_FALSE(site.error);
   }
-  SECTION("a cut looks like one") {
-    asked.writer->abort();
+  SECTION("stream aborted by the back end") {
+    received.writer->abort();
     site.runUntil([&] { return site.done; });
     CHECK(site.error);
   }
 }
 
-TEST_CASE("a gateway goes on with a resumable stream at another back end", "[gateway_process]") {
-  Site site(Repeatability::ResumableStream, true);
+TEST_CASE("a gateway resumes a resumable stream at another back end", "[gateway_process]") {
+  GatewaySite site(Repeatability::ResumableStream, true);
   site.send("one");
-  Asked first = site.nextAsked(1);
+  ReceivedRequest first = site.awaitRequest(1);
   first.writer->begin(200, sealed("one"));
   first.writer->write("id: 1\ndata: a\n\nid: 2\nda");
   site.runUntil([&] { return site.body == "id: 1\ndata: a\n\n"; });
   first.writer->abort();
-  Asked second = site.nextAsked(2);
+  ReceivedRequest second = site.awaitRequest(2);
   CHECK(second.request.header("X-After") == "1");
   CHECK(second.request.header("X-Expect") != first.request.header("X-Expect"));
   second.writer->begin(200, sealed("one"));
@@ -66,19 +66,20 @@
   CHECK(site.body == "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
 }
 
-TEST_CASE("a back end hears at once that the client has gone", "[gateway_process]") {
-  Site site(Repeatability::Repeatable, false);
+TEST_CASE("a back end is notified when the client disconnects", "[gateway_process]") {
+  GatewaySite site(Repeatability::Repeatable, false);
   site.send("one");
-  site.nextAsked(1);
+  site.awaitRequest(1);
   site.exchange->cancel();
-  site.runUntil([&] { return site.gone == 1; });
+  site.runUntil([&] { return site.disconnects == 1; });
   site.runUntil([&] { return site.process->inFlight() == 0; });
 }
 
-TEST_CASE("a draining gateway serves open connections and closes them with the answer", "[gateway_process]") {
-  Site site(Repeatability::AtMostOnce, false);
+TEST_CASE("a draining gateway serves open connections and closes them after the response",
+          "[gateway_process]") {
+  GatewaySite site(Repeatability::AtMostOnce, false);
   site.send("one");
-  Asked first = site.nextAsked(1);
+  ReceivedRequest first = site.awaitRequest(1);
   site.process->drain();
   CHECK_FALSE(site.process->ready());
   first.writer->respond({200, sealed("one"), "a"});
@@ -86,7 +87,7 @@
   CHECK_FALSE(site.error);
   CHECK(site.headers.at("Connection") == "close");
   site.send("two");
-  Asked second = site.nextAsked(2);
+  ReceivedRequest second = site.awaitRequest(2);
   CHECK(site.process->inFlight() == 1);
   second.writer->respond({200, sealed("two"), "b"});
   site.runUntil([&] { return site.done; });
--- a/tests/integration/gateway/gateway_site.h
+++ b/tests/integration/gateway/gateway_site.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file A gateway process between real sockets: a client on this side, back ends on the other, a dialect of
-/// its own.
+/// @file Fixture with a gateway process that is connected over real sockets to a client and to two back ends
+/// behind a fault proxy.
 
 #include <boost/asio/io_context.hpp>
 #include <catch2/catch.hpp>
@@ -16,7 +16,7 @@
 
 namespace crankspur::gateway {
 
-/// A dialect with names of its own.
+/// Dialect whose header names differ from those of the production dialects.
 class TestDialect : public Dialect {
 public:
   std::optional<ClientRequest> readRequest(const http::Request& head) const override {
@@ -33,17 +33,17 @@
     return headers;
   }
   BackendResponse readResponse(const http::Response& head, const std::string& request_id) const override {
-    BackendResponse answer;
+    BackendResponse response;
     const auto id = head.headers.find("X-Id");
-    answer.other_request = id != head.headers.end() && id->second != request_id;
-    answer.genuine = head.headers.contains("X-Seal");
-    answer.not_run = head.headers.contains("X-Not-Run");
-    return answer;
+    response.other_request = id != head.headers.end() && id->second != request_id;
+    response.genuine = head.headers.contains("X-Seal");
+    response.not_run = head.headers.contains("X-Not-Run");
+    return response;
   }
 };
 
-/// What a back end was asked, and how to answer it.
-struct Asked {
+/// Request received by a back end, and the writer for its response.
+struct ReceivedRequest {
   http::Request request;
   std::shared_ptr<http::ResponseWriter> writer;
 };
@@ -56,13 +56,13 @@
           {"X-Hop", "h"}};
 }
 
-/// A gateway with two back ends behind a proxy and a client, all in one event loop but for the gateway's own
-/// thread.
-class Site {
+/// Gateway, client, proxy and two back ends. All of them share one event loop, except that the gateway has
+/// its own traffic thread.
+class GatewaySite {
 public:
-  static constexpr std::chrono::seconds kPatience{20};
+  static constexpr std::chrono::seconds kTimeout{20};
 
-  explicit Site(Repeatability repeatability, bool streaming, GatewaySettings decisions = {}) {
+  explicit GatewaySite(Repeatability repeatability, bool streaming, GatewaySettings decisions = {}) {
     for (std::size_t index = 0; index < 2; ++index) startBackend();
     GatewayProcessSettings settings;
     settings.listen_address = "127.0.0.1:0";
@@ -75,13 +75,13 @@
   }
 
   void startBackend() {
-    std::error_code failure;
+    std::error_code listen_error;
     const auto handler = [this](http::Request request, std::shared_ptr<http::ResponseWriter> writer) {
-      asked.push_back({std::move(request), std::move(writer)});
-      asked.back().writer->onClientGone([this] { ++gone; });
+      requests.push_back({std::move(request), std::move(writer)});
+      requests.back().writer->onClientGone([this] { ++disconnects; });
     };
-    backends.push_back(http::listen(context.get_executor(), "127.0.0.1:0", handler, failure));
-    REQUIRE_FALSE(failure);
+    backends.push_back(http::listen(context.get_executor(), "127.0.0.1:0", handler, listen_error));
+    REQUIRE_FALSE(listen_error);
     REQUIRE_FALSE(
         proxy.addRoute({"b", "127.0.0.1:0", "127.0.0.1:" + std::to_string(backends.back()->port())}));
   }
@@ -102,8 +102,8 @@
     Pool pool;
     pool.name = "p";
     configuration->pools = {pool};
-    auto made = std::make_shared<GatewaySnapshot>();
-    made->configuration = configuration;
+    auto published = std::make_shared<GatewaySnapshot>();
+    published->configuration = configuration;
     for (std::size_t index = 0; index < backends.size(); ++index) {
       Backend backend;
       backend.view.slot = static_cast<EngineSlot>(index);
@@ -112,21 +112,21 @@
       backend.view.address = "127.0.0.1:" + std::to_string(proxy.ports()[index]);
       backend.view.pool = "p";
       backend.slots = 8;
-      made->backends.push_back(backend);
+      published->backends.push_back(backend);
     }
-    return made;
+    return published;
   }
 
   void runUntil(const std::function<bool()>& condition) {
-    const auto end = std::chrono::steady_clock::now() + kPatience;
-    while (!condition() && std::chrono::steady_clock::now() < end) {
+    const auto deadline = std::chrono::steady_clock::now() + kTimeout;
+    while (!condition() && std::chrono::steady_clock::now() < deadline) {
       if (context.stopped()) context.restart();
       context.run_one_for(std::chrono::milliseconds(20));
     }
     REQUIRE(condition());
   }
 
-  /// Sends a request; what comes of it is in `status`, `body`, `done` and `error`.
+  /// Sends a request. Its outcome is stored in `status`, `headers`, `body`, `done` and `error`.
   void send(const std::string& id, const std::string& request_body = "") {
     http::Request request;
     request.method = "POST";
@@ -148,16 +148,18 @@
     exchange = client->start("127.0.0.1:" + std::to_string(process->port()), std::move(request), callbacks);
   }
 
-  Asked& nextAsked(std::size_t number) {
-    runUntil([&] { return asked.size() >= number; });
-    return asked[number - 1];
+  /// Waits until the back ends have received `number` requests.
+  /// @return the last of these.
+  ReceivedRequest& awaitRequest(std::size_t number) {
+    runUntil([&] { return requests.size() >= number; });
+    return requests[number - 1];
   }
 
   boost::asio::io_context context{1};
-  standin::FaultProxy proxy{context.get_executor(), 1};  ///< Before the back ends.
+  standin::FaultProxy proxy{context.get_executor(), 1};  ///< In front of the back ends.
   std::vector<std::unique_ptr<http::Server>> backends;
-  std::vector<Asked> asked;
-  int gone = 0;
+  std::vector<ReceivedRequest> requests;
+  int disconnects = 0;
   std::unique_ptr<GatewayProcess> process;
   std::unique_ptr<http::Client> client;
   std::shared_ptr<http::Exchange> exchange;
--- a/tests/integration/http_call.cc
+++ b/tests/integration/http_call.cc
@@ -5,16 +5,17 @@
 namespace crankspur::testing {
 
 BackgroundCall::BackgroundCall(const std::string& address, http::Request request,
-                               std::chrono::milliseconds limit)
-    : thread_([this, address, request, limit] { run(address, request, limit); }) {}
+                               std::chrono::milliseconds timeout)
+    : thread_([this, address, request, timeout] { run(address, request, timeout); }) {}
 
 BackgroundCall::~BackgroundCall() {
-  abandon();
+  cancel();
   if (thread_.joinable()) thread_.join();
 }
 
-void BackgroundCall::run(const std::string& address, http::Request request, std::chrono::milliseconds limit) {
-  const auto begin = std::chrono::steady_clock::now();
+void BackgroundCall::run(const std::string& address, http::Request request,
+                         std::chrono::milliseconds timeout) {
+  const auto start_time = std::chrono::steady_clock::now();
   const auto client = http::makeClient(context_.get_executor());
   http::ExchangeCallbacks callbacks;
   callbacks.on_headers = [this](int status, const http::Headers& headers) {
@@ -32,16 +33,16 @@
     context_.stop();
   };
   http::ExchangeOptions options;
-  options.idle_timeout = limit;
+  options.idle_timeout = timeout;
   {
     const std::lock_guard lock(mutex_);
     exchange_ = client->start(address, std::move(request), std::move(callbacks), options);
   }
-  context_.run_for(limit);
+  context_.run_for(timeout);
   const std::lock_guard lock(mutex_);
   exchange_.reset();
   result_.elapsed =
-      std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - begin);
+      std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - start_time);
   done_ = true;
 }
 
@@ -60,7 +61,7 @@
   return result_;
 }
 
-void BackgroundCall::abandon() {
+void BackgroundCall::cancel() {
   boost::asio::post(context_, [this] {
     std::shared_ptr<http::Exchange> exchange;
     {
@@ -72,8 +73,8 @@
   });
 }
 
-CallResult call(const std::string& address, http::Request request, std::chrono::milliseconds limit) {
-  return BackgroundCall(address, std::move(request), limit).result();
+CallResult call(const std::string& address, http::Request request, std::chrono::milliseconds timeout) {
+  return BackgroundCall(address, std::move(request), timeout).result();
 }
 
 CallResult get(const std::string& address, const std::string& target) {
--- a/tests/integration/http_call.h
+++ b/tests/integration/http_call.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Blocking and background HTTP calls for integration tests, over the project's own client.
+/// @file Blocking and background HTTP calls for integration tests.
 
 #include <boost/asio/io_context.hpp>
 #include <chrono>
@@ -12,32 +12,32 @@
 
 namespace crankspur::testing {
 
-/// How a call ended.
+/// Response and outcome of a call.
 struct CallResult {
   int status = 0;
   http::Headers headers;
   std::string body;
-  bool complete = false;  ///< False when the connection failed or the stream was cut.
+  bool complete = false;  ///< False if the connection failed or the body was truncated.
   std::chrono::milliseconds elapsed{0};
 };
 
-/// One HTTP call that runs on its own thread; the body so far can be read while it streams.
+/// HTTP call that runs on its own thread. The part of the body received so far can be read at any time.
 class BackgroundCall {
 public:
   BackgroundCall(const std::string& address, http::Request request,
-                 std::chrono::milliseconds limit = std::chrono::seconds(30));
+                 std::chrono::milliseconds timeout = std::chrono::seconds(30));
   ~BackgroundCall();
   /// @return the body received so far.
   std::string bodySoFar() const;
   /// @return whether the call has ended.
   bool done() const;
-  /// Waits for the end.
+  /// Waits until the call has ended.
   CallResult result();
-  /// Closes the connection as a caller who gives up does.
-  void abandon();
+  /// Cancels the call by closing the connection.
+  void cancel();
 
 private:
-  void run(const std::string& address, http::Request request, std::chrono::milliseconds limit);
+  void run(const std::string& address, http::Request request, std::chrono::milliseconds timeout);
 
   mutable std::mutex mutex_;
   CallResult result_;
@@ -47,12 +47,12 @@
   std::thread thread_;
 };
 
-/// Runs one call to its end.
+/// Runs a call and waits until it has ended.
 CallResult call(const std::string& address, http::Request request,
-                std::chrono::milliseconds limit = std::chrono::seconds(30));
-/// GET without headers.
+                std::chrono::milliseconds timeout = std::chrono::seconds(30));
+/// Sends a GET request without headers.
 CallResult get(const std::string& address, const std::string& target);
-/// POST of a JSON body.
+/// Sends a POST request with a JSON body.
 CallResult post(const std::string& address, const std::string& target, const std::string& body);
 
 }  // namespace crankspur::testing
--- a/tests/integration/node/node_flags_test.cc
+++ b/tests/integration/node/node_flags_test.cc
@@ -1,4 +1,4 @@
-/// @file Flags that routers and sidecars share.
+/// @file Command-line flags that routers and sidecars have in common.
 
 #include <catch2/catch.hpp>
 
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// @return flags with which either program would serve; the platform need not answer.
-std::vector<std::string> wholeFlags() {
+/// @return flags with which either program starts. The platform does not have to be reachable.
+std::vector<std::string> validFlags() {
   return {"--name=n",
           "--zone=z",
           "--region=r",
@@ -22,11 +22,11 @@
 
 }  // namespace
 
-TEST_CASE("a bad flag of a node ends it with code 2", "[node]") {
+TEST_CASE("a router or sidecar exits with code 2 on an invalid flag", "[node]") {
   const std::string program = GENERATE("crankspur_router", "crankspur_sidecar");
   const std::string flag =
       GENERATE("--log_format=xml", "--admin=nowhere", "--platform=nowhere", "--listen=127.0.0.1");
-  std::vector<std::string> flags = wholeFlags();
+  std::vector<std::string> flags = validFlags();
   flags.push_back(flag);
   INFO(program << " " << flag);
   Process process(program, flags, makeScratchFolder() + "/log");
--- a/tests/integration/operator/bundle_roll_test.cc
+++ b/tests/integration/operator/bundle_roll_test.cc
@@ -9,17 +9,17 @@
 
 namespace {
 
-std::string replaced(std::string text, const std::string& from, const std::string& to) {
-  const std::size_t place = text.find(from);
-  REQUIRE(place != std::string::npos);
-  return text.replace(place, from.size(), to);
+std::string replaceOnce(std::string text, const std::string& from, const std::string& to) {
+  const std::size_t position = text.find(from);
+  REQUIRE(position != std::string::npos);
+  return text.replace(position, from.size(), to);
 }
 
 std::string firstLine(const std::string& text) {
   return text.substr(0, text.find('\n'));
 }
 
-/// A platform, and two operators with their keys.
+/// A platform and the signing keys of two operators, an author and an approver.
 class OperatorSite {
 public:
   OperatorSite() : platform_("standin_platform", {"--machine_list_lag_ms=0"}, folder_ + "/platform.log") {
@@ -35,12 +35,13 @@
     return runProgram("crankspurctl", arguments, output_);
   }
 
-  /// Writes, signs and approves a document. @return its path.
+  /// Writes, signs and approves a bundle document.
+  /// @return its path.
   std::string prepare(int version, const std::string& comment) {
     const std::string path = folder_ + "/" + comment + std::to_string(version) + ".toml";
     const std::string example = readText(CRANKSPUR_SOURCE_DIR "/examples/parts_desk/bundle.toml");
     const std::string line = "version = " + std::to_string(version) + "  # " + comment + "\n";
-    writeText(path, replaced(example, "version = 1\n", line));
+    writeText(path, replaceOnce(example, "version = 1\n", line));
     REQUIRE(run({"bundle", "sign", path, "--key=" + folder_ + "/author.key"}) == 0);
     REQUIRE(run({"bundle", "approve", path, "--key=" + folder_ + "/approver.key"}) == 0);
     return path;
@@ -58,7 +59,7 @@
 
   void control(const std::string& body) { REQUIRE(post(platform_address_, "/control", body).status == 200); }
 
-  /// @return the settings that routers and sidecars share.
+  /// @return the settings that routers and sidecars have in common.
   std::string commonSettings(const std::string& name) const {
     return "name = \"" + name + "\"\nzone = \"z\"\nregion = \"r\"\nlisten = \"127.0.0.1:0\"\n" +
            "admin = \"127.0.0.1:0\"\nplatform = \"" + platform_address_ + "\"\n";
@@ -97,7 +98,7 @@
 
 }  // namespace
 
-TEST_CASE("a rolled bundle is in force on every node, and a later one follows", "[operator]") {
+TEST_CASE("a rolled bundle and its successor take effect on every node", "[operator]") {
   OperatorSite site;
   REQUIRE(site.roll(site.prepare(1, "first")) == 0);
   const auto router1 = site.start("crankspur_router", "r1", "");
@@ -113,15 +114,16 @@
   CHECK(site.run({"explain", "unknown", "--routers=" + adminOf(*router1)}) == 1);
 }
 
-TEST_CASE("with the platform down, a restarted router gets the bundle from its peers", "[operator]") {
+TEST_CASE("a router that starts while the platform is down receives the bundle from its peers",
+          "[operator]") {
   OperatorSite site;
   REQUIRE(site.roll(site.prepare(1, "first")) == 0);
   const auto router1 = site.start("crankspur_router", "r1", "");
   CHECK(site.status(adminOf(*router1), "30") == 0);
   site.control(R"({"service":"all","mode":"down"})");
   const auto router2 = site.start("crankspur_router", "r2", peersSetting(*router1, "peers"));
-  const auto serves = [&] { return get(adminOf(*router2), "/healthz").status == 200; };
-  CHECK(eventually(serves));
+  const auto healthy = [&] { return get(adminOf(*router2), "/healthz").status == 200; };
+  CHECK(eventually(healthy));
   CHECK(site.status(adminOf(*router2), "0") == 3);
   CHECK(site.roll(site.prepare(2, "second")) == 3);
 }
--- a/tests/integration/process.cc
+++ b/tests/integration/process.cc
@@ -19,33 +19,33 @@
 
 namespace {
 
-constexpr std::chrono::seconds kReadyLimit{20};
+constexpr std::chrono::seconds kReadyTimeout{20};
 constexpr std::chrono::milliseconds kPollInterval{20};
 
-struct Spawned {
+struct SpawnedProcess {
   pid_t id;
   int output;
 };
 
-Spawned spawn(const std::string& program, const std::vector<std::string>& arguments,
-              const std::string& log_path) {
+SpawnedProcess spawn(const std::string& program, const std::vector<std::string>& arguments,
+                     const std::string& log_path) {
   const std::string path = std::string(CRANKSPUR_BIN_DIR) + "/" + program;
   std::vector<char*> argv{const_cast<char*>(path.c_str())};
   for (const std::string& argument : arguments) argv.push_back(const_cast<char*>(argument.c_str()));
   argv.push_back(nullptr);
-  int ends[2];
-  if (pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("pipe failed");
+  int pipe_fds[2];
+  if (pipe2(pipe_fds, O_CLOEXEC) != 0) throw std::runtime_error("pipe failed");
   posix_spawn_file_actions_t actions;
   posix_spawn_file_actions_init(&actions);
-  posix_spawn_file_actions_adddup2(&actions, ends[1], STDOUT_FILENO);
+  posix_spawn_file_actions_adddup2(&actions, pipe_fds[1], STDOUT_FILENO);
   posix_spawn_file_actions_addopen(&actions, STDERR_FILENO, log_path.c_str(), O_WRONLY | O_CREAT | O_APPEND,
                                    0600);
   pid_t id = -1;
   const int error = posix_spawn(&id, path.c_str(), &actions, nullptr, argv.data(), environ);
   posix_spawn_file_actions_destroy(&actions);
-  close(ends[1]);
+  close(pipe_fds[1]);
   if (error != 0) throw std::runtime_error("cannot start " + path);
-  return {id, ends[0]};
+  return {id, pipe_fds[0]};
 }
 
 }  // namespace
@@ -53,40 +53,40 @@
 Process::Process(const std::string& program, const std::vector<std::string>& arguments,
                  const std::string& log_path)
     : log_path_(log_path) {
-  const Spawned spawned = spawn(program, arguments, log_path);
-  id_ = spawned.id;
-  output_ = spawned.output;
+  const SpawnedProcess child = spawn(program, arguments, log_path);
+  id_ = child.id;
+  output_fd_ = child.output;
 }
 
 Process::~Process() {
   kill();
-  close(output_);
+  close(output_fd_);
 }
 
 std::string Process::readyLine() {
-  const auto limit = std::chrono::steady_clock::now() + kReadyLimit;
-  while (line_.find('\n') == std::string::npos) {
-    pollfd descriptor{output_, POLLIN, 0};
+  const auto deadline = std::chrono::steady_clock::now() + kReadyTimeout;
+  while (ready_output_.find('\n') == std::string::npos) {
+    pollfd descriptor{output_fd_, POLLIN, 0};
     poll(&descriptor, 1, static_cast<int>(kPollInterval.count()));
     char buffer[512];
-    const ssize_t count = (descriptor.revents & POLLIN) != 0 ? read(output_, buffer, sizeof(buffer)) : -1;
-    if (count > 0) line_.append(buffer, static_cast<std::size_t>(count));
-    const bool ended = !running();
-    if (count <= 0 && (ended || std::chrono::steady_clock::now() > limit)) {
+    const ssize_t count = (descriptor.revents & POLLIN) != 0 ? read(output_fd_, buffer, sizeof(buffer)) : -1;
+    if (count > 0) ready_output_.append(buffer, static_cast<std::size_t>(count));
+    const bool exited = !running();
+    if (count <= 0 && (exited || std::chrono::steady_clock::now() > deadline)) {
       throw std::runtime_error("no ready line; log: " + readText(log_path_));
     }
   }
-  return line_.substr(0, line_.find('\n'));
+  return ready_output_.substr(0, ready_output_.find('\n'));
 }
 
-std::uint16_t Process::port(const std::string& word) {
+std::uint16_t Process::port(const std::string& label) {
   std::istringstream words(readyLine());
-  std::string current;
-  while (words >> current) {
+  std::string word;
+  while (words >> word) {
     int number = 0;
-    if (current == word && words >> number) return static_cast<std::uint16_t>(number);
+    if (word == label && words >> number) return static_cast<std::uint16_t>(number);
   }
-  throw std::runtime_error("ready line lacks '" + word + "': " + line_);
+  throw std::runtime_error("ready line lacks '" + label + "': " + ready_output_);
 }
 
 void Process::signal(int number) const {
@@ -111,30 +111,30 @@
   id_ = -1;
 }
 
-int Process::wait(std::chrono::milliseconds limit) {
-  const bool ended = eventually([this] { return !running(); }, limit);
-  return ended ? status_ : -1;
+int Process::wait(std::chrono::milliseconds timeout) {
+  const bool exited = eventually([this] { return !running(); }, timeout);
+  return exited ? status_ : -1;
 }
 
-bool eventually(const std::function<bool()>& condition, std::chrono::milliseconds limit) {
-  const auto end = std::chrono::steady_clock::now() + limit;
+bool eventually(const std::function<bool()>& condition, std::chrono::milliseconds timeout) {
+  const auto deadline = std::chrono::steady_clock::now() + timeout;
   while (!condition()) {
-    if (std::chrono::steady_clock::now() > end) return false;
+    if (std::chrono::steady_clock::now() > deadline) return false;
     std::this_thread::sleep_for(kPollInterval);
   }
   return true;
 }
 
 int runProgram(const std::string& program, const std::vector<std::string>& arguments, std::string& output) {
-  const Spawned spawned = spawn(program, arguments, "/dev/null");
+  const SpawnedProcess child = spawn(program, arguments, "/dev/null");
   char buffer[4096];
   for (ssize_t count = 1; count > 0;) {
-    count = read(spawned.output, buffer, sizeof(buffer));
+    count = read(child.output, buffer, sizeof(buffer));
     if (count > 0) output.append(buffer, static_cast<std::size_t>(count));
   }
-  close(spawned.output);
+  close(child.output);
   int status = 0;
-  waitpid(spawned.id, &status, 0);
+  waitpid(child.id, &status, 0);
   return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
 }
 
--- a/tests/integration/process.h
+++ b/tests/integration/process.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Child processes of integration tests. Only the tests start processes; the programs start none.
+/// @file Child processes of integration tests. The programs under test start no processes themselves.
 
 #include <sys/types.h>
 
@@ -10,25 +10,25 @@
 
 namespace crankspur::testing {
 
-/// One child process. It is killed, by its own id, when the object goes out of scope.
+/// Child process. The destructor kills it by its process id.
 class Process {
 public:
-  /// Starts build/bin/PROGRAM with arguments. Standard error goes to `log_path`.
+  /// Starts a program of the build's bin folder. Its standard error is appended to `log_path`.
   Process(const std::string& program, const std::vector<std::string>& arguments, const std::string& log_path);
   ~Process();
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
   /// Waits for the line "listening PORT ..." on standard output.
-  /// @param word the word before the wanted port, for example "listening" or "admin".
-  std::uint16_t port(const std::string& word);
-  /// Sends a signal.
+  /// @param label the word in front of the port, for example "listening" or "admin".
+  std::uint16_t port(const std::string& label);
+  /// Sends a signal to the process if it has not been reaped.
   void signal(int number) const;
-  /// Kills the process without notice and reaps it.
+  /// Kills the process with SIGKILL and reaps it.
   void kill();
-  /// Waits for the process to end by itself.
-  /// @return its exit status, or -1 when it did not end within the limit.
-  int wait(std::chrono::milliseconds limit);
+  /// Waits until the process exits on its own.
+  /// @return its exit status, or -1 if it did not exit within `timeout`.
+  int wait(std::chrono::milliseconds timeout);
   bool running();
   const std::string& logPath() const { return log_path_; }
 
@@ -36,28 +36,29 @@
   std::string readyLine();
 
   pid_t id_ = -1;
-  int output_ = -1;
-  std::string line_;
+  int output_fd_ = -1;
+  std::string ready_output_;
   std::string log_path_;
   int status_ = -1;
 };
 
-/// Polls `condition` until it holds.
-/// @return false when it does not hold within the limit.
+/// Polls `condition` until it is true.
+/// @return false if it is not true within `timeout`.
 bool eventually(const std::function<bool()>& condition,
-                std::chrono::milliseconds limit = std::chrono::seconds(15));
+                std::chrono::milliseconds timeout = std::chrono::seconds(15));
 
-/// Runs a program to its end.
-/// @return its exit status; its standard output is stored in `output`.
+/// Runs a program and waits until it exits.
+/// @param output receives its standard output.
+/// @return its exit status.
 int runProgram(const std::string& program, const std::vector<std::string>& arguments, std::string& output);
 
-/// @return a new folder for the files of one test.
+/// @return the path of a new temporary folder for the files of one test.
 std::string makeScratchFolder();
 
-/// @return the content of a file; empty when it cannot be read.
+/// @return the content of a file; empty if it cannot be read.
 std::string readText(const std::string& path);
 
-/// Writes a file.
+/// Creates or overwrites a file.
 void writeText(const std::string& path, const std::string& text);
 
 }  // namespace crankspur::testing
--- a/tests/integration/router/claim_group_test.cc
+++ b/tests/integration/router/claim_group_test.cc
@@ -13,15 +13,16 @@
 
 constexpr char kKey[] = "demo-key-harbour-fittings";
 constexpr int kRouters = 3;
-/// The shortest lifetime that a bundle may give, with a margin for clocks that run at different speeds.
+/// Shortest claim lifetime that a bundle may configure, plus a margin for clocks that run at different
+/// speeds.
 constexpr double kCoveredSeconds = 72;
-/// For waits that include that lifetime.
-constexpr std::chrono::seconds kPatience{180};
+/// Timeout of waits that include this lifetime.
+constexpr std::chrono::seconds kTimeout{180};
 
-/// Three routers that decide on claims by majority, and two sidecars at the last two of them.
-class GroupSite {
+/// Three routers that grant claims by majority, and two sidecars connected to the last two of them.
+class ClaimGroupSite {
 public:
-  GroupSite() : site(1) {
+  ClaimGroupSite() : site(1) {
     site.setKnobs("claim_group_size = 3\nclaim_lifetime_s = 60\n");
     site.roll(site.signBundle(1));
     site.startRouter(0);
@@ -33,14 +34,14 @@
       const std::string admin = fmt::format("127.0.0.1:{}", sidecar.port("admin"));
       REQUIRE(eventually([&] { return get(admin, "/healthz").status == 200; }));
     }
-    // The group vouches for keys once it is older than they can be.
-    const auto covers = [&] {
+    // The group can confirm that a key is unclaimed once it has existed for longer than a claim lives.
+    const auto covered = [&] {
       for (int index = 0; index < kRouters; ++index) {
         if (claims(index).at("covered_seconds").to_number<double>() < kCoveredSeconds) return false;
       }
       return true;
     };
-    REQUIRE(eventually(covers, kPatience));
+    REQUIRE(eventually(covered, kTimeout));
   }
 
   boost::json::object claims(int index) const {
@@ -60,15 +61,15 @@
     request.body = R"({"part":"keel bolt","count":2})";
     return call(sidecars.at(sidecar), request);
   }
-  /// Orders through one sidecar and repeats it through the other.
-  void orderOnceAndAgain(const std::string& key) const {
+  /// Sends an order through one sidecar, repeats it through the other, and checks that it ran once.
+  void orderTwice(const std::string& key) const {
     const CallResult first = order(0, key);
     INFO(first.body);
     REQUIRE(first.status == 200);
-    const CallResult again = order(1, key);
-    INFO(again.body);
-    REQUIRE(again.status == 200);
-    CHECK(boost::json::parse(again.body).at("result") == boost::json::parse(first.body).at("result"));
+    const CallResult repeated = order(1, key);
+    INFO(repeated.body);
+    REQUIRE(repeated.status == 200);
+    CHECK(boost::json::parse(repeated.body).at("result") == boost::json::parse(first.body).at("result"));
     CHECK(executions(key) == 1);
   }
   std::int64_t executions(const std::string& key) const {
@@ -87,25 +88,25 @@
 
 TEST_CASE("orders go on by a majority of routers while the table is down and a router is replaced",
           "[router][claim]") {
-  GroupSite group;
+  ClaimGroupSite group;
   CHECK(group.claims(0).at("mode").as_string() == "group_and_table");
-  group.orderOnceAndAgain("before");
+  group.orderTwice("before");
   group.setTable("down");
-  group.orderOnceAndAgain("during");
+  group.orderTwice("during");
   group.site.router(0).kill();
-  group.orderOnceAndAgain("with-two-routers");
-  // Its replacement has no vote; it learns of the group from its peers.
+  group.orderTwice("with-two-routers");
+  // Its replacement has no vote; it receives the state of the group from its peers.
   group.site.startRouter(0, {"--peers=" + group.site.routerAddress(1)});
   REQUIRE(eventually([&] { return group.claims(0).at("epoch").to_number<int>() > 0; }));
   CHECK_FALSE(group.claims(0).at("voting").as_bool());
-  group.orderOnceAndAgain("with-a-replaced-router");
+  group.orderTwice("with-a-replaced-router");
   CHECK(group.order(1, "during").status == 200);
   CHECK(group.executions("during") == 1);
   group.setTable("up");
-  // A new epoch takes the replacement in, and knows every claim.
-  const auto votes_again = [&] { return group.claims(0).at("voting").as_bool(); };
-  REQUIRE(eventually(votes_again, kPatience));
-  group.orderOnceAndAgain("after");
+  // A new epoch includes the replacement and has every claim.
+  const auto votes = [&] { return group.claims(0).at("voting").as_bool(); };
+  REQUIRE(eventually(votes, kTimeout));
+  group.orderTwice("after");
   for (const char* key : {"before", "during", "with-two-routers", "with-a-replaced-router"}) {
     CHECK(group.order(0, key).status == 200);
     CHECK(group.executions(key) == 1);
--- a/tests/integration/router/router_process_test.cc
+++ b/tests/integration/router/router_process_test.cc
@@ -17,11 +17,11 @@
   return text.find(part) != std::string::npos;
 }
 
-bool isWhole(const Received& received) {
+bool isComplete(const Received& received) {
   return received.end.has_value() && received.end->checksum == hashBytes(received.text);
 }
 
-/// @return whether every engine of the first router is live; runners have states of their own.
+/// @return whether the first router reports engines and all of them as live.
 bool enginesLive(const RouterSite& site) {
   const auto status = boost::json::parse(site.status(0));
   const auto& engines = status.at("engines").as_array();
@@ -52,10 +52,10 @@
   TestSidecar sidecar(site.routerAddress(0));
   const Received first = sidecar.run(completion("r1", longPrompt("first")));
   INFO(site.status(0));
-  REQUIRE(isWhole(first));
+  REQUIRE(isComplete(first));
   CHECK(first.accepted);
   const Received second = sidecar.run(completion("r2", longPrompt("second")));
-  REQUIRE(isWhole(second));
+  REQUIRE(isComplete(second));
   CHECK(second.engine == first.engine);
   CHECK(second.cached_tokens > 500);
   const CallResult explained = get(site.adminAddress(0), "/explain?request_id=r2");
@@ -65,15 +65,15 @@
   CHECK(contains(get(site.adminAddress(0), "/metrics").body, "crankspur_router_answers_total 2"));
 }
 
-TEST_CASE("admin pages answer many callers at once while requests run", "[router]") {
+TEST_CASE("admin pages respond to concurrent clients while requests run", "[router]") {
   RouterSite site(1);
   site.roll(site.signBundle(1));
   site.startRouter(0);
   REQUIRE(eventually([&] { return get(site.adminAddress(0), "/healthz").status == 200; }));
   const std::string sidecar = "127.0.0.1:" + std::to_string(site.startSidecar().port("admin"));
   TestSidecar caller(site.routerAddress(0));
-  REQUIRE(eventually([&] { return isWhole(caller.run(completion("r-" + nextId(), "hello"))); }));
-  const auto page = [](const std::string& target) {
+  REQUIRE(eventually([&] { return isComplete(caller.run(completion("r-" + nextId(), "hello"))); }));
+  const auto request_for = [](const std::string& target) {
     http::Request request;
     request.target = target;
     return request;
@@ -81,15 +81,15 @@
   for (int round = 0; round < 25; ++round) {
     const std::string id = "admin-" + std::to_string(round);
     caller.submit(completion(id, "hello", 2));
-    BackgroundCall status(site.adminAddress(0), page("/status"));
-    BackgroundCall explained(site.adminAddress(0), page("/explain?request_id=unknown"));
-    BackgroundCall metrics(site.adminAddress(0), page("/metrics"));
-    BackgroundCall sidecar_status(sidecar, page("/status"));
+    BackgroundCall status(site.adminAddress(0), request_for("/status"));
+    BackgroundCall explained(site.adminAddress(0), request_for("/explain?request_id=unknown"));
+    BackgroundCall metrics(site.adminAddress(0), request_for("/metrics"));
+    BackgroundCall sidecar_status(sidecar, request_for("/status"));
     CHECK(status.result().status == 200);
     CHECK(explained.result().status == 404);
     CHECK(metrics.result().status == 200);
     CHECK(sidecar_status.result().status == 200);
-    CHECK(isWhole(caller.await(id)));
+    CHECK(isComplete(caller.await(id)));
   }
 }
 
@@ -97,16 +97,16 @@
           "[router]") {
   RouterSite site(1);
   site.startRouter(0);
-  TestSidecar without(site.routerAddress(0));
-  const Received refused = without.run(completion("r1", "hello"));
+  TestSidecar without_bundle(site.routerAddress(0));
+  const Received refused = without_bundle.run(completion("r1", "hello"));
   REQUIRE(refused.refusal.has_value());
   CHECK(refused.refusal->code == ErrorCode::NotReady);
   CHECK(refused.refusal->run_state == RunState::NotRun);
   CHECK(refused.refusal->retry_after > Duration(0));
-  TestSidecar with(site.routerAddress(0), site.signBundle(7));
+  TestSidecar with_bundle(site.routerAddress(0), site.signBundle(7));
   SubmitRequest request = completion("r2", "hello");
   request.bundle_version = 7;
-  CHECK(isWhole(with.run(request)));
+  CHECK(isComplete(with_bundle.run(request)));
 }
 
 TEST_CASE("a bundle that does not verify is not taken, and an older one never replaces a newer", "[router]") {
@@ -116,8 +116,8 @@
   REQUIRE(eventually([&] { return contains(site.status(0), "\"bundle_version\":5,"); }));
   BundleBody forged = site.signBundle(9);
   forged.document += "# changed\n";
-  TestSidecar forger(site.routerAddress(0), forged);
-  TestSidecar old(site.routerAddress(0), site.signBundle(4));
+  TestSidecar sidecar_with_forged(site.routerAddress(0), forged);
+  TestSidecar sidecar_with_older(site.routerAddress(0), site.signBundle(4));
   REQUIRE(eventually(
       [&] { return contains(get(site.adminAddress(0), "/metrics").body, "bundles_refused_total 1"); }));
   CHECK(contains(site.status(0), "\"bundle_version\":5,"));
@@ -135,18 +135,18 @@
   sidecar.submit(completion("long", longPrompt("x"), 200));
   REQUIRE(eventually([&] { return contains(site.status(0), "\"requests_in_flight\":1"); }));
   site.router(0).signal(SIGTERM);
-  REQUIRE(eventually([&] { return sidecar.toldLeaving(); }));
+  REQUIRE(eventually([&] { return sidecar.routerLeaving(); }));
   CHECK(get(site.adminAddress(0), "/healthz").status == 503);
-  int late = 0;
+  int attempt = 0;
   Received refused;
   REQUIRE(eventually([&] {
-    refused = sidecar.run(completion("late-" + std::to_string(++late), "hello", 1));
+    refused = sidecar.run(completion("late-" + std::to_string(++attempt), "hello", 1));
     return refused.refusal.has_value();
   }));
   CHECK(refused.refusal->code == ErrorCode::Stopping);
   CHECK(refused.refusal->run_state == RunState::NotRun);
   site.slowEngines(1);
-  CHECK(isWhole(sidecar.await("long")));
+  CHECK(isComplete(sidecar.await("long")));
   CHECK(site.router(0).wait(10s) == 0);
 }
 
@@ -187,7 +187,7 @@
   site.router(1).kill();
   site.startRouter(1, {"--peers=" + site.routerAddress(0)});
   TestSidecar sidecar(site.routerAddress(1));
-  CHECK(eventually([&] { return isWhole(sidecar.run(completion("r-" + nextId(), "hello"))); }));
+  CHECK(eventually([&] { return isComplete(sidecar.run(completion("r-" + nextId(), "hello"))); }));
 }
 
 TEST_CASE("an engine that was killed gets nothing more, and the request goes to another", "[router]") {
@@ -198,11 +198,11 @@
   REQUIRE(eventually([&] { return enginesLive(site); }));
   TestSidecar sidecar(site.routerAddress(0));
   const Received first = sidecar.run(completion("r1", longPrompt("a")));
-  REQUIRE(isWhole(first));
-  const int holder = first.engine == "engine-0" ? 0 : 1;
-  site.engine(holder).kill();
+  REQUIRE(isComplete(first));
+  const int first_engine = first.engine == "engine-0" ? 0 : 1;
+  site.engine(first_engine).kill();
   const Received second = sidecar.run(completion("r2", longPrompt("b")));
-  REQUIRE(isWhole(second));
+  REQUIRE(isComplete(second));
   CHECK(second.engine != first.engine);
   CHECK(eventually([&] { return contains(site.status(0), "\"state\":\"dead\""); }));
 }
@@ -213,7 +213,7 @@
   site.startRouter(0, {"--machine_list_interval_ms=200", "--bundle_row_interval_ms=200"});
   site.startRouter(1, {"--peers=" + site.routerAddress(0)});
   TestSidecar sidecar(site.routerAddress(0));
-  REQUIRE(eventually([&] { return isWhole(sidecar.run(completion("r1-" + nextId(), "hello"))); }));
+  REQUIRE(eventually([&] { return isComplete(sidecar.run(completion("r1-" + nextId(), "hello"))); }));
   site.roll(site.signBundle(2, "w2"));
   REQUIRE(eventually(
       [&] {
@@ -229,7 +229,7 @@
   const bool second = contains(site.status(1), "\"gives_orders\":true");
   CHECK(first != second);
   const Received received = sidecar.run(completion("r2", "hello"));
-  CHECK(isWhole(received));
+  CHECK(isComplete(received));
   CHECK(received.weights_version == "w2");
 }
 
@@ -238,16 +238,16 @@
   site.roll(site.signBundle(1));
   site.startRouter(0);
   site.startRouter(1, {"--zone=zone-0", "--peers=" + site.routerAddress(0)});
-  const auto hears = [&](int index) {
+  const auto receives_digests = [&](int index) {
     const std::string metrics = get(site.adminAddress(index), "/metrics").body;
     return contains(metrics, "load_digests_total ") && !contains(metrics, "load_digests_total 0");
   };
-  REQUIRE(eventually([&] { return hears(0) && hears(1); }, 30s));
+  REQUIRE(eventually([&] { return receives_digests(0) && receives_digests(1); }, 30s));
   TestSidecar sidecar(site.routerAddress(1));
-  CHECK(eventually([&] { return isWhole(sidecar.run(completion("r-" + nextId(), "hello"))); }));
+  CHECK(eventually([&] { return isComplete(sidecar.run(completion("r-" + nextId(), "hello"))); }));
 }
 
-TEST_CASE("wrong settings end the process with code 2", "[router]") {
+TEST_CASE("a router with invalid settings exits with code 2", "[router]") {
   const std::string folder = makeScratchFolder();
   writeText(folder + "/router.toml",
             "name = \"r\"\nzone = \"z\"\nregion = \"r\"\nlisten = \"nowhere\"\nspeed = 3\n");
@@ -279,17 +279,17 @@
   CHECK(contains(result.body, "data: [DONE]"));
 }
 
-TEST_CASE("time from listening to the first whole answer after a restart", "[.restart_time]") {
+TEST_CASE("time from listening to the first complete response after a restart", "[.restart_time]") {
   RouterSite site(2);
   site.roll(site.signBundle(1));
   site.startRouter(0);
   for (int round = 0; round < 10; ++round) {
     site.router(0).kill();
     site.startRouter(0);
-    const auto listening = std::chrono::steady_clock::now();
+    const auto start = std::chrono::steady_clock::now();
     TestSidecar sidecar(site.routerAddress(0), site.signBundle(1));
-    REQUIRE(eventually([&] { return isWhole(sidecar.run(completion("r-" + nextId(), "hello", 1))); }));
-    const auto elapsed = std::chrono::steady_clock::now() - listening;
+    REQUIRE(eventually([&] { return isComplete(sidecar.run(completion("r-" + nextId(), "hello", 1))); }));
+    const auto elapsed = std::chrono::steady_clock::now() - start;
     WARN(std::chrono::duration_cast<std::chrono::milliseconds>(elapsed).count() << " ms");
   }
 }
--- a/tests/integration/router/router_site.cc
+++ b/tests/integration/router/router_site.cc
@@ -130,7 +130,7 @@
   put.target = fmt::format("/v1/objects/bundles/{}-{}", body.version, digest);
   put.body = body.document;
   call(platform_address_, put);
-  const auto held = boost::json::parse(get(platform_address_, "/v1/rows?key=crankspur%2Fbundle").body);
+  const auto current_row = boost::json::parse(get(platform_address_, "/v1/rows?key=crankspur%2Fbundle").body);
   const std::string row =
       boost::json::serialize(boost::json::object{{"version", body.version},
                                                  {"document_sha256", digest},
@@ -139,14 +139,14 @@
                                                  {"rolled_by", "test"},
                                                  {"roll_token", fmt::format("token-{}", body.version)}});
   const boost::json::object transaction{
-      {"conditions",
-       boost::json::array{boost::json::object{{"key", "crankspur/bundle"}, {"version", held.at("version")}}}},
+      {"conditions", boost::json::array{boost::json::object{{"key", "crankspur/bundle"},
+                                                            {"version", current_row.at("version")}}}},
       {"writes", boost::json::array{boost::json::object{{"key", "crankspur/bundle"}, {"value", row}}}}};
   post(platform_address_, "/v1/transactions", boost::json::serialize(transaction));
 }
 
-void RouterSite::slowEngines(double factor) const {
-  const std::string body = fmt::format(R"({{"slowdown":{}}})", factor);
+void RouterSite::slowEngines(double slowdown) const {
+  const std::string body = fmt::format(R"({{"slowdown":{}}})", slowdown);
   for (const std::string& engine : engine_addresses_) {
     if (post(engine, "/control", body).status != 200) throw std::runtime_error("cannot slow " + engine);
   }
@@ -156,17 +156,17 @@
   return get(admin_addresses_.at(index), "/status").body;
 }
 
-TestSidecar::TestSidecar(const std::string& router_address, std::optional<BundleBody> held)
-    : held_(std::move(held)), work_(boost::asio::make_work_guard(context_)) {
+TestSidecar::TestSidecar(const std::string& router_address, std::optional<BundleBody> bundle)
+    : bundle_(std::move(bundle)), work_(boost::asio::make_work_guard(context_)) {
   Hello hello;
   hello.node_name = "test-sidecar";
   hello.incarnation = 1;
   hello.role = NodeRole::Sidecar;
   hello.zone = "zone-0";
   hello.region = "region";
-  hello.bundle_version = held_ ? held_->version : 0;
+  hello.bundle_version = bundle_ ? bundle_->version : 0;
   FrameConnection::Callbacks callbacks;
-  callbacks.on_hello = [this](const Hello&) { greeted_ = true; };
+  callbacks.on_hello = [this](const Hello&) { hello_received_ = true; };
   callbacks.on_message = [this](const Message& message) { onMessage(message); };
   callbacks.on_closed = [](std::error_code) {};
   connection_ = connectFrames(context_.get_executor(), router_address, hello, std::move(callbacks));
@@ -185,12 +185,12 @@
   boost::asio::post(context_, [this, request] { connection_->send(request); });
 }
 
-Received TestSidecar::await(const std::string& request_id, std::chrono::milliseconds limit) {
+Received TestSidecar::await(const std::string& request_id, std::chrono::milliseconds timeout) {
   const auto finished = [&] {
     const std::lock_guard lock(mutex_);
     return received_[request_id].finished();
   };
-  eventually(finished, limit);
+  eventually(finished, timeout);
   const std::lock_guard lock(mutex_);
   return received_[request_id];
 }
@@ -203,10 +203,10 @@
 void TestSidecar::onMessage(const Message& message) {
   if (const auto* ack = std::get_if<PingAck>(&message)) {
     for (const MemberRecord& member : ack->members) {
-      if (member.name == ack->sender && member.state == MemberState::Leaving) told_leaving_ = true;
+      if (member.name == ack->sender && member.state == MemberState::Leaving) router_leaving_ = true;
     }
   }
-  if (std::holds_alternative<BundleRequest>(message) && held_) connection_->send(*held_);
+  if (std::holds_alternative<BundleRequest>(message) && bundle_) connection_->send(*bundle_);
   const std::lock_guard lock(mutex_);
   if (const auto* accepted = std::get_if<Accepted>(&message)) {
     Received& received = received_[accepted->request_id];
--- a/tests/integration/router/router_site.h
+++ b/tests/integration/router/router_site.h
@@ -1,5 +1,6 @@
 #pragma once
-/// @file A small site of real processes around routers, and a sidecar played by the test.
+/// @file Fixture with a small site of real processes (platform, engines, a runner, routers, sidecars), and a
+/// sidecar simulated by the test.
 
 #include <atomic>
 #include <boost/asio/executor_work_guard.hpp>
@@ -18,24 +19,25 @@
 
 namespace crankspur::testing {
 
-/// Platform, engines and routers on loopback, and a signed bundle.
+/// Platform, engines, one runner, routers and sidecars on loopback addresses, and the keys to sign bundles.
 class RouterSite {
 public:
-  /// Starts the platform and `engines` engines of one pool. No bundle is rolled yet.
+  /// Starts the platform, a runner and `engines` engines of one pool. No bundle is rolled yet.
   explicit RouterSite(int engines);
-  /// Starts a router; "router-INDEX" in "zone-INDEX".
+  /// Starts the router "router-INDEX" in "zone-INDEX".
   Process& startRouter(int index, const std::vector<std::string>& extra_flags = {});
-  /// Starts a further sidecar that knows one router.
+  /// Starts another sidecar, which is configured with the address of one router.
   Process& startSidecar(int router = 0);
-  /// Lines of the [knobs] table of bundles signed from now on.
+  /// Sets the lines of the [knobs] table of bundles that are signed after this call.
   void setKnobs(const std::string& lines) { knobs_ = lines; }
-  /// Signs the site's bundle as `version`.
+  /// @return the site's bundle with the given version, signed by author and approver.
   BundleBody signBundle(std::uint64_t version, const std::string& weights = "w1") const;
-  /// Writes the object and the row, as an operator does.
+  /// Writes the bundle document and the bundle row to the platform, as an operator does.
   void roll(const BundleBody& body) const;
-  /// Makes every engine take `factor` times as long. Tests that break something in the middle of an answer
-  /// slow it down first, so that the middle lasts however slow the machine is; 1 is the nominal speed.
-  void slowEngines(double factor) const;
+  /// Slows every engine down by `slowdown`; 1 is the nominal speed. Tests that cause a failure in the middle
+  /// of a response slow it down first, so that it is still in progress when the failure occurs on a slow
+  /// machine.
+  void slowEngines(double slowdown) const;
   void stopPlatform() { platform_->kill(); }
   const std::string& platformAddress() const { return platform_address_; }
   const std::string& runnerAddress() const { return runner_address_; }
@@ -44,7 +46,7 @@
   std::string routerAddress(int index) const { return router_addresses_.at(index); }
   std::string adminAddress(int index) const { return admin_addresses_.at(index); }
   Process& router(int index) { return *routers_.at(index); }
-  /// @return the body of the router's /status.
+  /// @return the body of the router's /status page.
   std::string status(int index) const;
 
 private:
@@ -66,7 +68,7 @@
   std::map<int, std::string> admin_addresses_;
 };
 
-/// What came for one request.
+/// Messages received for one request.
 struct Received {
   bool accepted = false;
   std::string engine;
@@ -78,36 +80,36 @@
   bool finished() const { return end.has_value() || refusal.has_value(); }
 };
 
-/// A sidecar's side of one connection.
+/// Sidecar end of one connection to a router. Methods may be called from any thread.
 class TestSidecar {
 public:
-  /// @param held a bundle to offer and to serve when asked; empty: none.
-  explicit TestSidecar(const std::string& router_address, std::optional<BundleBody> held = std::nullopt);
+  /// @param bundle bundle to announce and to send on request; empty: none.
+  explicit TestSidecar(const std::string& router_address, std::optional<BundleBody> bundle = std::nullopt);
   ~TestSidecar();
   void submit(const SubmitRequest& request);
-  /// Waits until the request has its last message.
-  Received await(const std::string& request_id, std::chrono::milliseconds limit = std::chrono::seconds(15));
-  /// Submits and waits.
+  /// Waits until the last message of the request is received.
+  Received await(const std::string& request_id, std::chrono::milliseconds timeout = std::chrono::seconds(15));
+  /// Submits a request and waits until it has finished.
   Received run(const SubmitRequest& request);
-  /// @return whether the router told that it is leaving.
-  bool toldLeaving() const { return told_leaving_; }
-  bool greeted() const { return greeted_; }
+  /// @return whether the router has announced that it is leaving.
+  bool routerLeaving() const { return router_leaving_; }
+  bool helloReceived() const { return hello_received_; }
 
 private:
   void onMessage(const Message& message);
 
-  std::optional<BundleBody> held_;
+  std::optional<BundleBody> bundle_;
   boost::asio::io_context context_;
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_;
   std::shared_ptr<FrameConnection> connection_;
-  std::atomic<bool> told_leaving_ = false;
-  std::atomic<bool> greeted_ = false;
+  std::atomic<bool> router_leaving_ = false;
+  std::atomic<bool> hello_received_ = false;
   mutable std::mutex mutex_;
   std::map<std::string, Received> received_;
   std::thread thread_;
 };
 
-/// @return a completion of the site's tenant and model.
+/// @return a completion request of the site's tenant for the site's model.
 SubmitRequest completion(const std::string& id, const std::string& prompt, std::uint32_t max_tokens = 16);
 
 }  // namespace crankspur::testing
--- a/tests/integration/sidecar/sidecar_process_test.cc
+++ b/tests/integration/sidecar/sidecar_process_test.cc
@@ -18,26 +18,26 @@
 namespace {
 
 constexpr char kKey[] = "demo-key-harbour-fittings";
-/// Makes a token take 0.16 s, so that an answer to be broken off in its middle lasts 10 s and more.
-constexpr double kSlow = 8;
+/// Slowdown at which a token takes 0.16 s, so that a response that is to be interrupted lasts 10 s or more.
+constexpr double kSlowdown = 8;
 
-/// A site whose sidecar can answer.
+/// Site whose sidecar is ready to serve requests.
 class SidecarSite {
 public:
-  explicit SidecarSite(int routers) : site(2) {
-    site.roll(site.signBundle(1));
-    site.startRouter(0);
+  explicit SidecarSite(int routers) : router_site(2) {
+    router_site.roll(router_site.signBundle(1));
+    router_site.startRouter(0);
     for (int index = 1; index < routers; ++index) {
-      site.startRouter(index, {"--peers=" + site.routerAddress(0)});
+      router_site.startRouter(index, {"--peers=" + router_site.routerAddress(0)});
     }
-    sidecar = &site.startSidecar();
+    sidecar = &router_site.startSidecar();
     address = fmt::format("127.0.0.1:{}", sidecar->port("listening"));
     admin = fmt::format("127.0.0.1:{}", sidecar->port("admin"));
-    const auto knowsAll = [&] {
+    const auto has_all_routers = [&] {
       return boost::json::parse(get(admin, "/status").body).at("routers").as_array().size() ==
              static_cast<std::size_t>(routers);
     };
-    REQUIRE(eventually([&] { return get(admin, "/healthz").status == 200 && knowsAll(); }));
+    REQUIRE(eventually([&] { return get(admin, "/healthz").status == 200 && has_all_routers(); }));
     REQUIRE(eventually([&] { return call(address, chat("ready?", 1, false)).status == 200; }));
   }
 
@@ -54,7 +54,7 @@
     return request;
   }
 
-  RouterSite site;
+  RouterSite router_site;
   Process* sidecar = nullptr;
   std::string address;
   std::string admin;
@@ -65,17 +65,17 @@
   return standin::expectedAnswer("m", "w1", "", text, static_cast<std::uint64_t>(max_tokens)).text;
 }
 
-/// Text of a stream of chunks, and whether it ended with [DONE].
+/// Text of a stream of chunks, and whether the stream ended with [DONE].
 struct StreamText {
   std::string text;
-  bool whole = false;
+  bool complete = false;
 };
 
 StreamText streamText(const std::string& body) {
   StreamText stream;
   http::EventStreamParser().feed(body, [&stream](std::string_view event) {
     if (event == "[DONE]") {
-      stream.whole = true;
+      stream.complete = true;
       return;
     }
     const auto chunk = boost::json::parse(boost::json::string_view(event.data(), event.size()));
@@ -90,7 +90,7 @@
   return boost::json::parse(get(engine, "/v1/load").body).at("running_requests").to_number<std::int64_t>();
 }
 
-/// @return the router that runs the one request in flight.
+/// @return index of the router that runs the only request in flight.
 int servingRouter(const RouterSite& site, int routers) {
   for (int index = 0; index < routers; ++index) {
     const auto status = boost::json::parse(site.status(index));
@@ -100,130 +100,136 @@
   return -1;
 }
 
-/// @return an answer length at which the engine's text does not stop by itself before `least` tokens.
-std::string promptWithLongAnswer(int least) {
+/// @return a prompt for which the engine generates at least `min_tokens` tokens.
+std::string promptWithLongAnswer(int min_tokens) {
   for (int number = 0;; ++number) {
     std::string prompt = fmt::format("review {}", number);
-    if (expectedText(prompt, least).size() == static_cast<std::size_t>(least) * kBytesPerToken) return prompt;
+    if (expectedText(prompt, min_tokens).size() == static_cast<std::size_t>(min_tokens) * kBytesPerToken)
+      return prompt;
   }
 }
 
 }  // namespace
 
-TEST_CASE("a router killed in the middle of a stream costs the caller no byte", "[sidecar]") {
+TEST_CASE("a caller loses no byte of a stream when its router is killed", "[sidecar]") {
   SidecarSite site(2);
   const std::string prompt = promptWithLongAnswer(120);
-  site.site.slowEngines(kSlow);
+  site.router_site.slowEngines(kSlowdown);
   BackgroundCall running(site.address, SidecarSite::chat(prompt, 120));
   REQUIRE(eventually([&] { return streamText(running.bodySoFar()).text.size() > 40; }));
-  site.site.router(servingRouter(site.site, 2)).kill();
-  site.site.slowEngines(1);
+  site.router_site.router(servingRouter(site.router_site, 2)).kill();
+  site.router_site.slowEngines(1);
   const CallResult result = running.result();
   const StreamText stream = streamText(result.body);
-  CHECK(stream.whole);
+  CHECK(stream.complete);
   CHECK(stream.text == expectedText(prompt, 120));
   CHECK(get(site.admin, "/metrics").body.find("resubmissions_total 1") != std::string::npos);
 }
 
-TEST_CASE("a router that freezes in the middle of a stream is replaced", "[sidecar]") {
+TEST_CASE("a stream moves to another router when its router freezes", "[sidecar]") {
   SidecarSite site(2);
   const std::string prompt = promptWithLongAnswer(120);
-  site.site.slowEngines(kSlow);
+  site.router_site.slowEngines(kSlowdown);
   BackgroundCall running(site.address, SidecarSite::chat(prompt, 120));
   REQUIRE(eventually([&] { return streamText(running.bodySoFar()).text.size() > 40; }));
-  const int serving = servingRouter(site.site, 2);
-  site.site.router(serving).signal(SIGSTOP);
-  site.site.slowEngines(1);
+  const int serving = servingRouter(site.router_site, 2);
+  site.router_site.router(serving).signal(SIGSTOP);
+  site.router_site.slowEngines(1);
   const CallResult result = running.result();
-  CHECK(streamText(result.body).whole);
+  CHECK(streamText(result.body).complete);
   CHECK(streamText(result.body).text == expectedText(prompt, 120));
   CHECK(get(site.admin, "/metrics").body.find("resubmissions_total 1") != std::string::npos);
-  site.site.router(serving).signal(SIGCONT);
+  site.router_site.router(serving).signal(SIGCONT);
 }
 
-TEST_CASE("whole and streamed answers tell the same text, and the engine and its cache", "[sidecar]") {
+TEST_CASE(
+    "streaming and non-streaming responses have the same text, and engine and cached tokens are reported",
+    "[sidecar]") {
   SidecarSite site(1);
   const std::string prompt = "which cleat? " + std::string(2000, 'c');
   const CallResult streamed = call(site.address, SidecarSite::chat(prompt, 16));
-  const CallResult whole = call(site.address, SidecarSite::chat(prompt, 16, false));
-  REQUIRE(whole.status == 200);
-  const auto body = boost::json::parse(whole.body);
+  const CallResult non_streamed = call(site.address, SidecarSite::chat(prompt, 16, false));
+  REQUIRE(non_streamed.status == 200);
+  const auto body = boost::json::parse(non_streamed.body);
   const std::string content(body.at("choices").at(0).at("message").at("content").as_string());
   CHECK(content == expectedText(prompt, 16));
   CHECK(streamText(streamed.body).text == expectedText(prompt, 16));
   CHECK(body.at("usage").at("prompt_tokens_details").at("cached_tokens").to_number<int>() > 400);
-  CHECK(whole.headers.at("x-crankspur-engine").starts_with("engine-"));
-  CHECK_FALSE(whole.headers.at("x-request-id").empty());
+  CHECK(non_streamed.headers.at("x-crankspur-engine").starts_with("engine-"));
+  CHECK_FALSE(non_streamed.headers.at("x-request-id").empty());
 }
 
-TEST_CASE("a planned stop of the sidecar cuts nothing in flight", "[sidecar]") {
+TEST_CASE("a planned stop of the sidecar interrupts no request in flight", "[sidecar]") {
   SidecarSite site(1);
   const std::string prompt = promptWithLongAnswer(60);
-  site.site.slowEngines(kSlow);
+  site.router_site.slowEngines(kSlowdown);
   BackgroundCall running(site.address, SidecarSite::chat(prompt, 60));
   REQUIRE(eventually([&] { return streamText(running.bodySoFar()).text.size() > 20; }));
   site.sidecar->signal(SIGTERM);
   REQUIRE(eventually([&] { return get(site.admin, "/healthz").status == 503; }));
   CHECK_FALSE(running.done());
-  site.site.slowEngines(1);
+  site.router_site.slowEngines(1);
   const CallResult result = running.result();
-  CHECK(streamText(result.body).whole);
+  CHECK(streamText(result.body).complete);
   CHECK(streamText(result.body).text == expectedText(prompt, 60));
   CHECK(site.sidecar->wait(10s) == 0);
 }
 
-TEST_CASE("a caller that hangs up stops the engine's work", "[sidecar]") {
+TEST_CASE("the engine stops generating when the caller disconnects", "[sidecar]") {
   SidecarSite site(1);
   const std::string prompt = promptWithLongAnswer(1000);
   BackgroundCall running(site.address, SidecarSite::chat(prompt, 1000));
   REQUIRE(eventually([&] { return streamText(running.bodySoFar()).text.size() > 20; }));
-  const auto total = [&] {
-    return runningRequests(site.site.engineAddress(0)) + runningRequests(site.site.engineAddress(1));
+  const auto running_requests = [&] {
+    return runningRequests(site.router_site.engineAddress(0)) +
+           runningRequests(site.router_site.engineAddress(1));
   };
-  REQUIRE(eventually([&] { return total() == 1; }));
-  running.abandon();
-  CHECK(eventually([&] { return total() == 0; }, 5s));
+  REQUIRE(eventually([&] { return running_requests() == 1; }));
+  running.cancel();
+  CHECK(eventually([&] { return running_requests() == 0; }, 5s));
   CHECK(call(site.address, SidecarSite::chat("next", 4)).status == 200);
 }
 
-TEST_CASE("bad requests get a clear error that says not run, and nobody else notices", "[sidecar]") {
+TEST_CASE("an invalid request receives an error marked not run and does not affect later requests",
+          "[sidecar]") {
   SidecarSite site(1);
-  const auto with = [](auto change) {
+  const auto modified_request = [](auto change) {
     http::Request request = SidecarSite::chat("hello", 4);
     change(request);
     return request;
   };
-  struct Case {
+  struct TestCase {
     http::Request request;
     int status;
     std::string code;
   };
-  const std::vector<Case> cases = {
-      {with([](auto& r) { r.body = "{\"model\":"; }), 400, "invalid_request"},
-      {with([](auto& r) { r.headers.erase("Authorization"); }), 401, "unauthorized"},
-      {with([](auto& r) { r.headers["Authorization"] = "Bearer wrong"; }), 401, "unauthorized"},
-      {with([](auto& r) { r.target = "/v1/nothing"; }), 404, "invalid_request"},
-      {with([](auto& r) { r.method = "DELETE"; }), 405, "invalid_request"},
-      {with([](auto& r) { r.headers["X-Deadline-Ms"] = "soon"; }), 400, "invalid_request"},
-      {with([](auto& r) { r.target = "/v1/operations/order"; }), 404, "unknown_model"},
-      {with([](auto& r) { r.body.replace(r.body.find("\"m\""), 3, "\"x\""); }), 404, "unknown_model"},
-      {with([](auto& r) { r.body = std::string(5U << 20U, ' '); }), 413, "too_large"},
-      {with([](auto& r) { r.headers["X-Filler"] = std::string(20'000, 'f'); }), 431, "too_large"},
+  const std::vector<TestCase> cases = {
+      {modified_request([](auto& r) { r.body = "{\"model\":"; }), 400, "invalid_request"},
+      {modified_request([](auto& r) { r.headers.erase("Authorization"); }), 401, "unauthorized"},
+      {modified_request([](auto& r) { r.headers["Authorization"] = "Bearer wrong"; }), 401, "unauthorized"},
+      {modified_request([](auto& r) { r.target = "/v1/nothing"; }), 404, "invalid_request"},
+      {modified_request([](auto& r) { r.method = "DELETE"; }), 405, "invalid_request"},
+      {modified_request([](auto& r) { r.headers["X-Deadline-Ms"] = "soon"; }), 400, "invalid_request"},
+      {modified_request([](auto& r) { r.target = "/v1/operations/order"; }), 404, "unknown_model"},
+      {modified_request([](auto& r) { r.body.replace(r.body.find("\"m\""), 3, "\"x\""); }), 404,
+       "unknown_model"},
+      {modified_request([](auto& r) { r.body = std::string(5U << 20U, ' '); }), 413, "too_large"},
+      {modified_request([](auto& r) { r.headers["X-Filler"] = std::string(20'000, 'f'); }), 431, "too_large"},
   };
-  for (const Case& entry : cases) {
-    const CallResult result = call(site.address, entry.request);
-    INFO(entry.code << " " << entry.request.target);
-    REQUIRE(result.status == entry.status);
+  for (const TestCase& test_case : cases) {
+    const CallResult result = call(site.address, test_case.request);
+    INFO(test_case.code << " " << test_case.request.target);
+    REQUIRE(result.status == test_case.status);
     const auto detail = boost::json::parse(result.body).at("error");
-    CHECK(std::string(detail.at("code").as_string()) == entry.code);
+    CHECK(std::string(detail.at("code").as_string()) == test_case.code);
     CHECK(detail.at("ran") == "not_run");
   }
   CHECK(call(site.address, SidecarSite::chat("hello", 4)).status == 200);
 }
 
-TEST_CASE("without a router the sidecar says not run and when to come back", "[sidecar]") {
+TEST_CASE("a sidecar without a router responds not run with a retry delay", "[sidecar]") {
   SidecarSite site(1);
-  site.site.router(0).kill();
+  site.router_site.router(0).kill();
   const CallResult result = call(site.address, SidecarSite::chat("hello", 4));
   CHECK(result.status == 503);
   const auto detail = boost::json::parse(result.body).at("error");
@@ -232,7 +238,7 @@
   CHECK(result.headers.contains("Retry-After"));
 }
 
-TEST_CASE("wrong settings of a sidecar end it with code 2 and the place", "[sidecar]") {
+TEST_CASE("a sidecar with invalid settings exits with code 2", "[sidecar]") {
   const std::string folder = makeScratchFolder();
   writeText(folder + "/sidecar.toml", "name = \"s\"\nzone = \"z\"\nregion = \"r\"\nspeed = 3\n");
   std::string output;
--- a/tests/integration/standin_processes_test.cc
+++ b/tests/integration/standin_processes_test.cc
@@ -1,5 +1,5 @@
-/// @file The stand-in processes by themselves: flags, KV export and import, weight loads, crash and planned
-/// stop.
+/// @file Tests of the stand-in processes without routers: flags, KV export and import, weight loads, crash
+/// and planned stop.
 
 #include <boost/json/parse.hpp>
 #include <boost/json/serialize.hpp>
@@ -30,7 +30,7 @@
   return body;
 }
 
-http::Request post(const boost::json::object& body) {
+http::Request completionRequest(const boost::json::object& body) {
   http::Request request;
   request.method = "POST";
   request.target = "/v1/completions";
@@ -43,8 +43,8 @@
   return stats.at("records").as_array().back().as_object();
 }
 
-/// @return how many leading blocks of the prompt the KV store holds.
-std::int64_t heldBy(const std::string& store) {
+/// @return number of leading blocks of the prompt that the KV store holds.
+std::int64_t heldBlocks(const std::string& store) {
   const CacheScope scope{"parts", "small", "", "w1"};
   const std::string blocks = boost::json::serialize(
       boost::json::object{{"blocks", hashArray(hashBlocks(scope.seed(), std::string(6400, 'p')))}});
@@ -56,24 +56,24 @@
   Process store("standin_kv_store", {"--listen=127.0.0.1:0"}, folder + "/store.log");
   Process first("standin_engine", {"--kv_store=" + addressOf(store)}, folder + "/first.log");
   Process second("standin_engine", {"--name=e2"}, folder + "/second.log");
-  REQUIRE(call(addressOf(first), post(completion("r1", 2))).status == 200);
+  REQUIRE(call(addressOf(first), completionRequest(completion("r1", 2))).status == 200);
   std::string source;
   SECTION("from an engine") {
     source = addressOf(first);
   }
   SECTION("from the store") {
     source = addressOf(store);
-    REQUIRE(eventually([&] { return heldBy(source) >= 90; }));
+    REQUIRE(eventually([&] { return heldBlocks(source) >= 90; }));
   }
   boost::json::object body = completion("r2", 2);
   body["import_from"] = source;
   body["import_blocks"] = 90;
-  REQUIRE(call(addressOf(second), post(body)).status == 200);
+  REQUIRE(call(addressOf(second), completionRequest(body)).status == 200);
   CHECK(lastRecord(addressOf(second)).at("imported_tokens").as_int64() == 1440);
   CHECK(lastRecord(addressOf(second)).at("recomputed_tokens").as_int64() == 160);
 }
 
-TEST_CASE("an engine asks the weight store how long a load takes", "[integration]") {
+TEST_CASE("an engine takes the duration of a weight load from the weight store", "[integration]") {
   const std::string folder = makeScratchFolder();
   Process platform("standin_platform", {"--weights_bytes=1000000", "--weights_bytes_per_second=1e7"},
                    folder + "/platform.log");
@@ -84,10 +84,11 @@
   CHECK(eventually([&] { return get(address, "/v1/engine").body.find("\"w2\"") != std::string::npos; }));
 }
 
-TEST_CASE("a planned stop of an engine ends its streams, a kill cuts them", "[integration]") {
+TEST_CASE("an engine completes its streams on a planned stop and truncates them when killed",
+          "[integration]") {
   const std::string folder = makeScratchFolder();
   Process engine("standin_engine", {"--decode_step_ms=5"}, folder + "/engine.log");
-  BackgroundCall stream(addressOf(engine), post(completion("r1", 40)));
+  BackgroundCall stream(addressOf(engine), completionRequest(completion("r1", 40)));
   REQUIRE(eventually([&] { return stream.bodySoFar().find("tokens") != std::string::npos; }));
   const standin::ExpectedAnswer expected =
       standin::expectedAnswer("small", "w1", "", std::string(6400, 'p'), 40);
@@ -104,21 +105,21 @@
   }
 }
 
-TEST_CASE("a bad control of an engine is refused whole", "[integration]") {
+TEST_CASE("an engine rejects an invalid control command and applies no part of it", "[integration]") {
   const std::string folder = makeScratchFolder();
   Process engine("standin_engine", {}, folder + "/engine.log");
   const std::string address = addressOf(engine);
-  const std::string before = get(address, "/v1/engine").body;
+  const std::string state_before = get(address, "/v1/engine").body;
   for (const char* body : {"", "[]", R"({"action":"dance"})", R"({"action":"crash","slowdown":0})",
                            R"({"action":"crash","event_gap_probability":"0"})"}) {
     CHECK(testing::post(address, "/control", body).status == 400);
   }
-  CHECK(get(address, "/v1/engine").body == before);
+  CHECK(get(address, "/v1/engine").body == state_before);
   CHECK(testing::post(address, "/control", R"({"action":"crash","slowdown":2})").status == 200);
-  CHECK(get(address, "/v1/engine").body != before);
+  CHECK(get(address, "/v1/engine").body != state_before);
 }
 
-TEST_CASE("bad flags of the stand-ins are refused with the reason", "[integration]") {
+TEST_CASE("a stand-in with invalid flags exits with an error code", "[integration]") {
   const std::string folder = makeScratchFolder();
   std::string output;
   CHECK(runProgram("standin_engine", {"--models=small"}, output) == 2);
@@ -129,7 +130,7 @@
   CHECK(runProgram("standin_kv_store", {"--capacity_blocks=0"}, output) == 2);
 }
 
-TEST_CASE("a runner's executions are counted across its faults", "[integration]") {
+TEST_CASE("a runner counts executions whose responses were lost, also across a crash", "[integration]") {
   const std::string folder = makeScratchFolder();
   Process runner("standin_app_runner", {"--delay_ms=1"}, folder + "/runner.log");
   const std::string address = addressOf(runner);
--- a/tests/unit/attempt/attempt_test.cc
+++ b/tests/unit/attempt/attempt_test.cc
@@ -9,11 +9,11 @@
 namespace {
 
 const std::vector<AttemptEvent> kEvents = {
-    AttemptEvent::BytesSent,      AttemptEvent::BackendAccepted,      AttemptEvent::PieceArrived,
-    AttemptEvent::AnswerComplete, AttemptEvent::BackendRefusedNotRun, AttemptEvent::ConnectionFailed};
+    AttemptEvent::BytesSent,        AttemptEvent::BackendAccepted,      AttemptEvent::PieceReceived,
+    AttemptEvent::ResponseComplete, AttemptEvent::BackendRefusedNotRun, AttemptEvent::ConnectionFailed};
 
-/// The events that lead to each state, the run state told there, and the successor for each event of kEvents
-/// (the state itself: refused).
+/// The events that lead to a state, the run state reported in it, and the next state for each event of
+/// kEvents (the state itself if the event is rejected).
 struct Expectation {
   std::vector<AttemptEvent> path;
   RunState run_state;
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-TEST_CASE("every event in every state of an attempt leads where the table says", "[attempt]") {
+TEST_CASE("every event in every state of an attempt leads to the expected state", "[attempt]") {
   using S = AttemptState;
   using E = AttemptEvent;
   const std::map<S, Expectation> table = {
@@ -37,16 +37,16 @@
         RunState::Unknown,
         {S::Accepted, S::Accepted, S::Streaming, S::Done, S::Accepted, S::Lost}}},
       {S::Streaming,
-       {{E::BytesSent, E::PieceArrived},
+       {{E::BytesSent, E::PieceReceived},
         RunState::Ran,
         {S::Streaming, S::Streaming, S::Streaming, S::Done, S::Streaming, S::LostStreaming}}},
-      {S::Done, {{E::BytesSent, E::AnswerComplete}, RunState::Ran, std::vector<S>(6, S::Done)}},
+      {S::Done, {{E::BytesSent, E::ResponseComplete}, RunState::Ran, std::vector<S>(6, S::Done)}},
       {S::RefusedNotRun,
        {{E::BytesSent, E::BackendRefusedNotRun}, RunState::NotRun, std::vector<S>(6, S::RefusedNotRun)}},
       {S::NeverSent, {{E::ConnectionFailed}, RunState::NotRun, std::vector<S>(6, S::NeverSent)}},
       {S::Lost, {{E::BytesSent, E::ConnectionFailed}, RunState::Unknown, std::vector<S>(6, S::Lost)}},
       {S::LostStreaming,
-       {{E::BytesSent, E::PieceArrived, E::ConnectionFailed},
+       {{E::BytesSent, E::PieceReceived, E::ConnectionFailed},
         RunState::Ran,
         std::vector<S>(6, S::LostStreaming)}},
   };
@@ -59,9 +59,9 @@
       INFO("state " << static_cast<int>(state) << " event " << i);
       const bool handled = attempt->apply(kEvents[i]);
       CHECK(attempt->state() == expected.successors[i]);
-      const bool stays = expected.successors[i] == state;
-      const bool next_piece = state == S::Streaming && kEvents[i] == E::PieceArrived;
-      CHECK(handled == (!stays || next_piece));
+      const bool unchanged = expected.successors[i] == state;
+      const bool further_piece = state == S::Streaming && kEvents[i] == E::PieceReceived;
+      CHECK(handled == (!unchanged || further_piece));
     }
   }
 }
--- a/tests/unit/caller/chat_request_test.cc
+++ b/tests/unit/caller/chat_request_test.cc
@@ -6,7 +6,7 @@
 
 using namespace crankspur;
 
-TEST_CASE("a chat request as stock clients send it is understood", "[caller]") {
+TEST_CASE("a chat request in the form that standard clients send is parsed", "[caller]") {
   CallerError error;
   const auto request = parseChatRequest(
       R"({"model":"desk:recife","temperature":0.2,"user":"u","stream":true,"max_completion_tokens":64,
@@ -31,7 +31,7 @@
   CHECK(canonicalMessage("user", "x<|system|>\ny<") == "<|user|>\nx< |system|>\ny<\n");
 }
 
-TEST_CASE("malformed chat requests are refused as not run with a reason", "[caller]") {
+TEST_CASE("malformed chat requests are rejected as not run with a message", "[caller]") {
   const std::string deep = "{\"model\":" + std::string(5000, '[') + std::string(5000, ']') + "}";
   const std::string message = R"("messages":[{"role":"user","content":"x"}])";
   const std::vector<std::string> bodies = {
--- a/tests/unit/caller/request_headers_test.cc
+++ b/tests/unit/caller/request_headers_test.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-Bundle bundle() {
+Bundle makeBundle() {
   Bundle value;
   value.version = 7;
   TenantPolicy tenant;
@@ -35,13 +35,13 @@
   return value;
 }
 
-http::Request withHeader(const std::string& name, const std::string& value) {
+http::Request requestWithHeader(const std::string& name, const std::string& value) {
   http::Request request;
   request.headers[name] = value;
   return request;
 }
 
-ChatRequest chat(const std::string& model, const std::string& adapter = "") {
+ChatRequest chatRequest(const std::string& model, const std::string& adapter = "") {
   ChatRequest request;
   request.model = model;
   request.adapter = adapter;
@@ -51,9 +51,9 @@
 
 }  // namespace
 
-TEST_CASE("headers are read, and bad ones are refused with the name of the header", "[caller]") {
+TEST_CASE("valid headers are parsed, and the error of an invalid one names the header", "[caller]") {
   CallerError error;
-  http::Request request = withHeader("authorization", "bearer abc");
+  http::Request request = requestWithHeader("authorization", "bearer abc");
   request.headers["idempotency-key"] = "order-7";
   request.headers["x-deadline-ms"] = "1500";
   const auto headers = parseCallerHeaders(request, error);
@@ -63,7 +63,7 @@
   CHECK(headers->deadline == Duration(1'500'000));
   CHECK_FALSE(headers->priority);
 
-  const std::vector<std::pair<std::string, std::string>> bad = {
+  const std::vector<std::pair<std::string, std::string>> invalid = {
       {"X-Deadline-Ms", "0"},          {"X-Deadline-Ms", "-1"},
       {"X-Deadline-Ms", "12x"},        {"X-Deadline-Ms", "99999999999999999999"},
       {"X-Deadline-Ms", "3600001"},    {"X-Priority", "10"},
@@ -72,69 +72,75 @@
       {"X-Request-Id", "caf\xc3\xa9"}, {"Authorization", "Basic abc"},
       {"Authorization", "Bearer "},
   };
-  for (const auto& [name, value] : bad) {
+  for (const auto& [name, value] : invalid) {
     INFO(name << "=" << value);
-    CallerError refused;
-    CHECK_FALSE(parseCallerHeaders(withHeader(name, value), refused));
-    CHECK(refused.message.find(name) != std::string::npos);
-    CHECK(refused.run_state == RunState::NotRun);
+    CallerError invalid_error;
+    CHECK_FALSE(parseCallerHeaders(requestWithHeader(name, value), invalid_error));
+    CHECK(invalid_error.message.find(name) != std::string::npos);
+    CHECK(invalid_error.run_state == RunState::NotRun);
   }
 }
 
-TEST_CASE("a tenant gets only its models, within their bounds", "[caller]") {
-  const Bundle held = bundle();
-  const TenantPolicy& tenant = held.tenants[0];
+TEST_CASE("a tenant may use only its models, within their token limits", "[caller]") {
+  const Bundle current_bundle = makeBundle();
+  const TenantPolicy& tenant = current_bundle.tenants[0];
   CallerError error;
-  const auto submit = admitChat(chat("desk", "hull"), {}, held, tenant, error);
+  const auto submit = buildChatSubmit(chatRequest("desk", "hull"), {}, current_bundle, tenant, error);
   REQUIRE(submit);
   CHECK(submit->max_tokens == 50);
   CHECK(submit->bundle_version == 7);
   CHECK(submit->tenant == "recife");
 
-  CHECK_FALSE(admitChat(chat("ranger"), {}, held, tenant, error));
+  CHECK_FALSE(buildChatSubmit(chatRequest("ranger"), {}, current_bundle, tenant, error));
   CHECK(error.code == ErrorCode::UnknownModel);
-  CHECK_FALSE(admitChat(chat("desk", "nope"), {}, held, tenant, error));
+  CHECK_FALSE(buildChatSubmit(chatRequest("desk", "nope"), {}, current_bundle, tenant, error));
   CHECK(error.code == ErrorCode::UnknownModel);
-  ChatRequest long_prompt = chat("desk");
+  ChatRequest long_prompt = chatRequest("desk");
   long_prompt.prompt = std::string(500, 'p');
-  CHECK_FALSE(admitChat(long_prompt, {}, held, tenant, error));
+  CHECK_FALSE(buildChatSubmit(long_prompt, {}, current_bundle, tenant, error));
   CHECK(error.code == ErrorCode::TooLarge);
-  ChatRequest long_answer = chat("desk");
-  long_answer.max_tokens = 51;
-  CHECK_FALSE(admitChat(long_answer, {}, held, tenant, error));
+  ChatRequest too_many_tokens = chatRequest("desk");
+  too_many_tokens.max_tokens = 51;
+  CHECK_FALSE(buildChatSubmit(too_many_tokens, {}, current_bundle, tenant, error));
   CHECK(error.code == ErrorCode::InvalidRequest);
 }
 
-TEST_CASE("a caller cannot be more urgent than its tenant", "[caller]") {
-  const Bundle held = bundle();
+TEST_CASE("a caller cannot raise its priority above the tenant's default", "[caller]") {
+  const Bundle current_bundle = makeBundle();
   CallerError error;
   CallerHeaders headers;
   headers.priority = 0;
-  CHECK(admitChat(chat("desk"), headers, held, held.tenants[0], error)->priority == 2);
+  CHECK(buildChatSubmit(chatRequest("desk"), headers, current_bundle, current_bundle.tenants[0], error)
+            ->priority == 2);
   headers.priority = 5;
-  CHECK(admitChat(chat("desk"), headers, held, held.tenants[0], error)->priority == 5);
+  CHECK(buildChatSubmit(chatRequest("desk"), headers, current_bundle, current_bundle.tenants[0], error)
+            ->priority == 5);
 }
 
 TEST_CASE("an operation that may not be repeated needs a key", "[caller]") {
-  const Bundle held = bundle();
+  const Bundle current_bundle = makeBundle();
   CallerError error;
-  CHECK_FALSE(admitOperation("order", "{}", {}, held, held.tenants[0], error));
+  CHECK_FALSE(buildOperationSubmit("order", "{}", {}, current_bundle, current_bundle.tenants[0], error));
   CHECK(error.code == ErrorCode::InvalidRequest);
   CallerHeaders headers;
   headers.idempotency_key = "k";
-  const auto submit = admitOperation("order", "{}", headers, held, held.tenants[0], error);
+  const auto submit =
+      buildOperationSubmit("order", "{}", headers, current_bundle, current_bundle.tenants[0], error);
   REQUIRE(submit);
   CHECK_FALSE(submit->repeatable);
   CHECK(submit->idempotency_key == "k");
-  CHECK(admitOperation("stock", "{}", {}, held, held.tenants[0], error)->repeatable);
-  CHECK_FALSE(admitOperation("order", "not json", headers, held, held.tenants[0], error));
-  CHECK_FALSE(admitOperation("booking", "{}", headers, held, held.tenants[0], error));
+  CHECK(
+      buildOperationSubmit("stock", "{}", {}, current_bundle, current_bundle.tenants[0], error)->repeatable);
+  CHECK_FALSE(
+      buildOperationSubmit("order", "not json", headers, current_bundle, current_bundle.tenants[0], error));
+  CHECK_FALSE(
+      buildOperationSubmit("booking", "{}", headers, current_bundle, current_bundle.tenants[0], error));
 }
 
-TEST_CASE("errors carry status, code, whether it ran and when to come back", "[caller]") {
+TEST_CASE("an error response has status, code, run state and retry delay", "[caller]") {
   const CallerError error{ErrorCode::Overloaded, RunState::NotRun, std::chrono::milliseconds(1500),
                           "busy \"now\""};
-  const http::Response response = errorResponseOf(error);
+  const http::Response response = makeErrorResponse(error);
   CHECK(response.status == 503);
   CHECK(response.headers.at("retry-after") == "2");
   CHECK(response.headers.at("x-should-retry") == "true");
@@ -142,11 +148,11 @@
   CHECK(detail.at("code") == "overloaded");
   CHECK(detail.at("ran") == "not_run");
   CHECK(detail.at("message") == "busy \"now\"");
-  const http::Response unknown = errorResponseOf({ErrorCode::RouterUnavailable, RunState::Unknown, {}, ""});
+  const http::Response unknown = makeErrorResponse({ErrorCode::RouterUnavailable, RunState::Unknown, {}, ""});
   CHECK(unknown.headers.at("x-should-retry") == "false");
 }
 
-TEST_CASE("stream events are single lines of JSON whatever the text", "[caller]") {
+TEST_CASE("a stream event is a single line of JSON even if the text has line breaks", "[caller]") {
   const ChatIdentity identity{"chatcmpl-1", 5, "desk"};
   const std::string event = textChunk(identity, "a\n\ndata: [DONE]\"");
   CHECK(event.find('\n') == event.size() - 2);
@@ -158,9 +164,10 @@
   CHECK(usage.at("prompt_tokens_details").at("cached_tokens") == 8);
 }
 
-TEST_CASE("the model list names models and adapters of the tenant only", "[caller]") {
-  const Bundle held = bundle();
-  const auto list = boost::json::parse(modelListBody(held, held.tenants[0])).at("data").as_array();
+TEST_CASE("the model list has only models and adapters of the tenant", "[caller]") {
+  const Bundle current_bundle = makeBundle();
+  const auto list =
+      boost::json::parse(modelListBody(current_bundle, current_bundle.tenants[0])).at("data").as_array();
   REQUIRE(list.size() == 2);
   CHECK(list[0].at("id") == "desk");
   CHECK(list[1].at("id") == "desk:hull");
