--- a/src/router/completion_flow.cc
+++ b/src/router/completion_flow.cc
@@ -194,7 +194,7 @@
     return abandonDispatch(entry, EventId::BackendProtocolBroken,
                            "a piece is not contiguous with the previous one", now);
   }
-  dispatch.attempt->apply(AttemptEvent::PieceArrived);
+  dispatch.attempt->apply(AttemptEvent::PieceReceived);
   recordPrefillDone(entry, now);
   if (!entry.first_token_seen) {
     entry.first_token_seen = true;
@@ -216,7 +216,7 @@
     cancelDispatch(entry, now);
     return refuse(entry, ErrorCode::EngineLost, Duration{0}, "the answer's checksum does not agree", now);
   }
-  entry.dispatch->attempt->apply(AttemptEvent::AnswerComplete);
+  entry.dispatch->attempt->apply(AttemptEvent::ResponseComplete);
   StreamEnd message;
   message.request_id = entry.request.request_id;
   message.attempt = entry.request.attempt;
