--- a/sim/world/sidecar_node.cc
+++ b/sim/world/sidecar_node.cc
@@ -48,7 +48,7 @@
 }
 
 void SidecarNode::upkeep() {
-  for (const std::string& address : process_->directory->wanted(now())) {
+  for (const std::string& address : process_->directory->targetAddresses(now())) {
     if (!process_->links.contains(address)) open(address);
   }
   std::vector<ChannelPointer> silent;
@@ -124,7 +124,7 @@
 }
 
 void SidecarNode::routersChanged() {
-  process_->selector->setRouters(process_->directory->usable());
+  process_->selector->setRouters(process_->directory->usableRouters());
 }
 
 bool SidecarNode::send(const std::string& router, const Message& message) {
@@ -168,7 +168,7 @@
 }
 
 void SidecarNode::onPingAck(Link& link, const PingAck& ack) {
-  for (const MemberRecord& member : ack.members) process_->directory->learn(member);
+  for (const MemberRecord& member : ack.members) process_->directory->applyRecord(member);
   routersChanged();
   compareBundle(link, ack.bundle_version);
 }
--- a/sim/world/sidecar_requests.cc
+++ b/sim/world/sidecar_requests.cc
@@ -95,17 +95,17 @@
     armTimer(request_id, open);
     return;
   }
-  if (!open.router.empty()) process_->selector->noteFinished(open.router);
+  if (!open.router.empty()) process_->selector->recordFinished(open.router);
   process_->open.erase(found);
 }
 
 void SidecarNode::perform(Open& open, const CallerAction& action) {
   CallerRecord& record = *open.record;
   if (const auto* submit = std::get_if<SubmitToRouter>(&action)) {
-    if (!open.router.empty()) process_->selector->noteFinished(open.router);
+    if (!open.router.empty()) process_->selector->recordFinished(open.router);
     open.router = submit->router;
     open.attempt = submit->request.attempt;
-    process_->selector->noteStarted(open.router);
+    process_->selector->recordStarted(open.router);
     context_.trace.note(host_.name(), "submits {} attempt {} to {} from {}", submit->request.request_id,
                         open.attempt, submit->router, submit->request.resume_offset);
     if (!send(submit->router, submit->request)) open.request->onRouterLost(submit->router, false, now());
--- a/src/app_runner/app_runner_client.cc
+++ b/src/app_runner/app_runner_client.cc
@@ -29,7 +29,7 @@
   void onDone(std::error_code error, http::SendState state, const http::Response& response) {
     const std::shared_ptr<CallState> kept = shared_from_this();  // The handler may let the call go.
     exchange_.reset();
-    if (error) return deliver(BackendLost{state == http::SendState::SentUnknown});
+    if (error) return deliver(BackendLost{state == http::SendState::SentOutcomeUnknown});
     if (response.status != kOk) return deliver(failureOf(response));
     std::string result;
     if (decodeExecution(response.body, result)) return deliver(BackendLost{true});
--- a/src/engine/engine_client.cc
+++ b/src/engine/engine_client.cc
@@ -86,7 +86,7 @@
     exchange_.reset();
     if (over_) return;
     if (error) {
-      finish(BackendLost{state == http::SendState::SentUnknown});
+      finish(BackendLost{state == http::SendState::SentOutcomeUnknown});
     } else if (status_ == kOk) {
       finish(BackendLost{true});
     } else {
--- a/src/gateway_control/gateway_admin.cc
+++ b/src/gateway_control/gateway_admin.cc
@@ -50,7 +50,7 @@
   if (address.empty()) return error;
   endpoints_ =
       std::make_shared<http::AdminEndpoints>(metrics_.registry(), [this] { return notServingReason(); });
-  endpoints_->beforeMetrics([this] { refreshGauges(); });
+  endpoints_->setMetricsRefresh([this] { refreshGauges(); });
   endpoints_->add("/status",
                   [this](const http::Request&, const writer_pointer& writer) { writer->respond(status()); });
   endpoints_->add("/explain", [this](const http::Request& request, const writer_pointer& writer) {
--- a/src/gateway_control/table_relay.cc
+++ b/src/gateway_control/table_relay.cc
@@ -101,7 +101,7 @@
   if (last->second.kind == ReadTarget::Kind::None) return;
   selector_.onLate(last->second.address, now());
   // Idle connections to the next reader may be silent as well.
-  client_.leaveKept("");
+  client_.closeStaleConnections("");
 }
 
 void TableRelay::requestFromGateway(const std::string& address, const std::string& target, Duration wait,
--- a/src/gateway_process/traffic_loop.cc
+++ b/src/gateway_process/traffic_loop.cc
@@ -86,7 +86,7 @@
       work_timer_(executor_),
       crash_timer_(executor_),
       meter_timer_(executor_) {
-  http_->setSilenceHandler([this] {
+  http_->setSilentConnectionsHandler([this] {
     gateway_.onConnectionsSilent(now());
     pump();
   });
@@ -101,7 +101,8 @@
   };
   server_ = http::listen(executor_, settings_.listen_address, handler, error, limits);
   if (server_)
-    server_->setUnreadHandler([this](const http::UnreadRequest& unread) { onUnreadableRequest(unread); });
+    server_->setRejectedRequestHandler(
+        [this](const http::RejectedRequest& unread) { onUnreadableRequest(unread); });
   return error;
 }
 
@@ -141,7 +142,7 @@
 }
 
 void TrafficLoop::onConnectionsSilent() {
-  http_->leaveKept("");
+  http_->closeStaleConnections("");
   gateway_.onTimer(now());  // After a suspension timers fire late.
   gateway_.onConnectionsSilent(now());
   pump();
@@ -195,7 +196,7 @@
 }
 
 void TrafficLoop::drain() {
-  server_->closeAfterAnswers();
+  server_->disableKeepAlive();
   countInFlight();
   watchDrain();
 }
@@ -238,7 +239,7 @@
   pump();
 }
 
-void TrafficLoop::onUnreadableRequest(const http::UnreadRequest& unread) {
+void TrafficLoop::onUnreadableRequest(const http::RejectedRequest& unread) {
   const std::optional<ClientRequest> client = dialect_->readRequest(unread.head);
   gateway_.onUnreadableRequest(client ? client->request_id : std::string(), unread.status, now());
 }
@@ -317,7 +318,7 @@
   const auto exchange = found->second.exchange;
   running_.erase(found);
   if (action.unanswered) {
-    exchange->cancelUnanswered();
+    exchange->cancelTimedOut();
   } else {
     exchange->cancel();
   }
@@ -416,7 +417,7 @@
 
 http::ExchangeCallbacks TrafficLoop::callbacksOf(ExchangeId exchange, const std::string& request_id) {
   http::ExchangeCallbacks callbacks;
-  callbacks.is_own = [dialect = dialect_, request_id](int status, const http::Headers& headers) {
+  callbacks.matches_request = [dialect = dialect_, request_id](int status, const http::Headers& headers) {
     return !dialect->readResponse({status, headers, {}}, request_id).other_request;
   };
   callbacks.on_headers = [this, exchange, request_id](int status, const http::Headers& headers) {
@@ -456,7 +457,7 @@
   if (!running_.contains(exchange)) return;
   if (error) {
     running_.erase(exchange);
-    gateway_.onLost(exchange, state == http::SendState::SentUnknown, now());
+    gateway_.onLost(exchange, state == http::SendState::SentOutcomeUnknown, now());
   } else {
     gateway_.onEnd(exchange, now());
   }
--- a/src/gateway_process/traffic_loop.h
+++ b/src/gateway_process/traffic_loop.h
@@ -64,7 +64,7 @@
   void countInFlight();
   void watchDrain();
 
-  void onUnreadableRequest(const http::UnreadRequest& unread);
+  void onUnreadableRequest(const http::RejectedRequest& unread);
   void tellWorkSoon();
   void tellCrashesSoon();
   void tellWork();
--- a/src/http/admin.h
+++ b/src/http/admin.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file The admin endpoints of routers and sidecars: /healthz, /metrics and paths that the process adds.
+/// @file Admin endpoints of routers and sidecars: /healthz, /metrics and paths registered by the process.
 
 #include <functional>
 #include <map>
@@ -14,25 +14,25 @@
 
 namespace crankspur::http {
 
-/// Routes admin requests by path. Use it on the executor thread of the server that it answers for.
+/// Routes admin requests by path. Must be used on the executor thread of its server.
 class AdminEndpoints {
 public:
-  /// Returns why the process does not serve, or an empty string when it does.
+  /// Returns why the process is not serving, or an empty string when it is.
   using HealthCheck = std::function<std::string()>;
 
-  /// @param registry the metrics that /metrics shows.
+  /// @param registry the metrics exposed by /metrics.
   AdminEndpoints(std::shared_ptr<prometheus::Registry> registry, HealthCheck health_check);
 
-  AdminEndpoints(const AdminEndpoints&) = delete;  // Its own handlers point to it.
+  AdminEndpoints(const AdminEndpoints&) = delete;  // Its handlers capture `this`.
   AdminEndpoints& operator=(const AdminEndpoints&) = delete;
 
-  /// Adds a path such as "/status". The handler may answer at once or keep the writer.
+  /// Registers a path such as "/status". The handler may respond at once or keep the writer.
   void add(const std::string& path, RequestHandler handler);
 
-  /// Sets a function called before /metrics reads the registry, for gauges that are read when asked for.
-  void beforeMetrics(std::function<void()> refresh) { refresh_ = std::move(refresh); }
+  /// Sets a function that is called before /metrics reads the registry, for gauges computed on demand.
+  void setMetricsRefresh(std::function<void()> refresh) { refresh_ = std::move(refresh); }
 
-  /// Answers one request: 404 for an unknown path, 405 for other methods than GET and HEAD.
+  /// Handles one request. Responds 404 for an unknown path and 405 for methods other than GET and HEAD.
   void handle(Request request, std::shared_ptr<ResponseWriter> writer) const;
 
 private:
@@ -46,7 +46,7 @@
 };
 
 /// Listens on "IP:port" for admin requests.
-/// @return the server, or empty with `error` set.
+/// @return the server, or null with `error` set.
 std::unique_ptr<Server> listenAdmin(const boost::asio::any_io_executor& executor, const std::string& address,
                                     std::shared_ptr<const AdminEndpoints> endpoints, std::error_code& error);
 
--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "http/client_connection.h"
-#include "http/connection_trust.h"
+#include "http/half_open_detector.h"
 
 namespace crankspur::http {
 
@@ -15,48 +15,50 @@
 
 namespace {
 
-constexpr std::size_t kIdleConnections = 64;  ///< Kept alive for each address.
+constexpr std::size_t kMaxIdleConnections = 64;  ///< Per address.
 
-/// The connections of one client; shared with their callbacks.
+/// The connections of one client. Their callbacks hold weak references to it.
 class ConnectionPool : public std::enable_shared_from_this<ConnectionPool> {
 public:
   explicit ConnectionPool(asio::any_io_executor executor) : executor_(std::move(executor)) {}
 
-  /// Runs the exchange on an idle connection, or on a new one when there is none or `fresh` is set.
-  void run(const std::shared_ptr<ExchangeState>& exchange, bool fresh) {
-    std::shared_ptr<ClientConnection> connection = fresh ? nullptr : takeIdle(exchange->address);
+  /// Runs the exchange on an idle connection, or on a new one if none is idle or `force_new` is set.
+  void run(const std::shared_ptr<ExchangeState>& exchange, bool force_new) {
+    std::shared_ptr<ClientConnection> connection = force_new ? nullptr : popIdle(exchange->address);
     if (!connection) connection = open(exchange->address);
     running_[exchange.get()] = connection;
     connection->run(exchange);
   }
 
-  void setUnansweredHandler(std::function<void(const UnansweredExchange&)> handler) {
-    on_unanswered_ = std::move(handler);
+  void setTimeoutHandler(std::function<void(const TimedOutExchange&)> handler) {
+    on_timeout_ = std::move(handler);
   }
 
-  void setSilenceHandler(std::function<void()> handler) { on_silence_ = std::move(handler); }
+  void setSilentConnectionsHandler(std::function<void()> handler) {
+    on_silent_connections_ = std::move(handler);
+  }
 
-  /// @param address whose connections; empty: all.
-  void leaveKept(const std::string& address, ConnectionTrust::Time heard_before) {
-    std::vector<std::shared_ptr<ClientConnection>> left;
-    for (const auto& [to, connections] : idle_) {
-      if (!address.empty() && to != address) continue;
+  /// @param address server address; empty for all servers.
+  void closeStaleConnections(const std::string& address, HalfOpenDetector::Time last_received_before) {
+    std::vector<std::shared_ptr<ClientConnection>> stale_connections;
+    for (const auto& [peer_address, connections] : idle_) {
+      if (!address.empty() && peer_address != address) continue;
       for (const auto& connection : connections) {
-        if (connection->heardAt() < heard_before) left.push_back(connection);
+        if (connection->lastReceived() < last_received_before) stale_connections.push_back(connection);
       }
     }
-    for (const auto& connection : left) {
+    for (const auto& connection : stale_connections) {
       connection->close();
-      forget(connection.get());
+      remove(connection.get());
     }
   }
 
-  void cancelUnanswered(const std::shared_ptr<ExchangeState>& exchange) {
+  void cancelTimedOut(const std::shared_ptr<ExchangeState>& exchange) {
     const auto found = running_.find(exchange.get());
-    std::optional<UnansweredExchange> unanswered;
-    if (!exchange->ended && found != running_.end()) unanswered = found->second->unanswered();
+    std::optional<TimedOutExchange> timed_out;
+    if (!exchange->ended && found != running_.end()) timed_out = found->second->exchangeWithoutResponse();
     cancel(exchange);
-    if (unanswered) onUnanswered(*unanswered);
+    if (timed_out) onTimeout(*timed_out);
   }
 
   void cancel(const std::shared_ptr<ExchangeState>& exchange) {
@@ -67,7 +69,7 @@
     const auto connection = found->second;
     running_.erase(found);
     connection->close();
-    forget(connection.get());
+    remove(connection.get());
   }
 
   void closeAll() {
@@ -80,7 +82,7 @@
   }
 
 private:
-  std::shared_ptr<ClientConnection> takeIdle(const std::string& address) {
+  std::shared_ptr<ClientConnection> popIdle(const std::string& address) {
     const auto found = idle_.find(address);
     if (found == idle_.end() || found->second.empty()) return nullptr;
     auto connection = found->second.back();
@@ -90,37 +92,37 @@
 
   std::shared_ptr<ClientConnection> open(const std::string& address) {
     const std::weak_ptr<ConnectionPool> weak = weak_from_this();
-    ClientConnection::Owner owner;
-    owner.on_end = [weak](const std::shared_ptr<ExchangeState>& exchange,
-                          const ClientConnection::Outcome& outcome) {
+    ClientConnection::Callbacks connection_callbacks;
+    connection_callbacks.on_end = [weak](const std::shared_ptr<ExchangeState>& exchange,
+                                         const ClientConnection::Outcome& outcome) {
       if (const auto pool = weak.lock()) pool->onEnd(exchange, outcome);
     };
-    owner.on_idle = [weak](const std::shared_ptr<ClientConnection>& connection) {
-      if (const auto pool = weak.lock()) pool->keep(connection);
+    connection_callbacks.on_idle = [weak](const std::shared_ptr<ClientConnection>& connection) {
+      if (const auto pool = weak.lock()) pool->addIdle(connection);
     };
-    owner.on_closed = [weak](ClientConnection* connection) {
-      if (const auto pool = weak.lock()) pool->forget(connection);
+    connection_callbacks.on_closed = [weak](ClientConnection* connection) {
+      if (const auto pool = weak.lock()) pool->remove(connection);
     };
-    owner.on_answered_again = [weak](ClientConnection* connection) {
+    connection_callbacks.on_reused_response = [weak](ClientConnection* connection) {
       const auto pool = weak.lock();
-      if (pool) pool->trust_.onAnswered(connection->address(), connection->heardAt());
+      if (pool) pool->half_open_detector_.onResponse(connection->address(), connection->lastReceived());
     };
-    auto connection = std::make_shared<ClientConnection>(executor_, address, owner);
+    auto connection = std::make_shared<ClientConnection>(executor_, address, connection_callbacks);
     open_.insert(connection);
     return connection;
   }
 
-  void keep(const std::shared_ptr<ClientConnection>& connection) {
+  void addIdle(const std::shared_ptr<ClientConnection>& connection) {
     auto& list = idle_[connection->address()];
-    if (list.size() < kIdleConnections) {
+    if (list.size() < kMaxIdleConnections) {
       list.push_back(connection);
       return;
     }
     connection->close();
-    forget(connection.get());
+    remove(connection.get());
   }
 
-  void forget(ClientConnection* connection) {
+  void remove(ClientConnection* connection) {
     const auto shared = connection->shared_from_this();
     open_.erase(shared);
     const auto found = idle_.find(connection->address());
@@ -132,7 +134,7 @@
   void onEnd(const std::shared_ptr<ExchangeState>& exchange, const ClientConnection::Outcome& outcome) {
     running_.erase(exchange.get());
     if (closed_ || exchange->ended) return;
-    if (outcome.unanswered) onUnanswered(*outcome.unanswered);
+    if (outcome.timed_out) onTimeout(*outcome.timed_out);
     const bool nothing_sent = outcome.state == SendState::NotSent;
     if (outcome.stale && (nothing_sent || exchange->request.method == "GET")) return run(exchange, true);
     exchange->ended = true;
@@ -140,24 +142,25 @@
     if (callbacks.on_done) callbacks.on_done(outcome.error, outcome.state, std::move(exchange->response));
   }
 
-  /// Only what a connection that answered before left unanswered tells of other servers: on a new one the
-  /// server may be at fault.
-  void onUnanswered(UnansweredExchange unanswered) {
-    const auto found = idle_.find(unanswered.address);
-    unanswered.idle = found == idle_.end() ? 0 : found->second.size();
-    if (on_unanswered_) on_unanswered_(unanswered);
+  /// Only a timeout on a reused connection counts as evidence about connections to other servers. On a new
+  /// connection the server itself may be at fault.
+  void onTimeout(TimedOutExchange timed_out) {
+    const auto found = idle_.find(timed_out.address);
+    timed_out.idle = found == idle_.end() ? 0 : found->second.size();
+    if (on_timeout_) on_timeout_(timed_out);
     const auto now = std::chrono::steady_clock::now();
-    const auto began = now - unanswered.waited;
-    const bool all = unanswered.reused && trust_.onUnanswered(unanswered.address, began, now) ==
-                                              ConnectionTrust::Verdict::LeaveAll;
-    leaveKept(all ? "" : unanswered.address, std::max(began, now - ConnectionTrust::kRecently));
-    if (all && on_silence_) on_silence_();
+    const auto began = now - timed_out.waited;
+    const bool close_all = timed_out.reused && half_open_detector_.onTimeout(timed_out.address, began, now) ==
+                                                   HalfOpenDetector::Action::CloseAll;
+    closeStaleConnections(close_all ? "" : timed_out.address,
+                          std::max(began, now - HalfOpenDetector::kRecentActivity));
+    if (close_all && on_silent_connections_) on_silent_connections_();
   }
 
   asio::any_io_executor executor_;
-  std::function<void(const UnansweredExchange&)> on_unanswered_;
-  std::function<void()> on_silence_;
-  ConnectionTrust trust_;
+  std::function<void(const TimedOutExchange&)> on_timeout_;
+  std::function<void()> on_silent_connections_;
+  HalfOpenDetector half_open_detector_;
   bool closed_ = false;
   std::unordered_set<std::shared_ptr<ClientConnection>> open_;
   std::unordered_map<std::string, std::vector<std::shared_ptr<ClientConnection>>> idle_;
@@ -171,8 +174,8 @@
   void cancel() override {
     if (const auto pool = pool_.lock()) pool->cancel(state_);
   }
-  void cancelUnanswered() override {
-    if (const auto pool = pool_.lock()) pool->cancelUnanswered(state_);
+  void cancelTimedOut() override {
+    if (const auto pool = pool_.lock()) pool->cancelTimedOut(state_);
   }
 
 private:
@@ -197,14 +200,15 @@
     return std::make_shared<PooledExchange>(pool_, state);
   }
 
-  void setUnansweredHandler(std::function<void(const UnansweredExchange&)> handler) override {
-    pool_->setUnansweredHandler(std::move(handler));
+  void setTimeoutHandler(std::function<void(const TimedOutExchange&)> handler) override {
+    pool_->setTimeoutHandler(std::move(handler));
   }
-  void setSilenceHandler(std::function<void()> handler) override {
-    pool_->setSilenceHandler(std::move(handler));
+  void setSilentConnectionsHandler(std::function<void()> handler) override {
+    pool_->setSilentConnectionsHandler(std::move(handler));
   }
-  void leaveKept(const std::string& address) override {
-    pool_->leaveKept(address, std::chrono::steady_clock::now() - ConnectionTrust::kRecently);
+  void closeStaleConnections(const std::string& address) override {
+    pool_->closeStaleConnections(address,
+                                 std::chrono::steady_clock::now() - HalfOpenDetector::kRecentActivity);
   }
 
 private:
--- a/src/http/client_connection.cc
+++ b/src/http/client_connection.cc
@@ -19,23 +19,24 @@
 
 constexpr std::size_t kReadBytes = std::size_t{16} * 1024;
 constexpr std::uint32_t kHeaderBytes = 64 * 1024;
-/// Shorter than the server's idle timeout, so that the client is first to give a connection up.
+/// Shorter than the idle timeout of the server, so that the client closes an idle connection first.
 constexpr Duration kIdleLifetime = std::chrono::seconds(20);
-/// A server's close of an idle connection and the next request on it cross on the way, for this long at most.
-constexpr Duration kCloseCrossesRequest = std::chrono::milliseconds(500);
-/// A timer that is this late finds bytes that came meanwhile; they are read before anything is given up.
-constexpr Duration kLateTimer = std::chrono::milliseconds(50);
-
-/// Lets the kernel notice within seconds that the other machine is gone; it would say nothing.
-void probeWhenIdle(asio::ip::tcp::socket& socket) {
-  constexpr int kSeconds = 1;
-  constexpr int kProbes = 2;
-  const int handle = socket.native_handle();
+/// Maximum time in which the close of an idle connection by the server can race with the next request on it.
+constexpr Duration kCloseRaceWindow = std::chrono::milliseconds(500);
+/// When a timer fires this late, data may have been received meanwhile; it is read before the exchange fails.
+constexpr Duration kTimerDelayTolerance = std::chrono::milliseconds(50);
+
+/// Enables TCP keep-alive probes, so that the kernel detects the loss of the peer machine within seconds. A
+/// lost machine sends neither FIN nor RST.
+void enableKeepAliveProbes(asio::ip::tcp::socket& socket) {
+  constexpr int kProbeIntervalSeconds = 1;
+  constexpr int kProbeCount = 2;
+  const int descriptor = socket.native_handle();
   boost::system::error_code ignored;
   socket.set_option(asio::socket_base::keep_alive(true), ignored);
-  ::setsockopt(handle, IPPROTO_TCP, TCP_KEEPIDLE, &kSeconds, sizeof(kSeconds));
-  ::setsockopt(handle, IPPROTO_TCP, TCP_KEEPINTVL, &kSeconds, sizeof(kSeconds));
-  ::setsockopt(handle, IPPROTO_TCP, TCP_KEEPCNT, &kProbes, sizeof(kProbes));
+  ::setsockopt(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, &kProbeIntervalSeconds, sizeof(kProbeIntervalSeconds));
+  ::setsockopt(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, &kProbeIntervalSeconds, sizeof(kProbeIntervalSeconds));
+  ::setsockopt(descriptor, IPPROTO_TCP, TCP_KEEPCNT, &kProbeCount, sizeof(kProbeCount));
 }
 
 std::string requestText(const Request& request, const std::string& address) {
@@ -45,18 +46,19 @@
   message.version(11);
   message.set(beast::http::field::host, address);
   copyHeaders(request.headers, message);
-  const bool carries_body = !request.body.empty() || (request.method != "GET" && request.method != "HEAD");
-  if (carries_body) message.content_length(request.body.size());
+  const bool has_body = !request.body.empty() || (request.method != "GET" && request.method != "HEAD");
+  if (has_body) message.content_length(request.body.size());
   return headerText(message) + request.body;
 }
 
 }  // namespace
 
-ClientConnection::ClientConnection(const asio::any_io_executor& executor, std::string address, Owner owner)
+ClientConnection::ClientConnection(const asio::any_io_executor& executor, std::string address,
+                                   Callbacks callbacks)
     : socket_(executor),
       timer_(executor),
       address_(std::move(address)),
-      owner_(std::move(owner)),
+      callbacks_(std::move(callbacks)),
       idle_lifetime_(kIdleLifetime) {}
 
 void ClientConnection::run(std::shared_ptr<ExchangeState> exchange) {
@@ -65,7 +67,7 @@
   request_written_ = false;
   byte_sent_ = false;
   byte_received_ = false;
-  fired_late_ = false;
+  late_timer_deferred_ = false;
   began_at_ = std::chrono::steady_clock::now();
   reused_ = phase_ == Phase::Idle;
   if (reused_) {
@@ -93,10 +95,10 @@
   if (phase_ != Phase::Connecting) return;
   if (error) return fail(error);
   opened_at_ = std::chrono::steady_clock::now();
-  heard_at_ = opened_at_;
+  last_received_ = opened_at_;
   boost::system::error_code ignored;
   socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
-  probeWhenIdle(socket_);
+  enableKeepAliveProbes(socket_);
   read();
   sendRequest();
 }
@@ -104,21 +106,21 @@
 void ClientConnection::sendRequest() {
   phase_ = Phase::Busy;
   resetParser();
-  last_byte_ = std::chrono::steady_clock::now();
+  idle_since_ = std::chrono::steady_clock::now();
   armTimer(exchange_->options.idle_timeout);
-  byte_sent_ = true;  // The server may have it before the write is reported.
+  byte_sent_ = true;  // The server may receive it before the write completes.
   const auto on_written = [self = shared_from_this(), exchange = exchange_](boost::system::error_code error,
                                                                             std::size_t bytes) {
     if (self->exchange_ != exchange) return;
     if (error && bytes == 0) self->byte_sent_ = false;
     self->request_written_ = !error;
-    // A failed write is left to the pending read: the server may have answered before it closed.
+    // The pending read reports a failed write: the server may have responded before it closed.
   };
   asio::async_write(socket_, asio::buffer(request_text_), on_written);
 }
 
 void ClientConnection::resetParser() {
-  headers_announced_ = false;
+  headers_delivered_ = false;
   discarding_ = false;
   parser_.emplace();
   parser_->header_limit(kHeaderBytes);
@@ -137,16 +139,16 @@
 void ClientConnection::onRead(boost::system::error_code error, std::size_t bytes) {
   if (phase_ == Phase::Closed) return;
   buffer_.commit(bytes);
-  if (phase_ == Phase::Idle) return shut();  // Closed by the server, or bytes that nobody asked for.
-  if (error == asio::error::eof && headers_announced_ && !discarding_) {
+  if (phase_ == Phase::Idle) return closeAndNotify();  // Closed by the server, or unsolicited data.
+  if (error == asio::error::eof && headers_delivered_ && !discarding_) {
     boost::system::error_code incomplete;
     parser_->put_eof(incomplete);
     return incomplete ? fail(incomplete) : complete(false);
   }
   if (error) return fail(error);
-  last_byte_ = std::chrono::steady_clock::now();
-  heard_at_ = last_byte_;
-  if (!std::exchange(byte_received_, true) && reused_) owner_.on_answered_again(this);
+  idle_since_ = std::chrono::steady_clock::now();
+  last_received_ = idle_since_;
+  if (!std::exchange(byte_received_, true) && reused_) callbacks_.on_reused_response(this);
   parse();
   if (phase_ == Phase::Busy || phase_ == Phase::Idle) read();
 }
@@ -162,8 +164,8 @@
       const bool too_large = error == beast::http::error::body_limit;
       return fail(too_large ? make_error_code(ErrorCode::TooLarge) : std::error_code(error));
     }
-    if (parser_->is_header_done() && !headers_announced_) {
-      announceHeaders();
+    if (parser_->is_header_done() && !headers_delivered_) {
+      deliverHeaders();
       if (exchange->ended) return;
     }
     if (parser_->is_done() && discarding_) {
@@ -188,23 +190,23 @@
   return true;
 }
 
-void ClientConnection::announceHeaders() {
+void ClientConnection::deliverHeaders() {
   const auto exchange = exchange_;
   const auto status = static_cast<int>(parser_->get().result_int());
-  if (status / 100 == 1) return resetParser();  // An interim response; the real one follows.
-  headers_announced_ = true;
+  if (status / 100 == 1) return resetParser();  // Interim response; the final response follows.
+  headers_delivered_ = true;
   parser_->eager(true);
   Headers headers = readHeaders(parser_->get().base());
-  keepAliveFor(headers);
-  discarding_ = exchange->callbacks.is_own && !exchange->callbacks.is_own(status, headers);
+  applyKeepAliveTimeout(headers);
+  discarding_ = exchange->callbacks.matches_request && !exchange->callbacks.matches_request(status, headers);
   if (discarding_) return;
   exchange->response.status = status;
   exchange->response.headers = std::move(headers);
   if (exchange->callbacks.on_headers) exchange->callbacks.on_headers(status, exchange->response.headers);
 }
 
-/// Gives an idle connection up before the server does, as far as it says when.
-void ClientConnection::keepAliveFor(const Headers& headers) {
+/// Closes an idle connection before the server does if the server announces its timeout.
+void ClientConnection::applyKeepAliveTimeout(const Headers& headers) {
   constexpr std::string_view kTimeout = "timeout=";
   const auto found = headers.find("Keep-Alive");
   if (found == headers.end()) return;
@@ -223,32 +225,32 @@
   if (reusable && buffer_.size() == 0) {
     phase_ = Phase::Idle;
     armTimer(idle_lifetime_);
-    owner_.on_idle(shared_from_this());
+    callbacks_.on_idle(shared_from_this());
   } else {
-    shut();
+    closeAndNotify();
   }
-  owner_.on_end(exchange, {{}, SendState::SentUnknown, false, {}});
+  callbacks_.on_end(exchange, {{}, SendState::SentOutcomeUnknown, false, {}});
 }
 
-std::optional<UnansweredExchange> ClientConnection::unanswered() const {
+std::optional<TimedOutExchange> ClientConnection::exchangeWithoutResponse() const {
   if (byte_received_ || !exchange_) return std::nullopt;
   const auto now = std::chrono::steady_clock::now();
-  UnansweredExchange unanswered;
-  unanswered.address = address_;
-  unanswered.reused = reused_;
-  unanswered.waited = std::chrono::duration_cast<Duration>(now - began_at_);
+  TimedOutExchange timed_out;
+  timed_out.address = address_;
+  timed_out.reused = reused_;
+  timed_out.waited = std::chrono::duration_cast<Duration>(now - began_at_);
   const bool opened = opened_at_ != std::chrono::steady_clock::time_point{};
-  if (opened) unanswered.connection_age = std::chrono::duration_cast<Duration>(now - opened_at_);
-  return unanswered;
+  if (opened) timed_out.connection_age = std::chrono::duration_cast<Duration>(now - opened_at_);
+  return timed_out;
 }
 
 void ClientConnection::fail(std::error_code error) {
-  Outcome outcome{error, byte_sent_ ? SendState::SentUnknown : SendState::NotSent, false, {}};
-  if (error == make_error_code(ErrorCode::DeadlineExceeded)) outcome.unanswered = unanswered();
+  Outcome outcome{error, byte_sent_ ? SendState::SentOutcomeUnknown : SendState::NotSent, false, {}};
+  if (error == make_error_code(ErrorCode::DeadlineExceeded)) outcome.timed_out = exchangeWithoutResponse();
   const auto exchange = std::exchange(exchange_, nullptr);
-  outcome.stale = closedAsItWasSent(error);
-  shut();
-  owner_.on_end(exchange, outcome);
+  outcome.stale = closedWhileSending(error);
+  closeAndNotify();
+  callbacks_.on_end(exchange, outcome);
 }
 
 void ClientConnection::close() {
@@ -259,9 +261,9 @@
   timer_.cancel();
 }
 
-void ClientConnection::shut() {
+void ClientConnection::closeAndNotify() {
   close();
-  owner_.on_closed(this);
+  callbacks_.on_closed(this);
 }
 
 void ClientConnection::armTimer(Duration delay) {
@@ -272,27 +274,29 @@
   });
 }
 
-/// Only a close that crossed the request is no failure of the exchange. One that comes later, such as the
-/// kernel's own notice of a silent connection after some 3 s, is the caller's to judge: a call that is held
-/// for 2.5 s was made anew with its whole hold, and the contact that it vouches for became 8 s old.
-bool ClientConnection::closedAsItWasSent(std::error_code error) const {
+/// Only a close that races with the request is not a failure of the exchange. A later close, such as
+/// keep-alive probes of the kernel failing after about 3 s on a silent connection, is reported to the caller:
+/// otherwise a call held by the server for 2.5 s was retried with its full hold time, and the contact that it
+/// confirms became 8 s old.
+bool ClientConnection::closedWhileSending(std::error_code error) const {
   if (!reused_ || byte_received_ || error == make_error_code(ErrorCode::DeadlineExceeded)) return false;
-  return std::chrono::steady_clock::now() - began_at_ < kCloseCrossesRequest;
+  return std::chrono::steady_clock::now() - began_at_ < kCloseRaceWindow;
 }
 
-/// A timer that fires late says that this process was held up: the answer may lie in the socket, unread.
-bool ClientConnection::firesLate() {
-  if (std::chrono::steady_clock::now() - timer_.expiry() < kLateTimer) return false;
-  return !std::exchange(fired_late_, true);
+/// A timer that fires late shows that this process was delayed; the response may be unread in the socket
+/// buffer.
+bool ClientConnection::deferLateTimer() {
+  if (std::chrono::steady_clock::now() - timer_.expiry() < kTimerDelayTolerance) return false;
+  return !std::exchange(late_timer_deferred_, true);
 }
 
 void ClientConnection::onTimer() {
-  if (phase_ == Phase::Idle) return shut();
-  if (firesLate()) return armTimer(kLateTimer);
+  if (phase_ == Phase::Idle) return closeAndNotify();
+  if (deferLateTimer()) return armTimer(kTimerDelayTolerance);
   if (phase_ == Phase::Busy) {
-    const auto quiet = std::chrono::steady_clock::now() - last_byte_;
+    const auto idle_time = std::chrono::steady_clock::now() - idle_since_;
     const Duration limit = exchange_->options.idle_timeout;
-    if (quiet < limit) return armTimer(std::chrono::ceil<Duration>(limit - quiet));
+    if (idle_time < limit) return armTimer(std::chrono::ceil<Duration>(limit - idle_time));
   }
   fail(make_error_code(ErrorCode::DeadlineExceeded));
 }
--- a/src/http/client_connection.h
+++ b/src/http/client_connection.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Internal to this package: one connection of the HTTP client. Include it from .cc files only.
+/// @file One connection of the HTTP client. Internal to this package; include only from .cc files.
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/post.hpp>
@@ -14,14 +14,15 @@
 
 namespace crankspur::http {
 
-/// A response body that goes to a callback at its arrival.
+/// Beast body type that passes response data to a callback as it is received.
 struct CallbackBody {
-  using value_type = std::function<bool(std::string_view)>;  ///< Returns false to refuse the body.
+  using value_type = std::function<bool(std::string_view)>;  ///< Returns false to reject the body.
 
   class reader {
   public:
     template <bool isRequest, typename Fields>
-    reader(boost::beast::http::header<isRequest, Fields>&, value_type& consumer) : consumer_(consumer) {}
+    reader(boost::beast::http::header<isRequest, Fields>&, value_type& body_callback)
+        : body_callback_(body_callback) {}
     void init(boost::optional<std::uint64_t> const&, boost::system::error_code& error) { error = {}; }
     template <typename Buffers>
     std::size_t put(const Buffers& buffers, boost::system::error_code& error) {
@@ -29,7 +30,7 @@
       std::size_t total = 0;
       for (const boost::asio::const_buffer buffer : boost::beast::buffers_range_ref(buffers)) {
         const std::string_view piece(static_cast<const char*>(buffer.data()), buffer.size());
-        if (!consumer_(piece)) error = boost::beast::http::error::body_limit;
+        if (!body_callback_(piece)) error = boost::beast::http::error::body_limit;
         total += buffer.size();
       }
       return total;
@@ -37,49 +38,49 @@
     void finish(boost::system::error_code& error) { error = {}; }
 
   private:
-    value_type& consumer_;
+    value_type& body_callback_;
   };
 };
 
-/// What one exchange sends, and where its outcome goes.
+/// Request, callbacks and response of one exchange.
 struct ExchangeState {
   std::string address;
   Request request;
   ExchangeCallbacks callbacks;
   ExchangeOptions options;
   Response response;
-  bool ended = false;  ///< Done or cancelled: no further callback.
+  bool ended = false;  ///< Completed or cancelled; no further callbacks.
 };
 
-/// One connection. A read is always pending, so that a closed idle connection is noticed.
+/// One connection. A read is always pending, so that a close by the server is detected while idle.
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
 public:
   /// How an exchange ended on the connection.
   struct Outcome {
     std::error_code error;
     SendState state = SendState::NotSent;
-    bool stale = false;  ///< The server closed a reused connection as the request was sent.
-    std::optional<UnansweredExchange> unanswered;  ///< Set when the time for the first byte passed.
+    bool stale = false;  ///< The server closed a reused connection while the request was sent.
+    std::optional<TimedOutExchange> timed_out;  ///< Set when the first byte timed out.
   };
-  struct Owner {
-    /// The exchange ended; a usable connection was made idle before.
+  struct Callbacks {
+    /// The exchange ended; on_idle was called before if the connection is reusable.
     std::function<void(std::shared_ptr<ExchangeState>, Outcome)> on_end;
     std::function<void(std::shared_ptr<ClientConnection>)> on_idle;
     std::function<void(ClientConnection*)> on_closed;
-    /// A connection that had served an exchange before began to answer the next one.
-    std::function<void(ClientConnection*)> on_answered_again;
+    /// A reused connection received the first byte of a response.
+    std::function<void(ClientConnection*)> on_reused_response;
   };
 
-  ClientConnection(const boost::asio::any_io_executor& executor, std::string address, Owner owner);
+  ClientConnection(const boost::asio::any_io_executor& executor, std::string address, Callbacks callbacks);
 
   const std::string& address() const { return address_; }
-  /// Runs an exchange; connects first if need be.
+  /// Runs an exchange; connects first if necessary.
   void run(std::shared_ptr<ExchangeState> exchange);
-  /// Closes without calling the owner.
+  /// Closes without a callback.
   void close();
-  /// @return what is known of the exchange under way when no byte of its answer has come; empty: one has.
-  std::optional<UnansweredExchange> unanswered() const;
-  std::chrono::steady_clock::time_point heardAt() const { return heard_at_; }
+  /// @return the current exchange if no byte of its response was received; otherwise empty.
+  std::optional<TimedOutExchange> exchangeWithoutResponse() const;
+  std::chrono::steady_clock::time_point lastReceived() const { return last_received_; }
 
 private:
   using Parser = boost::beast::http::response_parser<CallbackBody>;
@@ -93,20 +94,20 @@
   void onRead(boost::system::error_code error, std::size_t bytes);
   void parse();
   bool consumeBody(std::string_view piece);
-  void announceHeaders();
-  void keepAliveFor(const Headers& headers);
+  void deliverHeaders();
+  void applyKeepAliveTimeout(const Headers& headers);
   void complete(bool reusable);
   void fail(std::error_code error);
-  void shut();
+  void closeAndNotify();
   void armTimer(Duration delay);
   void onTimer();
-  bool firesLate();
-  bool closedAsItWasSent(std::error_code error) const;
+  bool deferLateTimer();
+  bool closedWhileSending(std::error_code error) const;
 
   boost::asio::ip::tcp::socket socket_;
   boost::asio::steady_timer timer_;
   std::string address_;
-  Owner owner_;
+  Callbacks callbacks_;
   Phase phase_ = Phase::New;
   boost::beast::flat_buffer buffer_;
   std::optional<Parser> parser_;
@@ -116,14 +117,15 @@
   bool request_written_ = false;
   bool byte_sent_ = false;
   bool byte_received_ = false;
-  bool headers_announced_ = false;
-  bool fired_late_ = false;  ///< The timer did, in this exchange.
-  bool discarding_ = false;  ///< The answer under way belongs to an earlier request.
-  Duration idle_lifetime_;   ///< As the server states it.
-  std::chrono::steady_clock::time_point last_byte_;
-  std::chrono::steady_clock::time_point heard_at_{};   ///< When bytes came last; set once connected.
-  std::chrono::steady_clock::time_point opened_at_{};  ///< Set once connected.
-  std::chrono::steady_clock::time_point began_at_{};   ///< Of the exchange under way.
+  bool headers_delivered_ = false;
+  bool late_timer_deferred_ = false;  ///< A late timer was already deferred once in this exchange.
+  bool discarding_ = false;           ///< The response being received belongs to an earlier request.
+  Duration idle_lifetime_;            ///< Reduced by the Keep-Alive header of the server.
+  std::chrono::steady_clock::time_point idle_since_;  ///< Start of the current idle timeout.
+  /// When data was last received; set when connected.
+  std::chrono::steady_clock::time_point last_received_{};
+  std::chrono::steady_clock::time_point opened_at_{};  ///< Set when connected.
+  std::chrono::steady_clock::time_point began_at_{};   ///< Start of the current exchange.
 };
 
 }  // namespace crankspur::http
--- a/src/http/event_stream_parser.cc
+++ b/src/http/event_stream_parser.cc
@@ -12,19 +12,19 @@
     const std::string_view piece = bytes.substr(begin, end - begin);
     begin = end + 1;
     if (buffer_.empty()) {
-      if (!takeLine(piece, on_event)) return false;
+      if (!processLine(piece, on_event)) return false;
       continue;
     }
     const std::string line = buffer_.append(piece);
     buffer_.clear();
-    if (!takeLine(line, on_event)) return false;
+    if (!processLine(line, on_event)) return false;
   }
   buffer_.append(bytes.substr(begin));
   return buffer_.size() + data_.size() <= limit_;
 }
 
-bool EventStreamParser::takeLine(std::string_view line,
-                                 const std::function<void(std::string_view)>& on_event) {
+bool EventStreamParser::processLine(std::string_view line,
+                                    const std::function<void(std::string_view)>& on_event) {
   if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
   if (line.empty()) {
     if (!has_data_) return true;
--- a/src/http/message.cc
+++ b/src/http/message.cc
@@ -18,14 +18,14 @@
   return lower >= 'a' && lower <= 'f' ? lower - 'a' + 10 : -1;
 }
 
-/// Decodes percent escapes and "+"; a broken escape is kept as it is.
+/// Decodes percent escapes and "+". Malformed escapes are kept unchanged.
 std::string decodeQueryText(std::string_view text) {
   std::string decoded;
   for (std::size_t index = 0; index < text.size(); ++index) {
     const char character = text[index];
-    const bool escape = character == '%' && index + 2 < text.size() && hexDigit(text[index + 1]) >= 0 &&
-                        hexDigit(text[index + 2]) >= 0;
-    if (escape) {
+    const bool is_escape = character == '%' && index + 2 < text.size() && hexDigit(text[index + 1]) >= 0 &&
+                           hexDigit(text[index + 2]) >= 0;
+    if (is_escape) {
       decoded += static_cast<char>(hexDigit(text[index + 1]) * 16 + hexDigit(text[index + 2]));
       index += 2;
     } else {
@@ -47,15 +47,15 @@
 }
 
 std::string Request::query(const std::string& name) const {
-  const std::size_t mark = target.find('?');
-  if (mark == std::string::npos) return {};
-  std::string_view rest = std::string_view(target).substr(mark + 1);
+  const std::size_t query_start = target.find('?');
+  if (query_start == std::string::npos) return {};
+  std::string_view rest = std::string_view(target).substr(query_start + 1);
   while (!rest.empty()) {
-    const std::string_view part = rest.substr(0, rest.find('&'));
-    rest.remove_prefix(std::min(rest.size(), part.size() + 1));
-    const std::size_t equals = std::min(part.find('='), part.size());
-    if (decodeQueryText(part.substr(0, equals)) != name) continue;
-    return decodeQueryText(part.substr(std::min(part.size(), equals + 1)));
+    const std::string_view parameter = rest.substr(0, rest.find('&'));
+    rest.remove_prefix(std::min(rest.size(), parameter.size() + 1));
+    const std::size_t equals = std::min(parameter.find('='), parameter.size());
+    if (decodeQueryText(parameter.substr(0, equals)) != name) continue;
+    return decodeQueryText(parameter.substr(std::min(parameter.size(), equals + 1)));
   }
   return {};
 }
@@ -66,23 +66,23 @@
 }
 
 void removeConnectionHeaders(Headers& headers) {
-  static const char* const kConnectionFields[] = {"Connection", "Keep-Alive",        "Proxy-Connection",
-                                                  "TE",         "Transfer-Encoding", "Trailer",
-                                                  "Upgrade",    "Content-Length",    "Expect"};
+  static const char* const kHopByHopFields[] = {"Connection", "Keep-Alive",        "Proxy-Connection",
+                                                "TE",         "Transfer-Encoding", "Trailer",
+                                                "Upgrade",    "Content-Length",    "Expect"};
   const auto connection = headers.find("Connection");
   if (connection != headers.end()) {
     std::string_view rest = connection->second;
-    std::vector<std::string> named;
+    std::vector<std::string> connection_options;
     while (!rest.empty()) {
       std::string_view name = rest.substr(0, rest.find(','));
       rest.remove_prefix(std::min(rest.size(), name.size() + 1));
       while (name.starts_with(' ')) name.remove_prefix(1);
       while (name.ends_with(' ')) name.remove_suffix(1);
-      named.emplace_back(name);
+      connection_options.emplace_back(name);
     }
-    for (const std::string& name : named) headers.erase(name);
+    for (const std::string& name : connection_options) headers.erase(name);
   }
-  for (const char* const name : kConnectionFields) headers.erase(name);
+  for (const char* const name : kHopByHopFields) headers.erase(name);
 }
 
 Response jsonResponse(int status, std::string body) {
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file HTTP request and response values, free of Boost.Beast, so that callers compile fast.
+/// @file HTTP request and response values. Free of Boost.Beast to keep compile times of callers short.
 
 #include <map>
 #include <string>
@@ -12,10 +12,10 @@
   bool operator()(const std::string& left, const std::string& right) const;
 };
 
-/// Header fields. Values of a name received more than once are joined by ", ".
+/// Header fields. Values of a repeated field are joined by ", ".
 using Headers = std::map<std::string, std::string, HeaderLess>;
 
-/// A request as received or to be sent.
+/// HTTP request.
 struct Request {
   std::string method = "GET";
   std::string target = "/";  ///< Path with query.
@@ -30,11 +30,11 @@
   std::string header(const std::string& name) const;
 };
 
-/// Takes out the fields that pertain to one connection only: those of RFC 9110, section 7.6.1, the ones that
-/// Connection names, and the framing of the body.
+/// Removes hop-by-hop fields: those of RFC 9110, section 7.6.1, those named by Connection, and the framing of
+/// the body.
 void removeConnectionHeaders(Headers& headers);
 
-/// A complete response.
+/// Complete HTTP response.
 struct Response {
   int status = 200;
   Headers headers;
@@ -44,8 +44,8 @@
 /// @return a response with content type application/json.
 Response jsonResponse(int status, std::string body);
 
-/// @return the project's error form {"error":{"code","message","ran"}}.
-/// @param code a stable name, see errorName().
+/// @return an error response with the body {"error":{"code","message","ran"}}.
+/// @param code stable error name, see errorName().
 /// @param ran "not_run", "unknown" or "ran".
 Response errorResponse(int status, std::string_view code, std::string_view message, std::string_view ran);
 
--- a/src/http/serialize.h
+++ b/src/http/serialize.h
@@ -1,5 +1,6 @@
 #pragma once
-/// @file Internal to this package: header blocks as text. Include it from .cc files only, because of Beast.
+/// @file Serialization of header blocks. Internal to this package; include only from .cc files, as it
+/// includes Beast.
 
 #include <boost/beast/core/buffers_to_string.hpp>
 #include <boost/beast/http.hpp>
@@ -9,32 +10,32 @@
 
 namespace crankspur::http {
 
-/// Copies header fields. Line ends inside a value become spaces, so that no value can forge a field.
+/// Copies header fields. Line breaks in a value become spaces to prevent header injection.
 template <typename Fields>
 void copyHeaders(const Headers& headers, Fields& fields) {
   for (const auto& [name, value] : headers) {
-    std::string clean = value;
-    for (char& character : clean) {
+    std::string sanitized = value;
+    for (char& character : sanitized) {
       if (character == '\r' || character == '\n') character = ' ';
     }
-    fields.set(name, clean);
+    fields.set(name, sanitized);
   }
 }
 
-/// @return the fields of a received message.
+/// @return the header fields of a received message.
 template <typename Fields>
 Headers readHeaders(const Fields& fields) {
   Headers headers;
   for (const auto& field : fields) {
-    const auto [place, fresh] = headers.try_emplace(std::string(field.name_string()), field.value());
-    if (fresh) continue;
-    place->second += ", ";
-    place->second += std::string_view(field.value().data(), field.value().size());
+    const auto [entry, inserted] = headers.try_emplace(std::string(field.name_string()), field.value());
+    if (inserted) continue;
+    entry->second += ", ";
+    entry->second += std::string_view(field.value().data(), field.value().size());
   }
   return headers;
 }
 
-/// @return the header block of `message` with its empty line.
+/// @return the header block of `message` including the terminating empty line.
 template <bool isRequest>
 std::string headerText(boost::beast::http::message<isRequest, boost::beast::http::empty_body>& message) {
   boost::beast::http::serializer<isRequest, boost::beast::http::empty_body> serializer(message);
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -13,15 +13,15 @@
 
 namespace {
 
-constexpr Duration kAcceptRetry = std::chrono::milliseconds(100);
-/// Refused connections kept at the same time while their clients read the refusal.
-constexpr std::size_t kRefusedConnections = 64;
+constexpr Duration kAcceptRetryDelay = std::chrono::milliseconds(100);
+/// Maximum number of connections over the limit that are kept open until their clients have read the 503.
+constexpr std::size_t kMaxRejectedConnections = 64;
 
-/// Accepts connections; shared with the pending accept, so that the server may be destroyed at any time.
+/// Accepts connections. The pending accept shares ownership, so that the server may be destroyed at any time.
 class Acceptor : public std::enable_shared_from_this<Acceptor> {
 public:
   Acceptor(const asio::any_io_executor& executor, std::shared_ptr<ServerState> state)
-      : acceptor_(executor), retry_(executor), state_(std::move(state)) {}
+      : acceptor_(executor), retry_timer_(executor), state_(std::move(state)) {}
 
   void open(const tcp::endpoint& endpoint, boost::system::error_code& error) {
     acceptor_.open(endpoint.protocol(), error);
@@ -36,40 +36,40 @@
   void close() {
     boost::system::error_code ignored;
     acceptor_.close(ignored);
-    retry_.cancel();
+    retry_timer_.cancel();
   }
 
   void accept() {
     acceptor_.async_accept([self = shared_from_this()](boost::system::error_code error, tcp::socket socket) {
       if (!self->acceptor_.is_open()) return;
-      if (error) return self->acceptLater();
-      self->take(std::move(socket));
+      if (error) return self->scheduleAccept();
+      self->startSession(std::move(socket));
       self->accept();
     });
   }
 
 private:
-  void acceptLater() {
-    retry_.expires_after(kAcceptRetry);
-    retry_.async_wait([self = shared_from_this()](boost::system::error_code error) {
+  void scheduleAccept() {
+    retry_timer_.expires_after(kAcceptRetryDelay);
+    retry_timer_.async_wait([self = shared_from_this()](boost::system::error_code error) {
       if (!error && self->acceptor_.is_open()) self->accept();
     });
   }
 
-  void take(tcp::socket socket) {
+  void startSession(tcp::socket socket) {
     const std::size_t open = state_->sessions.size();
-    if (open >= state_->limits.connections + kRefusedConnections) return;
+    if (open >= state_->limits.connections + kMaxRejectedConnections) return;
     const auto session = std::make_shared<ServerSession>(std::move(socket), state_);
     state_->sessions.insert(session);
     if (open >= state_->limits.connections) {
-      session->refuse();
+      session->reject();
     } else {
       session->start();
     }
   }
 
   tcp::acceptor acceptor_;
-  asio::steady_timer retry_;
+  asio::steady_timer retry_timer_;
   std::shared_ptr<ServerState> state_;
   std::uint16_t port_ = 0;
 };
@@ -83,7 +83,7 @@
     acceptor_->close();
     state_->stopping = true;
     state_->handler = nullptr;
-    state_->unread_handler = nullptr;
+    state_->rejected_request_handler = nullptr;
     for (const auto& session : openSessions()) session->close();
   }
 
@@ -95,14 +95,14 @@
     closeIdle();
   }
 
-  void closeAfterAnswers() override { state_->close_after_answers = true; }
+  void disableKeepAlive() override { state_->keep_alive_disabled = true; }
 
   void closeIdle() override {
     for (const auto& session : openSessions()) session->closeIfIdle();
   }
 
-  void setUnreadHandler(UnreadRequestHandler handler) override {
-    state_->unread_handler = std::move(handler);
+  void setRejectedRequestHandler(RejectedRequestHandler handler) override {
+    state_->rejected_request_handler = std::move(handler);
   }
 
   void setLimits(const ServerLimits& limits) override { state_->limits = limits; }
@@ -128,15 +128,15 @@
 
 std::unique_ptr<Server> listen(const asio::any_io_executor& executor, const std::string& address,
                                RequestHandler handler, std::error_code& error, ServerLimits limits) {
-  boost::system::error_code failure;
-  const tcp::endpoint endpoint = parseEndpoint(address, failure);
+  boost::system::error_code listen_error;
+  const tcp::endpoint endpoint = parseEndpoint(address, listen_error);
   const auto state = std::make_shared<ServerState>();
   state->handler = std::make_shared<const RequestHandler>(std::move(handler));
   state->limits = limits;
   const auto acceptor = std::make_shared<Acceptor>(executor, state);
-  if (!failure) acceptor->open(endpoint, failure);
-  error = failure;
-  if (failure) return nullptr;
+  if (!listen_error) acceptor->open(endpoint, listen_error);
+  error = listen_error;
+  if (listen_error) return nullptr;
   acceptor->accept();
   return std::make_unique<BeastServer>(state, acceptor);
 }
--- a/src/http/server_session.cc
+++ b/src/http/server_session.cc
@@ -14,50 +14,52 @@
 namespace {
 
 constexpr std::size_t kReadBytes = std::size_t{8} * 1024;
-constexpr std::size_t kReadAheadBytes = std::size_t{64} * 1024;  ///< Bytes taken beyond a request under way.
-constexpr Duration kDrainTime = std::chrono::seconds(1);
-constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
+/// Maximum amount of data read beyond the current request.
+constexpr std::size_t kMaxReadAheadBytes = std::size_t{64} * 1024;
+constexpr Duration kDrainTimeout = std::chrono::seconds(1);
+constexpr std::string_view kContinueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
 constexpr std::string_view kLastChunk = "0\r\n\r\n";
 constexpr unsigned kHttp10 = 10;
 
-/// The writer that handlers get; it stands for one request of a session.
+/// Writer for one request of a session, passed to request handlers.
 class SessionWriter : public ResponseWriter {
 public:
-  SessionWriter(std::weak_ptr<ServerSession> session, std::uint64_t number)
-      : session_(std::move(session)), number_(number) {}
+  SessionWriter(std::weak_ptr<ServerSession> session, std::uint64_t request_number)
+      : session_(std::move(session)), request_number_(request_number) {}
   ~SessionWriter() override {
-    if (const auto session = session_.lock()) session->abandon(number_);
+    if (const auto session = session_.lock()) session->onWriterDropped(request_number_);
   }
   void respond(Response response) override {
-    if (const auto session = session_.lock()) session->respond(number_, response);
+    if (const auto session = session_.lock()) session->respond(request_number_, response);
   }
   void begin(int status, Headers headers) override {
-    if (const auto session = session_.lock()) session->begin(number_, status, headers);
+    if (const auto session = session_.lock()) session->begin(request_number_, status, headers);
   }
   void write(std::string chunk) override {
-    if (const auto session = session_.lock()) session->write(number_, chunk);
+    if (const auto session = session_.lock()) session->write(request_number_, chunk);
   }
   void end() override {
-    if (const auto session = session_.lock()) session->end(number_);
+    if (const auto session = session_.lock()) session->end(request_number_);
   }
   void abort() override {
-    if (const auto session = session_.lock()) session->abort(number_);
+    if (const auto session = session_.lock()) session->abort(request_number_);
   }
   std::size_t queuedBytes() const override {
     const auto session = session_.lock();
-    return session ? session->queuedBytes(number_) : 0;
+    return session ? session->queuedBytes(request_number_) : 0;
   }
   void onClientGone(std::function<void()> handler) override {
-    if (const auto session = session_.lock()) session->setClientGone(number_, std::move(handler));
+    if (const auto session = session_.lock())
+      session->setDisconnectHandler(request_number_, std::move(handler));
   }
 
 private:
   std::weak_ptr<ServerSession> session_;
-  std::uint64_t number_;
+  std::uint64_t request_number_;
 };
 
-/// @return the answer to a request that could not be read, or empty when the connection is simply over.
-std::optional<Response> answerTo(const boost::system::error_code& failure) {
+/// @return the response to a request that could not be read, or empty if the connection was closed.
+std::optional<Response> errorResponseFor(const boost::system::error_code& failure) {
   using beast::http::error;
   if (failure == error::header_limit || failure == error::buffer_overflow) {
     return errorResponse(431, errorName(ErrorCode::TooLarge), "the header is too large", "not_run");
@@ -66,8 +68,8 @@
     return errorResponse(413, errorName(ErrorCode::TooLarge), "the body is too large", "not_run");
   }
   const auto& parse_failures = make_error_code(error::bad_method).category();
-  const bool over = failure == error::end_of_stream || failure == error::partial_message;
-  if (over || failure.category() != parse_failures) return std::nullopt;
+  const bool closed = failure == error::end_of_stream || failure == error::partial_message;
+  if (closed || failure.category() != parse_failures) return std::nullopt;
   return errorResponse(400, errorName(ErrorCode::InvalidRequest), "malformed HTTP: " + failure.message(),
                        "not_run");
 }
@@ -84,7 +86,7 @@
   awaitRequest();
 }
 
-void ServerSession::refuse() {
+void ServerSession::reject() {
   Response response = errorResponse(503, errorName(ErrorCode::Overloaded), "too many connections", "not_run");
   response.headers["Retry-After"] = "1";
   sendError(response);
@@ -101,12 +103,12 @@
   socket_.close(ignored);
   timer_.cancel();
   releaseRequest();
-  client_gone_ = nullptr;
+  on_disconnect_ = nullptr;
   state_->sessions.erase(shared_from_this());
 }
 
-bool ServerSession::isOpen(std::uint64_t number) const {
-  return phase_ == Phase::Handling && number == request_number_;
+bool ServerSession::isCurrent(std::uint64_t request_number) const {
+  return phase_ == Phase::Handling && request_number == request_number_;
 }
 
 // Reading.
@@ -115,38 +117,38 @@
   phase_ = Phase::Idle;
   setTimer(state_->limits.idle_timeout);
   if (buffer_.size() == 0) {
-    if (!watching_) watch();
+    if (!reading_ahead_) readAhead();
     return;
   }
   boost::system::error_code ignored;
-  if (watching_) {
-    socket_.cancel(ignored);  // onWatched goes on to read the header.
+  if (reading_ahead_) {
+    socket_.cancel(ignored);  // onReadAhead continues with the header.
   } else {
     readHeader();
   }
 }
 
-void ServerSession::watch() {
-  watching_ = true;
+void ServerSession::readAhead() {
+  reading_ahead_ = true;
   socket_.async_read_some(buffer_.prepare(kReadBytes),
                           [self = shared_from_this()](boost::system::error_code error, std::size_t bytes) {
-                            self->watching_ = false;
+                            self->reading_ahead_ = false;
                             self->buffer_.commit(bytes);
-                            self->onWatched(error);
+                            self->onReadAhead(error);
                           });
 }
 
-void ServerSession::onWatched(boost::system::error_code error) {
+void ServerSession::onReadAhead(boost::system::error_code error) {
   if (phase_ == Phase::Closed) return;
   if (error && error != asio::error::operation_aborted) {
     peer_closed_ = true;
-    if (phase_ == Phase::Handling) return clientGone();
+    if (phase_ == Phase::Handling) return onDisconnect();
     if (phase_ != Phase::Flushing) close();
     return;
   }
   if (phase_ == Phase::Idle) return readHeader();
   if (phase_ == Phase::Draining) buffer_.clear();
-  if (buffer_.size() < kReadAheadBytes) watch();
+  if (buffer_.size() < kMaxReadAheadBytes) readAhead();
 }
 
 void ServerSession::readHeader() {
@@ -166,9 +168,9 @@
   if (phase_ == Phase::Closed) return;
   if (error) return failRequest(error);
   setTimer(state_->limits.idle_timeout);
-  const bool wants_continue =
+  const bool expects_continue =
       beast::iequals(parser_->get()[beast::http::field::expect], "100-continue") && !parser_->is_done();
-  if (wants_continue) {
+  if (expects_continue) {
     sendContinue();
   } else {
     readBody();
@@ -181,7 +183,7 @@
     if (error) return self->close();
     self->readBody();
   };
-  asio::async_write(socket_, asio::buffer(kContinue), on_sent);
+  asio::async_write(socket_, asio::buffer(kContinueResponse), on_sent);
 }
 
 void ServerSession::readBody() {
@@ -205,14 +207,14 @@
   version_ = message.version();
   keep_alive_ = message.keep_alive();
   head_only_ = message.method() == beast::http::verb::head;
-  begun_ = false;
+  response_begun_ = false;
   ++request_number_;
   ++state_->open_requests;
-  request_open_ = true;
+  request_counted_ = true;
   phase_ = Phase::Handling;
-  watch();
+  readAhead();
   const auto writer = std::make_shared<SessionWriter>(weak_from_this(), request_number_);
-  const auto handler = state_->handler;  // Lives on if the handler destroys the server.
+  const auto handler = state_->handler;  // Keeps the handler valid if it destroys the server.
   if (handler) (*handler)(std::move(request), writer);
 }
 
@@ -221,38 +223,38 @@
     return sendError(errorResponse(408, errorName(ErrorCode::DeadlineExceeded),
                                    "the request did not arrive in time", "not_run"));
   }
-  const std::optional<Response> answer = answerTo(error);
-  if (!answer) return close();
-  sendError(*answer);
+  const std::optional<Response> response = errorResponseFor(error);
+  if (!response) return close();
+  sendError(*response);
 }
 
 // Writing.
 
-void ServerSession::tellUnread(int status) const {
-  if (!state_->unread_handler) return;
-  UnreadRequest unread;
-  unread.status = status;
+void ServerSession::reportRejected(int status) const {
+  if (!state_->rejected_request_handler) return;
+  RejectedRequest rejected;
+  rejected.status = status;
   if (parser_) {
     const auto& head = parser_->get();
-    unread.head.method = std::string(head.method_string());
-    unread.head.target = std::string(head.target());
-    unread.head.headers = readHeaders(head.base());
+    rejected.head.method = std::string(head.method_string());
+    rejected.head.target = std::string(head.target());
+    rejected.head.headers = readHeaders(head.base());
   }
-  state_->unread_handler(unread);
+  state_->rejected_request_handler(rejected);
 }
 
 void ServerSession::sendError(const Response& response) {
-  tellUnread(response.status);
+  reportRejected(response.status);
   keep_alive_ = false;
   head_only_ = false;
   version_ = 11;
   queueHeader(response.status, response.headers, response.body.size());
   pending_ += response.body;
-  finishResponse();
+  completeResponse();
 }
 
 void ServerSession::queueHeader(int status, const Headers& headers, std::optional<std::size_t> body_bytes) {
-  if (state_->stopping || state_->close_after_answers) keep_alive_ = false;
+  if (state_->stopping || state_->keep_alive_disabled) keep_alive_ = false;
   if (!body_bytes && version_ == kHttp10) keep_alive_ = false;
   beast::http::response<beast::http::empty_body> message;
   message.result(static_cast<unsigned>(status));
@@ -267,22 +269,22 @@
   pending_ += headerText(message);
 }
 
-void ServerSession::respond(std::uint64_t number, const Response& response) {
-  if (!isOpen(number) || begun_) return;
+void ServerSession::respond(std::uint64_t request_number, const Response& response) {
+  if (!isCurrent(request_number) || response_begun_) return;
   queueHeader(response.status, response.headers, response.body.size());
   if (!head_only_) pending_ += response.body;
-  finishResponse();
+  completeResponse();
 }
 
-void ServerSession::begin(std::uint64_t number, int status, const Headers& headers) {
-  if (!isOpen(number) || begun_) return;
-  begun_ = true;
+void ServerSession::begin(std::uint64_t request_number, int status, const Headers& headers) {
+  if (!isCurrent(request_number) || response_begun_) return;
+  response_begun_ = true;
   queueHeader(status, headers, std::nullopt);
   flush();
 }
 
-void ServerSession::write(std::uint64_t number, std::string_view chunk) {
-  if (!isOpen(number) || !begun_ || head_only_ || chunk.empty()) return;
+void ServerSession::write(std::uint64_t request_number, std::string_view chunk) {
+  if (!isCurrent(request_number) || !response_begun_ || head_only_ || chunk.empty()) return;
   if (version_ == kHttp10) {
     pending_ += chunk;
   } else {
@@ -295,38 +297,39 @@
   flush();
 }
 
-void ServerSession::end(std::uint64_t number) {
-  if (!isOpen(number) || !begun_) return;
+void ServerSession::end(std::uint64_t request_number) {
+  if (!isCurrent(request_number) || !response_begun_) return;
   if (version_ != kHttp10 && !head_only_) pending_ += kLastChunk;
-  finishResponse();
+  completeResponse();
 }
 
-void ServerSession::abort(std::uint64_t number) {
-  if (!isOpen(number)) return;
+void ServerSession::abort(std::uint64_t request_number) {
+  if (!isCurrent(request_number)) return;
   boost::system::error_code ignored;
-  // Without chunks an ordinary close would look like the proper end.
+  // Without chunked encoding a regular close would look like the end of the response.
   if (version_ == kHttp10) socket_.set_option(asio::socket_base::linger(true, 0), ignored);
   close();
 }
 
-void ServerSession::abandon(std::uint64_t number) {
-  if (!isOpen(number)) return;
-  if (begun_) return abort(number);
-  respond(number, errorResponse(500, errorName(ErrorCode::Internal), "the request was dropped", "unknown"));
+void ServerSession::onWriterDropped(std::uint64_t request_number) {
+  if (!isCurrent(request_number)) return;
+  if (response_begun_) return abort(request_number);
+  respond(request_number,
+          errorResponse(500, errorName(ErrorCode::Internal), "the request was dropped", "unknown"));
 }
 
-std::size_t ServerSession::queuedBytes(std::uint64_t number) const {
-  return number == request_number_ ? pending_.size() + writing_.size() - written_ : 0;
+std::size_t ServerSession::queuedBytes(std::uint64_t request_number) const {
+  return request_number == request_number_ ? pending_.size() + writing_.size() - written_ : 0;
 }
 
-void ServerSession::setClientGone(std::uint64_t number, std::function<void()> handler) {
-  if (isOpen(number)) client_gone_ = std::move(handler);
+void ServerSession::setDisconnectHandler(std::uint64_t request_number, std::function<void()> handler) {
+  if (isCurrent(request_number)) on_disconnect_ = std::move(handler);
 }
 
-void ServerSession::finishResponse() {
+void ServerSession::completeResponse() {
   phase_ = Phase::Flushing;
-  // The handler may hold the writer, whose destruction must not find its own caller half done.
-  const auto released = std::exchange(client_gone_, nullptr);
+  // The handler may own the writer; destroy it only after the state is consistent.
+  const auto disconnect_handler = std::exchange(on_disconnect_, nullptr);
   flush();
 }
 
@@ -339,8 +342,8 @@
 
 void ServerSession::writeSome() {
   setTimer(state_->limits.idle_timeout);
-  const auto rest = asio::buffer(writing_) + written_;
-  socket_.async_write_some(rest,
+  const auto remaining = asio::buffer(writing_) + written_;
+  socket_.async_write_some(remaining,
                            [self = shared_from_this()](boost::system::error_code error, std::size_t bytes) {
                              self->onWritten(error, bytes);
                            });
@@ -348,7 +351,7 @@
 
 void ServerSession::onWritten(boost::system::error_code error, std::size_t bytes) {
   if (phase_ == Phase::Closed) return;
-  if (error) return phase_ == Phase::Handling ? clientGone() : close();
+  if (error) return phase_ == Phase::Handling ? onDisconnect() : close();
   written_ += bytes;
   if (written_ < writing_.size()) return writeSome();
   writing_.clear();
@@ -366,25 +369,25 @@
   drain();
 }
 
-// Ends.
+// Closing.
 
-void ServerSession::clientGone() {
-  const std::function<void()> handler = std::exchange(client_gone_, nullptr);
+void ServerSession::onDisconnect() {
+  const std::function<void()> handler = std::exchange(on_disconnect_, nullptr);
   close();
   if (handler) handler();
 }
 
 void ServerSession::drain() {
   phase_ = Phase::Draining;
-  setTimer(kDrainTime);
+  setTimer(kDrainTimeout);
   boost::system::error_code ignored;
   socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
   buffer_.clear();
-  if (!watching_) watch();
+  if (!reading_ahead_) readAhead();
 }
 
-/// Moves the deadline. The timer itself is armed again only when it would fire too late, since a deadline is
-/// moved with each chunk of a stream.
+/// Moves the deadline. The timer is rearmed only if it would fire too late, because the deadline moves with
+/// each chunk of a stream.
 void ServerSession::setTimer(Duration delay) {
   deadline_ = std::chrono::steady_clock::now() + delay;
   if (!timer_armed_ || timer_.expiry() > *deadline_) armTimer();
@@ -408,18 +411,18 @@
   switch (phase_) {
     case Phase::Reading:
       timed_out_ = true;
-      socket_.cancel(ignored);  // The pending read ends in failRequest.
+      socket_.cancel(ignored);  // The pending read then calls failRequest.
       return;
     case Phase::Handling:
-      return clientGone();  // The client has not read for the whole time.
+      return onDisconnect();  // The client has read nothing during the timeout.
     default:
       return close();
   }
 }
 
 void ServerSession::releaseRequest() {
-  if (!request_open_) return;
-  request_open_ = false;
+  if (!request_counted_) return;
+  request_counted_ = false;
   --state_->open_requests;
 }
 
--- a/src/http/server_session.h
+++ b/src/http/server_session.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Internal to this package: one connection of the HTTP server. Include it from .cc files only.
+/// @file One connection of the HTTP server. Internal to this package; include only from .cc files.
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -15,58 +15,58 @@
 
 class ServerSession;
 
-/// What the connections of one server share.
+/// State shared by the connections of one server.
 struct ServerState {
-  std::shared_ptr<const RequestHandler> handler;  ///< Empty once the server is destroyed.
-  UnreadRequestHandler unread_handler;            ///< May be empty.
+  std::shared_ptr<const RequestHandler> handler;    ///< Empty once the server is destroyed.
+  RejectedRequestHandler rejected_request_handler;  ///< May be empty.
   ServerLimits limits;
   bool stopping = false;
-  bool close_after_answers = false;
+  bool keep_alive_disabled = false;
   std::size_t open_requests = 0;
-  std::unordered_set<std::shared_ptr<ServerSession>> sessions;  ///< Keeps open connections alive.
+  std::unordered_set<std::shared_ptr<ServerSession>> sessions;  ///< Owns the open connections.
 };
 
-/// Reads requests one after the other and writes their responses. While a response is under way a read stays
-/// pending, so that a client that goes away is noticed.
+/// Reads requests sequentially and writes their responses. While a response is in progress a read stays
+/// pending to detect a disconnect of the client.
 class ServerSession : public std::enable_shared_from_this<ServerSession> {
 public:
   ServerSession(boost::asio::ip::tcp::socket socket, std::shared_ptr<ServerState> state);
 
-  /// Begins to read requests.
+  /// Starts to read requests.
   void start();
-  /// Answers 503 and closes: the server has too many connections.
-  void refuse();
-  /// Closes if no request is under way.
+  /// Responds 503 and closes, because the server has too many connections.
+  void reject();
+  /// Closes if no request is in progress.
   void closeIfIdle();
   bool isReading() const { return phase_ == Phase::Reading; }
-  /// Closes at once, without telling the request's handler.
+  /// Closes immediately, without notifying the request handler.
   void close();
 
-  // Called by the writer of request `number`; ignored when that request has ended.
-  void respond(std::uint64_t number, const Response& response);
-  void begin(std::uint64_t number, int status, const Headers& headers);
-  void write(std::uint64_t number, std::string_view chunk);
-  void end(std::uint64_t number);
-  void abort(std::uint64_t number);
-  void abandon(std::uint64_t number);
-  std::size_t queuedBytes(std::uint64_t number) const;
-  void setClientGone(std::uint64_t number, std::function<void()> handler);
+  // Called by the writer of the given request; ignored if that request has ended.
+  void respond(std::uint64_t request_number, const Response& response);
+  void begin(std::uint64_t request_number, int status, const Headers& headers);
+  void write(std::uint64_t request_number, std::string_view chunk);
+  void end(std::uint64_t request_number);
+  void abort(std::uint64_t request_number);
+  void onWriterDropped(std::uint64_t request_number);
+  std::size_t queuedBytes(std::uint64_t request_number) const;
+  void setDisconnectHandler(std::uint64_t request_number, std::function<void()> handler);
 
 private:
   enum class Phase {
-    Idle,      ///< Waits for the first byte of a request.
-    Reading,   ///< Reads a request.
+    Idle,      ///< Waiting for the first byte of a request.
+    Reading,   ///< Reading a request.
     Handling,  ///< The handler has the request and its response has not ended.
-    Flushing,  ///< The response has ended, bytes remain to be written.
-    Draining,  ///< Our side is closed; discards what the client still sends.
+    Flushing,  ///< The response has ended; bytes remain to be written.
+    Draining,  ///< The sending side is shut down; received data is discarded.
     Closed,
   };
   using Parser = boost::beast::http::request_parser<boost::beast::http::string_body>;
 
-  bool isOpen(std::uint64_t number) const;
+  bool isCurrent(std::uint64_t request_number) const;
   void awaitRequest();
-  void watch();
-  void onWatched(boost::system::error_code error);
+  void readAhead();
+  void onReadAhead(boost::system::error_code error);
   void readHeader();
   void onHeader(boost::system::error_code error);
   void sendContinue();
@@ -74,14 +74,14 @@
   void deliver();
   void failRequest(boost::system::error_code error);
   void sendError(const Response& response);
-  void tellUnread(int status) const;
+  void reportRejected(int status) const;
   void queueHeader(int status, const Headers& headers, std::optional<std::size_t> body_bytes);
-  void finishResponse();
+  void completeResponse();
   void flush();
   void writeSome();
   void onWritten(boost::system::error_code error, std::size_t bytes);
   void onFlushed();
-  void clientGone();
+  void onDisconnect();
   void drain();
   void setTimer(Duration delay);
   void armTimer();
@@ -96,18 +96,18 @@
   boost::beast::flat_buffer buffer_;
   std::optional<Parser> parser_;
   Phase phase_ = Phase::Idle;
-  bool watching_ = false;
+  bool reading_ahead_ = false;
   bool timed_out_ = false;
   bool peer_closed_ = false;
-  bool request_open_ = false;
+  bool request_counted_ = false;
   std::uint64_t request_number_ = 0;
-  // Of the request under way.
+  // Current request.
   unsigned version_ = 11;
   bool keep_alive_ = false;
   bool head_only_ = false;
-  bool begun_ = false;
-  std::function<void()> client_gone_;
-  // Bytes to write: `writing_` from `written_` on is with the socket, `pending_` follows it.
+  bool response_begun_ = false;
+  std::function<void()> on_disconnect_;
+  // Output: `writing_` from offset `written_` is being written to the socket, followed by `pending_`.
   std::string writing_;
   std::size_t written_ = 0;
   std::string pending_;
--- a/src/sidecar/caller_exchange.cc
+++ b/src/sidecar/caller_exchange.cc
@@ -10,12 +10,12 @@
 namespace crankspur {
 
 CallerExchange::CallerExchange(const boost::asio::any_io_executor& executor, ExchangeHost& host,
-                               std::string request_id, AnswerForm form,
+                               std::string request_id, ResponseFormat response_format,
                                std::shared_ptr<http::ResponseWriter> writer, std::size_t slow_caller_bytes)
     : timer_(executor),
       host_(host),
       request_id_(std::move(request_id)),
-      form_(std::move(form)),
+      response_format_(std::move(response_format)),
       writer_(std::move(writer)),
       slow_caller_bytes_(slow_caller_bytes),
       started_(clock_.now()) {}
@@ -24,11 +24,11 @@
                            std::uint64_t random_seed) {
   const std::weak_ptr<CallerExchange> weak = weak_from_this();
   writer_->onClientGone([weak] {
-    if (const auto held = weak.lock())
-      held->dropCaller(ErrorCode::Cancelled, "the caller closed the connection");
+    if (const auto self = weak.lock())
+      self->disconnectCaller(ErrorCode::Cancelled, "the caller closed the connection");
   });
   request_ = makeCallerRequest(std::move(request), selector, max_attempts, random_seed, started_);
-  pump();
+  processActions();
 }
 
 void CallerExchange::onMessage(const Message& message) {
@@ -44,44 +44,44 @@
   } else if (const auto* refusal = std::get_if<Refusal>(&message)) {
     request_->onRefusal(*refusal, now);
   }
-  pump();
+  processActions();
 }
 
 void CallerExchange::onRouterLost(const std::string& router) {
   if (ended_) return;
   request_->onRouterLost(router, true, clock_.now());
-  pump();
+  processActions();
 }
 
-void CallerExchange::pump() {
-  // A failed submit feeds the request again from inside an action; the outer call goes on with it.
-  if (pumping_ || ended_) return;
-  pumping_ = true;
+void CallerExchange::processActions() {
+  // A failed submit produces more actions while one is executed; the outer call processes them.
+  if (processing_actions_ || ended_) return;
+  processing_actions_ = true;
   for (auto actions = request_->takeActions(); !actions.empty() && !ended_;
        actions = request_->takeActions()) {
     for (CallerAction& action : actions) {
-      if (!ended_) perform(action);
+      if (!ended_) execute(action);
     }
   }
-  pumping_ = false;
+  processing_actions_ = false;
   if (!ended_) armTimer();
 }
 
-void CallerExchange::perform(CallerAction& action) {
+void CallerExchange::execute(CallerAction& action) {
   if (const auto* submit = std::get_if<SubmitToRouter>(&action)) {
-    performSubmit(*submit);
+    executeSubmit(*submit);
   } else if (const auto* cancel = std::get_if<CancelAtRouter>(&action)) {
     host_.cancel(cancel->router, cancel->cancel);
   } else if (const auto* text = std::get_if<DeliverText>(&action)) {
-    performText(*text);
+    executeText(*text);
   } else if (const auto* end = std::get_if<DeliverEnd>(&action)) {
-    performEnd(end->end);
+    executeEnd(end->end);
   } else if (const auto* error = std::get_if<DeliverError>(&action)) {
-    performError(error->refusal);
+    executeError(error->refusal);
   }
 }
 
-void CallerExchange::performSubmit(const SubmitToRouter& action) {
+void CallerExchange::executeSubmit(const SubmitToRouter& action) {
   releaseRouter();
   attempt_ = action.request.attempt;
   if (host_.submit(action.router, action.request)) {
@@ -91,9 +91,9 @@
   }
 }
 
-void CallerExchange::performText(const DeliverText& action) {
+void CallerExchange::executeText(const DeliverText& action) {
   if (first_token_ == Duration::zero()) first_token_ = elapsed();
-  if (form_.kind != AnswerForm::Kind::Stream) {
+  if (response_format_.kind != ResponseFormat::Kind::Stream) {
     text_ += action.text;
     return;
   }
@@ -102,44 +102,44 @@
   writer_->write(std::move(chunk));
   if (writer_->queuedBytes() > slow_caller_bytes_) {
     writer_->abort();
-    dropCaller(ErrorCode::TooLarge, "the caller reads too slowly");
+    disconnectCaller(ErrorCode::TooLarge, "the caller reads too slowly");
   }
 }
 
-void CallerExchange::performEnd(const StreamEnd& end) {
+void CallerExchange::executeEnd(const StreamEnd& end) {
   ExchangeOutcome outcome;
   outcome.engine = end.engine.empty() ? accepted_.engine : end.engine;
   outcome.prompt_tokens = end.prompt_tokens;
   outcome.cached_tokens = end.cached_tokens;
-  outcome.answer_tokens = end.token_count;
+  outcome.completion_tokens = end.token_count;
   const TokenUsage usage{end.prompt_tokens, end.token_count, end.cached_tokens};
-  if (form_.kind == AnswerForm::Kind::Stream) {
+  if (response_format_.kind == ResponseFormat::Kind::Stream) {
     std::string last = beginStream();
     last += finishChunk(identity(), end.finish_reason);
-    if (form_.include_usage) last += usageChunk(identity(), usage);
+    if (response_format_.include_usage) last += usageChunk(identity(), usage);
     last += kDoneEvent;
     writer_->write(std::move(last));
     writer_->end();
   } else {
-    const bool operation = form_.kind == AnswerForm::Kind::Operation;
+    const bool is_operation = response_format_.kind == ResponseFormat::Kind::Operation;
     http::Response response;
-    response.headers = answerHeaders("application/json");
-    response.body = operation ? operationBody(request_id_, form_.operation, text_)
-                              : chatBody(identity(), text_, end.finish_reason, usage);
+    response.headers = responseHeaders("application/json");
+    response.body = is_operation ? operationBody(request_id_, response_format_.operation, text_)
+                                 : chatBody(identity(), text_, end.finish_reason, usage);
     writer_->respond(std::move(response));
   }
   finish(std::move(outcome));
 }
 
-void CallerExchange::performError(const Refusal& refusal) {
+void CallerExchange::executeError(const Refusal& refusal) {
   const CallerError error = fromRefusal(refusal);
-  if (stream_begun_) {
-    // No [DONE] follows, so that no client can take the stream for whole.
+  if (stream_started_) {
+    // Without [DONE], so that no client takes the stream for complete.
     writer_->write(errorEvent(error));
     writer_->end();
   } else {
     http::Response response = errorResponseOf(error);
-    for (auto& [name, value] : answerHeaders("application/json")) response.headers[name] = value;
+    for (auto& [name, value] : responseHeaders("application/json")) response.headers[name] = value;
     writer_->respond(std::move(response));
   }
   ExchangeOutcome outcome;
@@ -151,17 +151,17 @@
 }
 
 std::string CallerExchange::beginStream() {
-  if (stream_begun_) return {};
-  stream_begun_ = true;
-  http::Headers headers = answerHeaders("text/event-stream");
+  if (stream_started_) return {};
+  stream_started_ = true;
+  http::Headers headers = responseHeaders("text/event-stream");
   headers["Cache-Control"] = "no-cache";
   writer_->begin(200, std::move(headers));
   return roleChunk(identity());
 }
 
-void CallerExchange::dropCaller(ErrorCode code, const std::string& message) {
+void CallerExchange::disconnectCaller(ErrorCode code, const std::string& message) {
   if (ended_) return;
-  request_->onCallerGone(clock_.now());
+  request_->onCallerDisconnected(clock_.now());
   for (CallerAction& action : request_->takeActions()) {
     if (const auto* cancel = std::get_if<CancelAtRouter>(&action))
       host_.cancel(cancel->router, cancel->cancel);
@@ -181,11 +181,11 @@
   outcome.attempts = attempt_;
   outcome.first_token = first_token_;
   outcome.total = elapsed();
-  host_.ended(request_id_, outcome);
+  host_.onEnded(request_id_, outcome);
 }
 
 void CallerExchange::releaseRouter() {
-  if (!router_.empty()) host_.released(router_);
+  if (!router_.empty()) host_.onRouterReleased(router_);
   router_.clear();
 }
 
@@ -196,18 +196,19 @@
   expireAt(timer_, *next, clock_.now());
   const std::weak_ptr<CallerExchange> weak = weak_from_this();
   timer_.async_wait([weak](boost::system::error_code error) {
-    const auto held = weak.lock();
-    if (error || !held || held->ended_) return;
-    held->timer_at_.reset();
-    held->request_->onTimer(held->clock_.now());
-    held->pump();
+    const auto self = weak.lock();
+    if (error || !self || self->ended_) return;
+    self->timer_at_.reset();
+    self->request_->onTimer(self->clock_.now());
+    self->processActions();
   });
 }
 
-http::Headers CallerExchange::answerHeaders(const std::string& content_type) const {
+http::Headers CallerExchange::responseHeaders(const std::string& content_type) const {
   http::Headers headers;
   headers["Content-Type"] = content_type;
-  headers["X-Request-Id"] = form_.caller_id.empty() ? request_id_ : form_.caller_id;
+  headers["X-Request-Id"] =
+      response_format_.caller_request_id.empty() ? request_id_ : response_format_.caller_request_id;
   headers["x-crankspur-request-id"] = request_id_;
   headers["x-crankspur-attempts"] = fmt::format("{}", attempt_);
   if (!accepted_.engine.empty()) {
@@ -219,7 +220,7 @@
 }
 
 ChatIdentity CallerExchange::identity() const {
-  return {"chatcmpl-" + request_id_, form_.created, form_.model_name};
+  return {"chatcmpl-" + request_id_, response_format_.created, response_format_.model_name};
 }
 
 Duration CallerExchange::elapsed() const {
--- a/src/sidecar/caller_request.cc
+++ b/src/sidecar/caller_request.cc
@@ -4,56 +4,56 @@
 #include <set>
 #include <utility>
 
-#include "sidecar/answer_assembler.h"
+#include "sidecar/response_assembler.h"
 
 namespace crankspur {
 
 namespace {
 
-/// Deadline of a request that states none.
+/// Deadline of a request without one.
 constexpr Duration kDefaultDeadline = std::chrono::seconds(60);
-/// How long a request waits for a router that can take it before it is refused.
-constexpr Duration kRouterPatience = std::chrono::seconds(3);
-/// Waits between rounds over all routers.
-constexpr Duration kFirstBackoff = std::chrono::milliseconds(50);
-constexpr Duration kLongestBackoff = std::chrono::seconds(1);
-/// Rounds that wait for the recorded result of an own earlier attempt.
-constexpr std::uint32_t kResultRounds = 6;
-/// Advice to the caller where the refusing side gave none.
+/// How long a request waits for a router that accepts it before it is rejected.
+constexpr Duration kRouterWaitLimit = std::chrono::seconds(3);
+/// Delays between rounds over all routers.
+constexpr Duration kInitialBackoff = std::chrono::milliseconds(50);
+constexpr Duration kMaxBackoff = std::chrono::seconds(1);
+/// Maximum number of rounds that wait for the recorded result of an earlier attempt.
+constexpr std::uint32_t kMaxResultRounds = 6;
+/// Retry-After for the caller if the refusal has none.
 constexpr Duration kDefaultRetryAfter = std::chrono::seconds(1);
 
-/// What to do after an attempt ended without an answer.
-enum class Reaction {
-  Final,       ///< Tell the caller.
-  NextRouter,  ///< The router could not take it; ask the next one, not counted as an attempt.
-  NewAttempt,  ///< Submit again, counted.
-  AwaitResult  ///< Another attempt holds the claim; ask again later for its recorded result.
+/// What to do after an attempt failed.
+enum class RetryDecision {
+  Final,       ///< Report the failure to the caller.
+  NextRouter,  ///< The router did not accept it; try the next one, not counted as an attempt.
+  NewAttempt,  ///< Submit again, counted as an attempt.
+  AwaitResult  ///< Another attempt holds the claim; retry later to get its recorded result.
 };
 
-Reaction reactionTo(ErrorCode code) {
+RetryDecision decisionFor(ErrorCode code) {
   switch (code) {
     case ErrorCode::NotReady:
     case ErrorCode::Stopping:
     case ErrorCode::StaleBundle:
     case ErrorCode::VersionMismatch:
     case ErrorCode::RouterUnavailable:
-      return Reaction::NextRouter;
+      return RetryDecision::NextRouter;
     case ErrorCode::EngineLost:
     case ErrorCode::EngineUnavailable:
     case ErrorCode::IncarnationMismatch:
     case ErrorCode::WeightsMismatch:
     case ErrorCode::Unavailable:
     case ErrorCode::Internal:
-      return Reaction::NewAttempt;
+      return RetryDecision::NewAttempt;
     case ErrorCode::DuplicateRequest:
-      return Reaction::AwaitResult;
+      return RetryDecision::AwaitResult;
     default:
-      return Reaction::Final;
+      return RetryDecision::Final;
   }
 }
 
-/// @return whether advice on when to come back makes sense.
-bool mayComeBack(ErrorCode code) {
+/// @return whether the caller should be told when to retry.
+bool isRetryableByCaller(ErrorCode code) {
   switch (code) {
     case ErrorCode::InvalidRequest:
     case ErrorCode::Unauthorized:
@@ -81,8 +81,8 @@
 
   void onAccepted(const Accepted& accepted, TimePoint) override {
     if (!isCurrent(accepted.request_id, accepted.attempt)) return;
-    const bool other_weights = accepted.weights_version != weights_;
-    if (answer_.tokens() > 0 && other_weights) {
+    const bool weights_changed = accepted.weights_version != weights_;
+    if (assembler_.tokens() > 0 && weights_changed) {
       cancelCurrent();
       finish(ErrorCode::WeightsMismatch, Duration::zero(), "the answer was begun under other weights");
       return;
@@ -90,31 +90,31 @@
     engine_ = accepted.engine;
     engine_incarnation_ = accepted.engine_incarnation;
     weights_ = accepted.weights_version;
-    startNewPatience();
+    resetRouterWait();
   }
 
   void onPiece(const StreamPiece& piece, TimePoint now) override {
     if (!isCurrent(piece.request_id, piece.attempt)) return;
-    std::vector<AnswerChunk> chunks;
-    const bool fits = answer_.add(piece.offset, piece.token_count, piece.text, chunks);
-    for (AnswerChunk& chunk : chunks) {
+    std::vector<ResponseChunk> chunks;
+    const bool valid = assembler_.add(piece.offset, piece.token_count, piece.text, chunks);
+    for (ResponseChunk& chunk : chunks) {
       actions_.emplace_back(DeliverText{chunk.offset, chunk.token_count, std::move(chunk.text)});
     }
-    if (!fits) abandonBrokenAttempt("a piece does not fit the answer", now);
+    if (!valid) abandonInvalidAttempt("a piece does not fit the answer", now);
   }
 
   void onEnd(const StreamEnd& end, TimePoint now) override {
     if (!isCurrent(end.request_id, end.attempt)) return;
-    switch (answer_.check(end)) {
+    switch (assembler_.check(end)) {
       case EndCheck::Complete:
         router_.clear();
         finished_ = true;
         actions_.emplace_back(DeliverEnd{end});
         return;
-      case EndCheck::Missing:
-        abandonBrokenAttempt("the answer ended with a part missing", now);
+      case EndCheck::Incomplete:
+        abandonInvalidAttempt("the answer ended with a part missing", now);
         return;
-      case EndCheck::Wrong:
+      case EndCheck::Mismatch:
         router_.clear();
         recordRunState(RunState::Ran);
         finish(ErrorCode::Internal, Duration::zero(), "the answer does not match its checksum");
@@ -127,17 +127,17 @@
     const bool earlier_may_have_run = run_state_ != RunState::NotRun;
     endAttempt(refusal.run_state);
     last_refusal_ = refusal;
-    switch (reactionAfter(refusal, earlier_may_have_run)) {
-      case Reaction::Final:
+    switch (decideAfterRefusal(refusal, earlier_may_have_run)) {
+      case RetryDecision::Final:
         finish(refusal.code, refusal.retry_after, refusal.message);
         return;
-      case Reaction::NextRouter:
+      case RetryDecision::NextRouter:
         submit(now);
         return;
-      case Reaction::NewAttempt:
+      case RetryDecision::NewAttempt:
         submitCounted(now);
         return;
-      case Reaction::AwaitResult:
+      case RetryDecision::AwaitResult:
         tried_.clear();
         retry_at_ = now + std::max(refusal.retry_after, nextBackoff());
         return;
@@ -159,18 +159,18 @@
     }
   }
 
-  void onCallerGone(TimePoint) override {
+  void onCallerDisconnected(TimePoint) override {
     if (finished_) return;
     finished_ = true;
     retry_at_.reset();
-    // An operation goes on to its record, so that the caller finds the result when it asks again.
+    // An operation continues until its result is recorded, so that the caller gets it on a retry.
     if (request_.kind == RequestKind::Completion) cancelCurrent();
   }
 
   void onTimer(TimePoint now) override {
     if (finished_) return;
     if (now >= deadline_) {
-      giveUpAtDeadline();
+      failAtDeadline();
       return;
     }
     if (retry_at_ && now >= *retry_at_) {
@@ -192,62 +192,62 @@
     return !finished_ && !router_.empty() && attempt == request_.attempt && request_id == request_.request_id;
   }
 
-  /// Submits to the best router not tried in this round; without one, waits or gives up.
+  /// Submits to the best router not tried in this round. Without one, waits or fails.
   void submit(TimePoint now) {
     if (now >= deadline_) {
-      giveUpAtDeadline();
+      failAtDeadline();
       return;
     }
     const std::vector<std::string> ranked = selector_.rank(request_);
     const auto untried = [this](const std::string& name) { return !tried_.contains(name); };
-    const auto chosen = std::find_if(ranked.begin(), ranked.end(), untried);
-    if (chosen == ranked.end()) {
+    const auto selected = std::find_if(ranked.begin(), ranked.end(), untried);
+    if (selected == ranked.end()) {
       waitForRouter(now);
       return;
     }
-    tried_.insert(*chosen);
-    router_ = *chosen;
+    tried_.insert(*selected);
+    router_ = *selected;
     ++request_.attempt;
     request_.deadline = std::chrono::duration_cast<Duration>(deadline_ - now);
-    fillResumption();
+    setResumeFields();
     actions_.emplace_back(SubmitToRouter{router_, request_});
   }
 
-  /// The request got somewhere: waits for a router are counted afresh.
-  void startNewPatience() {
+  /// The request made progress: restarts the limits on waiting for a router.
+  void resetRouterWait() {
     waiting_since_.reset();
     rounds_ = 0;
   }
 
   void submitCounted(TimePoint now) {
-    startNewPatience();
+    resetRouterWait();
     if (++counted_attempts_ >= max_attempts_) {
       finish(last_refusal_.code, last_refusal_.retry_after, last_refusal_.message);
       return;
     }
-    if (answer_.tokens() > 0 && weights_.empty() && request_.kind == RequestKind::Completion) {
+    if (assembler_.tokens() > 0 && weights_.empty() && request_.kind == RequestKind::Completion) {
       finish(ErrorCode::EngineLost, Duration::zero(), "the weights of the begun answer are unknown");
       return;
     }
     submit(now);
   }
 
-  void fillResumption() {
-    if (request_.kind != RequestKind::Completion || answer_.tokens() == 0) return;
-    request_.resume_offset = answer_.tokens();
-    request_.resume_text = answer_.text();
+  void setResumeFields() {
+    if (request_.kind != RequestKind::Completion || assembler_.tokens() == 0) return;
+    request_.resume_offset = assembler_.tokens();
+    request_.resume_text = assembler_.text();
     request_.resume_engine = engine_;
     request_.resume_incarnation = engine_incarnation_;
     request_.resume_weights = weights_;
   }
 
-  /// No router is left in this round: starts another after a wait, within kRouterPatience.
+  /// All routers were tried in this round: starts another after a backoff, up to kRouterWaitLimit.
   void waitForRouter(TimePoint now) {
     if (!waiting_since_) waiting_since_ = now;
-    if (now - *waiting_since_ >= kRouterPatience) {
-      const bool refused = last_refusal_.code != ErrorCode::Internal || !last_refusal_.message.empty();
-      finish(refused ? last_refusal_.code : ErrorCode::RouterUnavailable, last_refusal_.retry_after,
-             refused ? last_refusal_.message : "no router can be reached");
+    if (now - *waiting_since_ >= kRouterWaitLimit) {
+      const bool has_refusal = last_refusal_.code != ErrorCode::Internal || !last_refusal_.message.empty();
+      finish(has_refusal ? last_refusal_.code : ErrorCode::RouterUnavailable, last_refusal_.retry_after,
+             has_refusal ? last_refusal_.message : "no router can be reached");
       return;
     }
     tried_.clear();
@@ -255,26 +255,26 @@
   }
 
   Duration nextBackoff() {
-    const Duration longest = std::min(kLongestBackoff, kFirstBackoff * (1 << std::min(rounds_, 5U)));
+    const Duration max_delay = std::min(kMaxBackoff, kInitialBackoff * (1 << std::min(rounds_, 5U)));
     ++rounds_;
     return Duration(
-        static_cast<Duration::rep>(static_cast<double>(longest.count()) * (0.5 + 0.5 * random_.unit())));
+        static_cast<Duration::rep>(static_cast<double>(max_delay.count()) * (0.5 + 0.5 * random_.unit())));
   }
 
-  Reaction reactionAfter(const Refusal& refusal, bool earlier_may_have_run) const {
-    const Reaction reaction = reactionTo(refusal.code);
-    if (reaction == Reaction::AwaitResult) {
-      return earlier_may_have_run && rounds_ < kResultRounds ? reaction : Reaction::Final;
+  RetryDecision decideAfterRefusal(const Refusal& refusal, bool earlier_may_have_run) const {
+    const RetryDecision decision = decisionFor(refusal.code);
+    if (decision == RetryDecision::AwaitResult) {
+      return earlier_may_have_run && rounds_ < kMaxResultRounds ? decision : RetryDecision::Final;
     }
-    const bool safe = request_.repeatable || refusal.run_state == RunState::NotRun;
-    return safe ? reaction : Reaction::Final;
+    const bool safe_to_retry = request_.repeatable || refusal.run_state == RunState::NotRun;
+    return safe_to_retry ? decision : RetryDecision::Final;
   }
 
-  /// The router sent something that cannot be the whole answer: stops it there and tries elsewhere.
-  void abandonBrokenAttempt(const std::string& reason, TimePoint now) {
+  /// The router sent an invalid or incomplete response: cancels the attempt and tries another router.
+  void abandonInvalidAttempt(const std::string& reason, TimePoint now) {
     cancelCurrent();
     recordRunState(RunState::Ran);
-    answer_.forgetWaiting();
+    assembler_.discardBuffered();
     last_refusal_ = Refusal{};
     last_refusal_.code = ErrorCode::EngineLost;
     last_refusal_.message = reason;
@@ -287,11 +287,11 @@
 
   void endAttempt(RunState state) {
     router_.clear();
-    answer_.forgetWaiting();
+    assembler_.discardBuffered();
     recordRunState(state);
   }
 
-  /// "Not run" holds for the request only when it holds for each attempt.
+  /// The request is "not run" only if every attempt is.
   void recordRunState(RunState state) { run_state_ = std::max(run_state_, state); }
 
   void cancelCurrent() {
@@ -301,13 +301,13 @@
     router_.clear();
   }
 
-  void giveUpAtDeadline() {
+  void failAtDeadline() {
     cancelCurrent();
     finish(ErrorCode::DeadlineExceeded, Duration::zero(), "the deadline passed");
   }
 
   void finish(ErrorCode code, Duration retry_after, const std::string& message) {
-    if (answer_.tokens() > 0) recordRunState(RunState::Ran);
+    if (assembler_.tokens() > 0) recordRunState(RunState::Ran);
     finished_ = true;
     retry_at_.reset();
     Refusal refusal;
@@ -317,28 +317,28 @@
     refusal.run_state = run_state_;
     refusal.message = message.empty() ? errorName(code) : message;
     refusal.retry_after = retry_after;
-    if (refusal.retry_after <= Duration::zero() && mayComeBack(code)) {
+    if (refusal.retry_after <= Duration::zero() && isRetryableByCaller(code)) {
       refusal.retry_after = kDefaultRetryAfter;
     }
     actions_.emplace_back(DeliverError{std::move(refusal)});
   }
 
-  SubmitRequest request_;  ///< The attempt submitted last; `attempt` is 0 before the first.
+  SubmitRequest request_;  ///< Last submitted attempt; `attempt` is 0 before the first.
   RouterSelector& selector_;
   std::uint32_t max_attempts_;
   RandomSource random_;
   TimePoint deadline_;
-  AnswerAssembler answer_;
-  std::string router_;  ///< Router of the open attempt; empty when none is open.
-  std::string engine_;  ///< Engine that accepted last.
+  ResponseAssembler assembler_;
+  std::string router_;  ///< Router of the current attempt; empty if there is none.
+  std::string engine_;  ///< Engine of the latest accepted attempt.
   std::uint64_t engine_incarnation_ = 0;
   std::string weights_;
-  std::set<std::string> tried_;  ///< Routers asked in this round.
+  std::set<std::string> tried_;  ///< Routers tried in this round.
   std::uint32_t counted_attempts_ = 0;
   std::uint32_t rounds_ = 0;
   std::optional<TimePoint> waiting_since_;
   std::optional<TimePoint> retry_at_;
-  RunState run_state_ = RunState::NotRun;  ///< Merged over ended attempts.
+  RunState run_state_ = RunState::NotRun;  ///< Merged over all ended attempts.
   Refusal last_refusal_;
   bool finished_ = false;
   std::vector<CallerAction> actions_;
--- a/src/sidecar/caller_service.cc
+++ b/src/sidecar/caller_service.cc
@@ -13,10 +13,10 @@
 
 namespace {
 
-constexpr Duration kBusyRetryAfter = std::chrono::seconds(1);
-/// How often the list of back ends is refreshed, and how often it is asked for until the first one came.
+constexpr Duration kDefaultRetryAfter = std::chrono::seconds(1);
+/// Interval of refreshes of the back-end list, and of requests until the first list was received.
 constexpr Duration kBackendsInterval = std::chrono::seconds(60);
-constexpr Duration kFirstBackendsInterval = std::chrono::seconds(1);
+constexpr Duration kInitialBackendsInterval = std::chrono::seconds(1);
 constexpr std::string_view kOperationsPath = "/v1/operations/";
 
 CallerError refusal(ErrorCode code, std::string message, Duration retry_after = Duration::zero()) {
@@ -28,7 +28,7 @@
   return std::chrono::duration_cast<std::chrono::seconds>(since_epoch).count();
 }
 
-/// @return the request id that a router's message is about, or an empty string.
+/// @return the request id in a message of a router, or an empty string.
 const std::string& requestIdOf(const Message& message) {
   static const std::string none;
   if (const auto* accepted = std::get_if<Accepted>(&message)) return accepted->request_id;
@@ -71,15 +71,15 @@
 std::error_code CallerService::start() {
   RouterLinks::Callbacks callbacks;
   callbacks.on_routers_changed = [this] { onRoutersChanged(); };
-  callbacks.on_lost = [this](const std::string& router) { onRouterLost(router); };
+  callbacks.on_router_lost = [this](const std::string& router) { onRouterLost(router); };
   callbacks.on_message = [this](const std::string& router, Message message) {
     onRouterMessage(router, std::move(message));
   };
   callbacks.on_bundle_version = [this](const std::string& router, std::uint64_t version) {
-    refreshBackends(router);
+    requestBackends(router);
     const TimePoint now = clock_.now();
     if (!sharing_.wants(version, now)) return;
-    if (bundles_.onVersion(router, version, sharing_.version(), now)) {
+    if (bundle_puller_.onVersion(router, version, sharing_.version(), now)) {
       links_->send(router, sharing_.request());
     }
   };
@@ -118,8 +118,8 @@
   metrics_.setBundleVersion(bundle_->body.version);
 }
 
-void CallerService::learnRouters(const std::vector<MemberRecord>& records) {
-  for (const MemberRecord& record : records) directory_.learn(record);
+void CallerService::addRouters(const std::vector<MemberRecord>& records) {
+  for (const MemberRecord& record : records) directory_.applyRecord(record);
   onRoutersChanged();
 }
 
@@ -159,11 +159,11 @@
 void CallerService::onRequest(const http::Request& request,
                               const std::shared_ptr<http::ResponseWriter>& writer) {
   if (stopping_) {
-    refuse(refusal(ErrorCode::Stopping, "the sidecar is stopping", kBusyRetryAfter), writer);
+    refuse(refusal(ErrorCode::Stopping, "the sidecar is stopping", kDefaultRetryAfter), writer);
   } else if (!bundle_) {
-    refuse(refusal(ErrorCode::NotReady, "the sidecar holds no bundle yet", kBusyRetryAfter), writer);
+    refuse(refusal(ErrorCode::NotReady, "the sidecar holds no bundle yet", kDefaultRetryAfter), writer);
   } else if (exchanges_.size() >= settings_.max_requests) {
-    refuse(refusal(ErrorCode::Overloaded, "the sidecar has too many requests in flight", kBusyRetryAfter),
+    refuse(refusal(ErrorCode::Overloaded, "the sidecar has too many requests in flight", kDefaultRetryAfter),
            writer);
   } else {
     route(request, writer);
@@ -198,11 +198,11 @@
   if (!chat) return refuse(error, writer);
   std::optional<SubmitRequest> submit = admitChat(*chat, headers, *bundle_->bundle, tenant, error);
   if (!submit) return refuse(error, writer);
-  AnswerForm form;
-  form.kind = chat->stream ? AnswerForm::Kind::Stream : AnswerForm::Kind::Whole;
-  form.include_usage = chat->include_usage;
-  form.model_name = chat->adapter.empty() ? chat->model : chat->model + ":" + chat->adapter;
-  startExchange(std::move(*submit), std::move(form), headers, writer);
+  ResponseFormat response_format;
+  response_format.kind = chat->stream ? ResponseFormat::Kind::Stream : ResponseFormat::Kind::Complete;
+  response_format.include_usage = chat->include_usage;
+  response_format.model_name = chat->adapter.empty() ? chat->model : chat->model + ":" + chat->adapter;
+  startExchange(std::move(*submit), std::move(response_format), headers, writer);
 }
 
 void CallerService::startOperation(const http::Request& request, const CallerHeaders& headers,
@@ -213,38 +213,40 @@
   std::optional<SubmitRequest> submit =
       admitOperation(name, request.body, headers, *bundle_->bundle, tenant, error);
   if (!submit) return refuse(error, writer);
-  AnswerForm form;
-  form.kind = AnswerForm::Kind::Operation;
-  form.operation = name;
-  startExchange(std::move(*submit), std::move(form), headers, writer);
+  ResponseFormat response_format;
+  response_format.kind = ResponseFormat::Kind::Operation;
+  response_format.operation = name;
+  startExchange(std::move(*submit), std::move(response_format), headers, writer);
 }
 
-void CallerService::startExchange(SubmitRequest submit, AnswerForm form, const CallerHeaders& headers,
+void CallerService::startExchange(SubmitRequest submit, ResponseFormat response_format,
+                                  const CallerHeaders& headers,
                                   const std::shared_ptr<http::ResponseWriter>& writer) {
-  submit.request_id = fmt::format("{}-{}-{}", settings_.name, toHex(incarnation_), ++next_request_);
+  submit.request_id = fmt::format("{}-{}-{}", settings_.name, toHex(incarnation_), ++last_request_number_);
   submit.deadline = headers.deadline.value_or(settings_.default_deadline);
-  form.caller_id = headers.request_id;
-  form.created = unixSeconds();
+  response_format.caller_request_id = headers.request_id;
+  response_format.created = unixSeconds();
   const std::string id = submit.request_id;
-  const auto exchange = std::make_shared<CallerExchange>(executor_, *this, id, std::move(form), writer,
-                                                         settings_.slow_caller_bytes);
+  const auto exchange = std::make_shared<CallerExchange>(executor_, *this, id, std::move(response_format),
+                                                         writer, settings_.slow_caller_bytes);
   exchanges_[id] = exchange;
   metrics_.setInFlight(exchanges_.size());
   exchange->start(std::move(submit), selector_, bundle_->bundle->knobs.max_attempts, random_.bits());
 }
 
 void CallerService::onRouterMessage(const std::string& router, Message message) {
-  if (const auto* wanted = std::get_if<BundleRequest>(&message)) {
-    if (const std::optional<Message> answer = sharing_.answer(*wanted)) links_->send(router, *answer);
+  if (const auto* bundle_request = std::get_if<BundleRequest>(&message)) {
+    if (const std::optional<Message> response = sharing_.answer(*bundle_request))
+      links_->send(router, *response);
     return;
   }
   if (auto* body = std::get_if<BundleBody>(&message)) {
-    bundles_.onBody();
+    bundle_puller_.onBody();
     on_bundle_body_(std::move(*body));
     return;
   }
   if (const auto* update = std::get_if<BundleUpdate>(&message)) {
-    takeBundleUpdate(router, *update);
+    applyBundleUpdate(router, *update);
     return;
   }
   if (std::holds_alternative<BackendListRequest>(message)) {
@@ -255,41 +257,41 @@
     if (!list->backends.empty()) backends_ = std::move(list->backends);
     return;
   }
-  // Answers to requests that ended are expected: a caller gave up, or another attempt was faster.
+  // Responses to ended requests are expected: the caller disconnected, or another attempt was faster.
   const auto found = exchanges_.find(requestIdOf(message));
   if (found == exchanges_.end()) return;
   const std::shared_ptr<CallerExchange> exchange = found->second;
   exchange->onMessage(message);
 }
 
-void CallerService::refreshBackends(const std::string& router) {
+void CallerService::requestBackends(const std::string& router) {
   const TimePoint now = clock_.now();
-  if (now < backends_wanted_at_) return;
-  backends_wanted_at_ = now + (backends_.empty() ? kFirstBackendsInterval : kBackendsInterval);
+  if (now < next_backends_refresh_) return;
+  next_backends_refresh_ = now + (backends_.empty() ? kInitialBackendsInterval : kBackendsInterval);
   links_->send(router, BackendListRequest{settings_.name});
 }
 
-void CallerService::takeBundleUpdate(const std::string& router, const BundleUpdate& update) {
+void CallerService::applyBundleUpdate(const std::string& router, const BundleUpdate& update) {
   std::optional<BundleBody> body = sharing_.take(update);
   if (!body && sharing_.needsWholeBody()) {
     links_->send(router, sharing_.request());
     return;
   }
-  bundles_.onBody();
+  bundle_puller_.onBody();
   if (body) on_bundle_body_(std::move(*body));
 }
 
 void CallerService::onRouterLost(const std::string& router) {
-  bundles_.onRouterLost(router);
-  // A copy, because exchanges may end and leave the map meanwhile.
-  std::vector<std::shared_ptr<CallerExchange>> open;
-  open.reserve(exchanges_.size());
-  for (const auto& [id, exchange] : exchanges_) open.push_back(exchange);
-  for (const auto& exchange : open) exchange->onRouterLost(router);
+  bundle_puller_.onRouterLost(router);
+  // Copied, because exchanges that end are removed from the map during the iteration.
+  std::vector<std::shared_ptr<CallerExchange>> open_exchanges;
+  open_exchanges.reserve(exchanges_.size());
+  for (const auto& [id, exchange] : exchanges_) open_exchanges.push_back(exchange);
+  for (const auto& exchange : open_exchanges) exchange->onRouterLost(router);
 }
 
 void CallerService::onRoutersChanged() {
-  std::vector<RouterCandidate> usable = directory_.usable();
+  std::vector<RouterCandidate> usable = directory_.usableRouters();
   usable_routers_ = usable.size();
   metrics_.setRouters(usable.size());
   selector_.setRouters(std::move(usable));
@@ -297,7 +299,7 @@
 
 bool CallerService::submit(const std::string& router, const SubmitRequest& request) {
   if (!links_->send(router, request)) return false;
-  selector_.noteStarted(router);
+  selector_.recordStarted(router);
   metrics_.countSubmit(request.attempt > 1);
   if (request.attempt > 1) {
     log_.write(EventId::CallerResubmitted, {{"request_id", request.request_id},
@@ -312,16 +314,17 @@
   links_->send(router, cancel);
 }
 
-void CallerService::released(const std::string& router) {
-  selector_.noteFinished(router);
+void CallerService::onRouterReleased(const std::string& router) {
+  selector_.recordFinished(router);
 }
 
-void CallerService::ended(const std::string& request_id, const ExchangeOutcome& outcome) {
-  const bool good = outcome.code == ErrorCode::Ok;
+void CallerService::onEnded(const std::string& request_id, const ExchangeOutcome& outcome) {
+  const bool succeeded = outcome.code == ErrorCode::Ok;
   metrics_.countRequest(errorName(outcome.code));
   if (outcome.first_token > Duration::zero()) metrics_.observeFirstToken(outcome.first_token);
-  if (good) metrics_.countTokens(outcome.answer_tokens, outcome.prompt_tokens, outcome.cached_tokens);
-  const EventId event = good ? EventId::CallerAnswered : EventId::CallerFailed;
+  if (succeeded)
+    metrics_.countTokens(outcome.completion_tokens, outcome.prompt_tokens, outcome.cached_tokens);
+  const EventId event = succeeded ? EventId::CallerAnswered : EventId::CallerFailed;
   log_.write(event, {{"request_id", request_id},
                      {"code", errorName(outcome.code)},
                      {"ran", runStateName(outcome.run_state)},
@@ -330,7 +333,7 @@
                      {"attempts", outcome.attempts},
                      {"prompt_tokens", outcome.prompt_tokens},
                      {"cached_tokens", outcome.cached_tokens},
-                     {"answer_tokens", outcome.answer_tokens},
+                     {"answer_tokens", outcome.completion_tokens},
                      {"first_token_ms", toMilliseconds(outcome.first_token)},
                      {"total_ms", toMilliseconds(outcome.total)}});
   exchanges_.erase(request_id);
--- a/src/sidecar/caller_service.h
+++ b/src/sidecar/caller_service.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file The sidecar's traffic side: callers' HTTP requests, their exchanges, the routers' messages and the
-/// bundle's way between routers. Lives on the traffic thread.
+/// @file Traffic side of the sidecar: HTTP requests of callers and their exchanges, messages of routers, and
+/// sharing of the bundle with routers. Runs on the traffic thread.
 
 #include <absl/container/flat_hash_map.h>
 
@@ -15,7 +15,7 @@
 #include "bundle/bundle_sharing.h"
 #include "caller/request_headers.h"
 #include "http/server.h"
-#include "sidecar/bundle_exchange.h"
+#include "sidecar/bundle_puller.h"
 #include "sidecar/caller_exchange.h"
 #include "sidecar/router_links.h"
 #include "sidecar/sidecar_metrics.h"
@@ -23,7 +23,7 @@
 
 namespace crankspur {
 
-/// What /status shows of the traffic side.
+/// State of the traffic side as shown by /status.
 struct CallerServiceStatus {
   std::size_t in_flight = 0;
   std::size_t known_routers = 0;
@@ -32,32 +32,32 @@
   std::vector<RouterStatus> routers;
 };
 
-/// The service.
+/// Serves callers through the connected routers.
 class CallerService : public ExchangeHost {
 public:
-  /// @param on_bundle_body a router sent a bundle body; it is not verified yet.
+  /// @param on_bundle_body called with each bundle body that a router sent, before verification.
   CallerService(boost::asio::any_io_executor executor, const SidecarSettings& settings,
                 std::uint64_t incarnation, EventLog& log, SidecarMetrics& metrics,
                 std::function<void(BundleBody)> on_bundle_body);
   /// Connects to routers and listens for callers.
-  /// @return an error when the address cannot be listened on.
+  /// @return an error if listening on the address failed.
   std::error_code start();
-  /// @return the port callers connect to.
+  /// @return the port for callers.
   std::uint16_t port() const { return server_->port(); }
-  /// Puts a verified bundle in force.
+  /// Activates a verified bundle.
   void setBundle(std::shared_ptr<const SignedBundle> bundle);
-  /// A bundle that came from a router did not verify.
+  /// Verification of a bundle from a router failed.
   void onBundleRefused(std::uint64_t version) { sharing_.onRefused(version, clock_.now()); }
-  /// Takes routers from the machine list.
-  void learnRouters(const std::vector<MemberRecord>& records);
-  /// Takes no new work; `on_drained` is called once nothing is in flight.
+  /// Adds routers from the machine list.
+  void addRouters(const std::vector<MemberRecord>& records);
+  /// Rejects new requests; `on_drained` is called once no request is in flight.
   void drain(std::function<void()> on_drained);
-  /// Ends every connection.
+  /// Closes all connections.
   void stop();
-  /// @return responses whose bytes have not all left.
+  /// @return number of responses that are not completely written.
   std::size_t openResponses() const { return server_ ? server_->openRequests() : 0; }
   CallerServiceStatus status() const;
-  /// @return routers that may get work now; the one call that any thread may make.
+  /// @return number of routers that accept requests now. Thread-safe, unlike all other members.
   std::size_t usableRouters() const { return usable_routers_; }
 
 private:
@@ -67,12 +67,12 @@
                  const std::shared_ptr<http::ResponseWriter>& writer);
   void startOperation(const http::Request& request, const CallerHeaders& headers, const TenantPolicy& tenant,
                       const std::shared_ptr<http::ResponseWriter>& writer);
-  void startExchange(SubmitRequest submit, AnswerForm form, const CallerHeaders& headers,
+  void startExchange(SubmitRequest submit, ResponseFormat response_format, const CallerHeaders& headers,
                      const std::shared_ptr<http::ResponseWriter>& writer);
   void refuse(const CallerError& error, const std::shared_ptr<http::ResponseWriter>& writer);
   void onRouterMessage(const std::string& router, Message message);
-  void takeBundleUpdate(const std::string& router, const BundleUpdate& update);
-  void refreshBackends(const std::string& router);
+  void applyBundleUpdate(const std::string& router, const BundleUpdate& update);
+  void requestBackends(const std::string& router);
   void onRouterLost(const std::string& router);
   void onRoutersChanged();
   void finishDrain();
@@ -80,8 +80,8 @@
 
   bool submit(const std::string& router, const SubmitRequest& request) override;
   void cancel(const std::string& router, const Cancel& cancel) override;
-  void released(const std::string& router) override;
-  void ended(const std::string& request_id, const ExchangeOutcome& outcome) override;
+  void onRouterReleased(const std::string& router) override;
+  void onEnded(const std::string& request_id, const ExchangeOutcome& outcome) override;
 
   boost::asio::any_io_executor executor_;
   const SidecarSettings& settings_;
@@ -94,15 +94,15 @@
   std::function<void(BundleBody)> on_bundle_body_;
   SteadyClock clock_;
   std::unique_ptr<RouterLinks> links_;
-  BundleExchange bundles_;
+  BundlePuller bundle_puller_;
   std::unique_ptr<http::Server> server_;
   std::shared_ptr<const SignedBundle> bundle_;
   BundleSharing sharing_;
-  /// Kept for routers that restart without the platform; the sidecar itself does not use it.
+  /// Kept for routers that restart while the platform is unavailable; not used by the sidecar itself.
   std::vector<BackendRecord> backends_;
-  TimePoint backends_wanted_at_{};
+  TimePoint next_backends_refresh_{};
   absl::flat_hash_map<std::string, std::shared_ptr<CallerExchange>> exchanges_;
-  std::uint64_t next_request_ = 0;
+  std::uint64_t last_request_number_ = 0;
   bool stopping_ = false;
   std::atomic<std::size_t> usable_routers_ = 0;
   std::function<void()> on_drained_;
--- a/src/sidecar/router_directory.cc
+++ b/src/sidecar/router_directory.cc
@@ -14,7 +14,7 @@
 constexpr int kOwnZone = 0;
 constexpr int kOwnRegion = 1;
 constexpr int kOtherRegion = 2;
-constexpr std::uint32_t kMaximumDoublings = 10;
+constexpr std::uint32_t kMaxBackoffDoublings = 10;
 
 }  // namespace
 
@@ -39,7 +39,7 @@
   return nullptr;
 }
 
-void RouterDirectory::learn(const MemberRecord& record) {
+void RouterDirectory::applyRecord(const MemberRecord& record) {
   if (record.name.empty() || record.address.empty()) return;
   Entry* known = findByName(record.name);
   if (known != nullptr) {
@@ -57,7 +57,7 @@
       entries_.erase(known->address);
     }
   }
-  if (record.state == MemberState::Dead || entries_.size() >= options_.maximum_routers) return;
+  if (record.state == MemberState::Dead || entries_.size() >= options_.max_routers) return;
   Entry& entry = entries_[record.address];
   if (entry.connected) return;
   entry.address = record.address;
@@ -102,14 +102,16 @@
   if (found == entries_.end()) return;
   Entry& entry = found->second;
   if (entry.connected) {
-    // The other addresses of this router may be tried again.
+    // Other addresses of this router may be tried again.
     for (auto& [other_address, other] : entries_) other.alias = false;
   }
   entry.connected = false;
-  const std::uint32_t doublings = std::min(entry.failures++, kMaximumDoublings);
-  const Duration longest = std::min(options_.longest_reconnect, options_.first_reconnect * (1 << doublings));
-  const double share = 0.5 + 0.5 * random_.unit();
-  entry.retry_at = now + Duration(static_cast<Duration::rep>(static_cast<double>(longest.count()) * share));
+  const std::uint32_t doublings = std::min(entry.failures++, kMaxBackoffDoublings);
+  const Duration max_delay =
+      std::min(options_.max_reconnect_delay, options_.initial_reconnect_delay * (1 << doublings));
+  const double jitter = 0.5 + 0.5 * random_.unit();
+  entry.retry_at =
+      now + Duration(static_cast<Duration::rep>(static_cast<double>(max_delay.count()) * jitter));
   if (entry.state == MemberState::Dead && !entry.seed) entries_.erase(found);
 }
 
@@ -118,41 +120,41 @@
   return entry.zone == own_zone_ ? kOwnZone : kOwnRegion;
 }
 
-std::vector<std::string> RouterDirectory::wanted(TimePoint now) const {
-  struct Choice {
+std::vector<std::string> RouterDirectory::targetAddresses(TimePoint now) const {
+  struct Candidate {
     int distance;
     std::uint64_t score;
     const Entry* entry;
   };
   std::vector<std::string> addresses;
-  std::vector<Choice> choices;
+  std::vector<Candidate> candidates;
   for (const auto& [address, entry] : entries_) {
     if (entry.alias) continue;
     if (entry.connected || (entry.name.empty() && entry.retry_at <= now)) {
       addresses.push_back(address);
     } else if (!entry.name.empty() && entry.state != MemberState::Leaving) {
-      choices.push_back({distanceOf(entry), hashBytes(entry.name, hashBytes(own_name_)), &entry});
+      candidates.push_back({distanceOf(entry), hashBytes(entry.name, hashBytes(own_name_)), &entry});
     }
   }
-  std::array<std::size_t, 3> room = {options_.own_zone_connections, options_.other_zone_connections,
-                                     options_.other_region_connections};
+  std::array<std::size_t, 3> capacity = {options_.own_zone_connections, options_.other_zone_connections,
+                                         options_.other_region_connections};
   for (const auto& [address, entry] : entries_) {
-    std::size_t& left = room[static_cast<std::size_t>(distanceOf(entry))];
-    if (entry.connected && left > 0) --left;
+    std::size_t& remaining = capacity[static_cast<std::size_t>(distanceOf(entry))];
+    if (entry.connected && remaining > 0) --remaining;
   }
-  std::sort(choices.begin(), choices.end(), [](const Choice& left, const Choice& right) {
+  std::sort(candidates.begin(), candidates.end(), [](const Candidate& left, const Candidate& right) {
     return std::tie(left.distance, left.score) < std::tie(right.distance, right.score);
   });
-  for (const Choice& choice : choices) {
-    std::size_t& left = room[static_cast<std::size_t>(choice.distance)];
-    if (choice.entry->retry_at > now || (left == 0 && !choice.entry->seed)) continue;
-    if (left > 0) --left;
-    addresses.push_back(choice.entry->address);
+  for (const Candidate& candidate : candidates) {
+    std::size_t& remaining = capacity[static_cast<std::size_t>(candidate.distance)];
+    if (candidate.entry->retry_at > now || (remaining == 0 && !candidate.entry->seed)) continue;
+    if (remaining > 0) --remaining;
+    addresses.push_back(candidate.entry->address);
   }
   return addresses;
 }
 
-std::vector<RouterCandidate> RouterDirectory::usable() const {
+std::vector<RouterCandidate> RouterDirectory::usableRouters() const {
   std::vector<RouterCandidate> candidates;
   for (const auto& [address, entry] : entries_) {
     if (!entry.connected || entry.state == MemberState::Leaving) continue;
--- a/src/sidecar/router_discovery.cc
+++ b/src/sidecar/router_discovery.cc
@@ -23,8 +23,8 @@
 
 void RouterDiscovery::read() {
   list_->fetch([this](const MachineListResult& result) { onResult(result); });
-  const double share = 0.5 + random_.unit();
-  timer_.expires_after(Duration(static_cast<Duration::rep>(static_cast<double>(interval_.count()) * share)));
+  const double jitter = 0.5 + random_.unit();
+  timer_.expires_after(Duration(static_cast<Duration::rep>(static_cast<double>(interval_.count()) * jitter)));
   timer_.async_wait([this](boost::system::error_code error) {
     if (!error) read();
   });
--- a/src/sidecar/router_discovery.h
+++ b/src/sidecar/router_discovery.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Reads routers from the machine list now and then. Lives on the control thread.
+/// @file Reads routers from the machine list periodically. Runs on the control thread.
 
 #include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -16,14 +16,14 @@
 
 namespace crankspur {
 
-/// The reader. The list lags and may be down; it only adds to what gossip tells.
+/// Polls the machine list. The list lags and may be unavailable; it only supplements gossip.
 class RouterDiscovery {
 public:
   using Handler = std::function<void(std::vector<MemberRecord>)>;
-  /// @param interval mean time between two reads; each wait is drawn around it.
+  /// @param interval mean time between reads; each delay is jittered around it.
   RouterDiscovery(const boost::asio::any_io_executor& executor, const std::string& address, Duration interval,
                   std::uint64_t random_seed, EventLog& log, Handler handler);
-  /// Reads now and from then on.
+  /// Reads immediately and periodically from then on.
   void start();
 
 private:
@@ -38,7 +38,7 @@
   SteadyClock clock_;
   std::unique_ptr<http::Client> client_;
   std::unique_ptr<MachineListClient> list_;
-  bool available_ = true;  ///< Whether the last read had an answer; a change is logged once.
+  bool available_ = true;  ///< Whether the last read succeeded; changes are logged.
 };
 
 }  // namespace crankspur
--- a/src/sidecar/router_links.cc
+++ b/src/sidecar/router_links.cc
@@ -4,14 +4,14 @@
 
 namespace crankspur {
 
-/// One connection, from the attempt to open it to its end.
+/// One connection, from the connection attempt until it is closed.
 struct RouterLinks::Link {
   std::string address;
-  std::string name;  ///< Empty until the router's Hello.
+  std::string name;  ///< Empty until the Hello is received.
   std::string zone;
   std::uint64_t bundle_version = 0;
   std::shared_ptr<FrameConnection> connection;
-  TimePoint last_heard{};
+  TimePoint last_received{};
   TimePoint last_ping{};
   std::uint64_t ping_sequence = 0;
 };
@@ -32,7 +32,7 @@
 }
 
 void RouterLinks::start() {
-  upkeep();
+  maintain();
 }
 
 void RouterLinks::stop(bool flush) {
@@ -58,23 +58,23 @@
   return routers;
 }
 
-void RouterLinks::upkeep() {
+void RouterLinks::maintain() {
   if (stopped_) return;
   const TimePoint now = clock_.now();
-  for (const std::string& address : directory_.wanted(now)) {
+  for (const std::string& address : directory_.targetAddresses(now)) {
     if (!by_address_.contains(address)) open(address);
   }
   const auto links = by_name_;
   for (const auto& [name, link] : links) {
-    if (now - link->last_heard > options_.silence_limit) {
+    if (now - link->last_received > options_.silence_timeout) {
       link->connection->close(false);
     } else if (now - link->last_ping >= options_.ping_interval) {
       ping(*link, now);
     }
   }
-  timer_.expires_after(options_.upkeep_interval);
+  timer_.expires_after(options_.maintenance_interval);
   timer_.async_wait([this](boost::system::error_code error) {
-    if (!error) upkeep();
+    if (!error) maintain();
   });
 }
 
@@ -85,13 +85,13 @@
   const std::weak_ptr<Link> weak = link;
   FrameConnection::Callbacks callbacks;
   callbacks.on_hello = [this, weak](const Hello& hello) {
-    if (const auto held = weak.lock()) onHello(held, hello);
+    if (const auto locked = weak.lock()) onHello(locked, hello);
   };
   callbacks.on_message = [this, weak](Message message) {
-    if (const auto held = weak.lock()) onMessage(held, std::move(message));
+    if (const auto locked = weak.lock()) onMessage(locked, std::move(message));
   };
   callbacks.on_closed = [this, weak](std::error_code reason) {
-    if (const auto held = weak.lock()) onClosed(held, reason);
+    if (const auto locked = weak.lock()) onClosed(locked, reason);
   };
   link->connection = connectFrames(executor_, address, hello_(), std::move(callbacks));
 }
@@ -105,43 +105,43 @@
   }
   link->name = hello.node_name;
   link->zone = hello.zone;
-  link->last_heard = clock_.now();
-  const auto older = by_name_.find(link->name);
-  const auto replaced = older == by_name_.end() ? nullptr : older->second;
+  link->last_received = clock_.now();
+  const auto existing = by_name_.find(link->name);
+  const auto replaced = existing == by_name_.end() ? nullptr : existing->second;
   by_name_[link->name] = link;
-  // A router that restarted may be back before its old connection is known to be dead.
+  // A restarted router may connect before the loss of its old connection is detected.
   if (replaced != nullptr && replaced != link) {
     replaced->connection->close(false);
-    callbacks_.on_lost(link->name);
+    callbacks_.on_router_lost(link->name);
   }
   log_.write(EventId::RouterConnected,
              {{"router", link->name}, {"address", link->address}, {"zone", link->zone}});
   callbacks_.on_routers_changed();
-  noteBundleVersion(link, hello.bundle_version);
-  ping(*link, link->last_heard);
+  recordBundleVersion(link, hello.bundle_version);
+  ping(*link, link->last_received);
 }
 
 void RouterLinks::onMessage(const std::shared_ptr<Link>& link, Message message) {
   if (stopped_ || link->name.empty()) return;
-  link->last_heard = clock_.now();
-  const auto learnAll = [this](const std::vector<MemberRecord>& members) {
-    for (const MemberRecord& member : members) directory_.learn(member);
+  link->last_received = clock_.now();
+  const auto applyRecords = [this](const std::vector<MemberRecord>& members) {
+    for (const MemberRecord& member : members) directory_.applyRecord(member);
     if (!members.empty()) callbacks_.on_routers_changed();
   };
   if (const auto* received = std::get_if<Ping>(&message)) {
-    PingAck answer;
-    answer.sequence = received->sequence;
+    PingAck ack;
+    ack.sequence = received->sequence;
     const Hello self = hello_();
-    answer.sender = self.node_name;
-    answer.bundle_version = self.bundle_version;
-    link->connection->send(answer);
-    learnAll(received->members);
-    noteBundleVersion(link, received->bundle_version);
+    ack.sender = self.node_name;
+    ack.bundle_version = self.bundle_version;
+    link->connection->send(ack);
+    applyRecords(received->members);
+    recordBundleVersion(link, received->bundle_version);
     return;
   }
-  if (const auto* answer = std::get_if<PingAck>(&message)) {
-    learnAll(answer->members);
-    noteBundleVersion(link, answer->bundle_version);
+  if (const auto* ack = std::get_if<PingAck>(&message)) {
+    applyRecords(ack->members);
+    recordBundleVersion(link, ack->bundle_version);
     return;
   }
   callbacks_.on_message(link->name, std::move(message));
@@ -162,10 +162,10 @@
   log_.write(EventId::RouterLost,
              {{"router", link->name}, {"address", link->address}, {"reason", reason.message()}});
   callbacks_.on_routers_changed();
-  callbacks_.on_lost(link->name);
+  callbacks_.on_router_lost(link->name);
 }
 
-void RouterLinks::noteBundleVersion(const std::shared_ptr<Link>& link, std::uint64_t version) {
+void RouterLinks::recordBundleVersion(const std::shared_ptr<Link>& link, std::uint64_t version) {
   link->bundle_version = version;
   callbacks_.on_bundle_version(link->name, version);
 }
--- a/src/sidecar/router_links.h
+++ b/src/sidecar/router_links.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Connections of a sidecar to routers: opens those the directory wants, probes them, reports losses.
-/// Lives on the traffic thread.
+/// @file Connections of a sidecar to routers: opens those requested by the directory, probes them and reports
+/// their loss. Runs on the traffic thread.
 
 #include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -16,15 +16,15 @@
 
 namespace crankspur {
 
-/// Intervals of the connections' upkeep.
+/// Intervals and timeouts of connection maintenance.
 struct RouterLinkOptions {
-  Duration upkeep_interval = std::chrono::milliseconds(100);
+  Duration maintenance_interval = std::chrono::milliseconds(100);
   Duration ping_interval = std::chrono::seconds(1);
-  /// A router that was silent for longer is given up: its connection closes.
-  Duration silence_limit = std::chrono::seconds(3);
+  /// The connection to a router that sent nothing for this long is closed.
+  Duration silence_timeout = std::chrono::seconds(3);
 };
 
-/// One router as /status shows it.
+/// One router as shown by /status.
 struct RouterStatus {
   std::string name;
   std::string address;
@@ -32,42 +32,42 @@
   std::uint64_t bundle_version = 0;
 };
 
-/// The connections.
+/// Manages the connections to routers.
 class RouterLinks {
 public:
   struct Callbacks {
-    /// A router became usable, or stopped being so.
+    /// The set of usable routers changed.
     std::function<void()> on_routers_changed;
-    /// The connection to the router ended; everything submitted there is lost.
-    std::function<void(const std::string& router)> on_lost;
-    /// A message that is not the links' own business.
+    /// The connection to the router ended; requests submitted to it are lost.
+    std::function<void(const std::string& router)> on_router_lost;
+    /// A message not handled by RouterLinks itself.
     std::function<void(const std::string& router, Message message)> on_message;
-    /// A router said which bundle version it holds.
+    /// A router announced the bundle version it holds.
     std::function<void(const std::string& router, std::uint64_t version)> on_bundle_version;
   };
 
-  /// @param hello makes the Hello to send, with current values.
+  /// @param hello returns the Hello to send, with current values.
   RouterLinks(const boost::asio::any_io_executor& executor, RouterDirectory& directory,
               std::function<Hello()> hello, Callbacks callbacks, EventLog& log,
               RouterLinkOptions options = {});
   ~RouterLinks();
-  /// Begins to connect.
+  /// Starts to connect.
   void start();
-  /// Closes every connection; `flush` lets queued messages leave first.
+  /// Closes all connections; with `flush` after queued messages are sent.
   void stop(bool flush);
-  /// @return false when no open connection to the router exists; nothing was sent then.
+  /// @return false if there is no open connection to the router; nothing was sent.
   bool send(const std::string& router, const Message& message);
-  /// @return the routers connected now.
+  /// @return the connected routers.
   std::vector<RouterStatus> status() const;
 
 private:
   struct Link;
-  void upkeep();
+  void maintain();
   void open(const std::string& address);
   void onHello(const std::shared_ptr<Link>& link, const Hello& hello);
   void onMessage(const std::shared_ptr<Link>& link, Message message);
   void onClosed(const std::shared_ptr<Link>& link, std::error_code reason);
-  void noteBundleVersion(const std::shared_ptr<Link>& link, std::uint64_t version);
+  void recordBundleVersion(const std::shared_ptr<Link>& link, std::uint64_t version);
   void ping(Link& link, TimePoint now);
 
   boost::asio::any_io_executor executor_;
--- a/src/sidecar/router_selector.cc
+++ b/src/sidecar/router_selector.cc
@@ -32,11 +32,11 @@
   routers_ = std::move(routers);
 }
 
-void RendezvousRouterSelector::noteStarted(const std::string& router) {
+void RendezvousRouterSelector::recordStarted(const std::string& router) {
   ++in_flight_[router];
 }
 
-void RendezvousRouterSelector::noteFinished(const std::string& router) {
+void RendezvousRouterSelector::recordFinished(const std::string& router) {
   const auto found = in_flight_.find(router);
   if (found == in_flight_.end()) return;
   if (--found->second == 0) in_flight_.erase(found);
@@ -63,8 +63,8 @@
     requests += inFlight(router.name);
   }
   if (routers == 0) return 0;
-  const auto share = static_cast<std::uint32_t>(std::ceil(kLoadBound * requests / routers));
-  return kind == RequestKind::Completion ? std::max(share, kUnboundedInFlight) : share;
+  const auto mean_bound = static_cast<std::uint32_t>(std::ceil(kLoadBound * requests / routers));
+  return kind == RequestKind::Completion ? std::max(mean_bound, kMinInFlightBound) : mean_bound;
 }
 
 std::vector<std::string> RendezvousRouterSelector::rank(const SubmitRequest& request) {
@@ -85,7 +85,7 @@
   });
   std::vector<std::string> names;
   names.reserve(ranked.size());
-  for (Ranked& entry : ranked) names.push_back(std::move(entry.name));
+  for (Ranked& candidate : ranked) names.push_back(std::move(candidate.name));
   return names;
 }
 
--- a/src/sidecar/router_selector.h
+++ b/src/sidecar/router_selector.h
@@ -1,7 +1,7 @@
 #pragma once
-/// @file Choice of routers by rendezvous hashing with bounded load. Completions of one model meet one router
-/// of the region while its load allows, so that it knows all work it sent to the model's engines; what
-/// exceeds the bound goes to the next router in an order that all sidecars share. See
+/// @file Selection of routers by rendezvous hashing with bounded load. Completions of one model go to one
+/// router of the region within its load bound, so that this router has a complete view of the load on the
+/// model's engines. Requests above the bound go to the next router in an order shared by all sidecars. See
 /// docs/design/0006-placement.md.
 
 #include <cstdint>
@@ -13,36 +13,36 @@
 
 namespace crankspur {
 
-/// A router that may be chosen.
+/// A router that may be selected.
 struct RouterCandidate {
   std::string name;
   std::string zone;
   std::string region;
 };
 
-/// A router holds at most this many times the mean of its group's requests in flight.
+/// Upper bound of a router's requests in flight, as a multiple of the mean of its group.
 inline constexpr double kLoadBound = 1.25;
-/// Completions of this sidecar that a router may hold whatever the others hold.
-inline constexpr std::uint32_t kUnboundedInFlight = 64;
+/// Completions of this sidecar that a router may always have in flight, regardless of the mean.
+inline constexpr std::uint32_t kMinInFlightBound = 64;
 
-/// @return the hash that decides which routers a request prefers: of the model, or for operations of tenant,
-/// operation and idempotency key.
+/// @return the rendezvous hash key of a request: of the model for completions; of tenant, operation and
+/// idempotency key for operations.
 std::uint64_t routingKey(const SubmitRequest& request);
 
-/// The product's selector. Not thread-safe.
+/// Production implementation. Not thread-safe.
 class RendezvousRouterSelector : public RouterSelector {
 public:
   /// @param own_zone zone of the sidecar. @param own_region region of the sidecar.
   RendezvousRouterSelector(std::string own_zone, std::string own_region);
-  /// Replaces the routers that may be used now (connected, neither leaving nor dead). Counts of requests in
-  /// flight are kept by name.
+  /// Replaces the usable routers (connected, neither leaving nor dead). Counts of requests in flight are kept
+  /// by name.
   void setRouters(std::vector<RouterCandidate> routers);
   /// A request was submitted to the router.
-  void noteStarted(const std::string& router);
-  /// The request ended at the router, or moved away from it.
-  void noteFinished(const std::string& router);
+  void recordStarted(const std::string& router);
+  /// A request ended at the router or moved to another router.
+  void recordFinished(const std::string& router);
   std::vector<std::string> rank(const SubmitRequest& request) override;
-  /// @return requests in flight at the router.
+  /// @return number of requests in flight at the router.
   std::uint32_t inFlight(const std::string& router) const;
 
 private:
@@ -53,10 +53,10 @@
     std::uint64_t score = 0;
     std::string name;
   };
-  /// @return how far the router is; completions take all routers of the own region for equally near, since a
-  /// hop between zones is short against what complete knowledge of the engines saves.
+  /// @return the distance to the router. For completions all routers of the own region are equally near: the
+  /// latency between zones is small compared with the gain from a complete view of the engines.
   Distance distanceOf(const RouterCandidate& router, RequestKind kind) const;
-  /// @return requests that one router of a group may hold, one more request included.
+  /// @return the maximum number of requests in flight at one router of a group, including one new request.
   std::uint32_t bound(Distance distance, RequestKind kind) const;
 
   std::string own_zone_;
--- a/src/sidecar/sidecar_metrics.cc
+++ b/src/sidecar/sidecar_metrics.cc
@@ -37,7 +37,8 @@
       submits_(counter(*registry_, "crankspur_sidecar_submits_total", "Attempts submitted to routers")),
       resubmissions_(counter(*registry_, "crankspur_sidecar_resubmissions_total",
                              "Attempts submitted after an earlier one of the same request")),
-      answer_tokens_(counter(*registry_, "crankspur_sidecar_answer_tokens_total", "Tokens of whole answers")),
+      completion_tokens_(
+          counter(*registry_, "crankspur_sidecar_answer_tokens_total", "Tokens of whole answers")),
       prompt_tokens_(
           counter(*registry_, "crankspur_sidecar_prompt_tokens_total", "Tokens of prompts answered")),
       cached_tokens_(counter(*registry_, "crankspur_sidecar_cached_tokens_total",
@@ -60,8 +61,8 @@
   if (resubmission) resubmissions_.Increment();
 }
 
-void SidecarMetrics::countTokens(std::uint64_t answer, std::uint64_t prompt, std::uint64_t cached) {
-  answer_tokens_.Increment(static_cast<double>(answer));
+void SidecarMetrics::countTokens(std::uint64_t completion, std::uint64_t prompt, std::uint64_t cached) {
+  completion_tokens_.Increment(static_cast<double>(completion));
   prompt_tokens_.Increment(static_cast<double>(prompt));
   cached_tokens_.Increment(static_cast<double>(cached));
 }
--- a/src/sidecar/sidecar_metrics.h
+++ b/src/sidecar/sidecar_metrics.h
@@ -15,19 +15,19 @@
 
 namespace crankspur {
 
-/// The metrics.
+/// Metrics of the sidecar process.
 class SidecarMetrics {
 public:
   SidecarMetrics();
-  /// A caller's request ended: "ok" or an error name.
+  /// Counts an ended caller request. @param outcome "ok" or an error name.
   void countRequest(const std::string& outcome);
   void observeFirstToken(Duration time);
   void countSubmit(bool resubmission);
-  void countTokens(std::uint64_t answer, std::uint64_t prompt, std::uint64_t cached);
+  void countTokens(std::uint64_t completion, std::uint64_t prompt, std::uint64_t cached);
   void setInFlight(std::size_t requests);
   void setRouters(std::size_t routers);
   void setBundleVersion(std::uint64_t version);
-  /// @return the registry that /metrics shows.
+  /// @return the registry exposed by /metrics.
   std::shared_ptr<prometheus::Registry> registry() const { return registry_; }
 
 private:
@@ -36,7 +36,7 @@
   prometheus::Histogram& first_token_;
   prometheus::Counter& submits_;
   prometheus::Counter& resubmissions_;
-  prometheus::Counter& answer_tokens_;
+  prometheus::Counter& completion_tokens_;
   prometheus::Counter& prompt_tokens_;
   prometheus::Counter& cached_tokens_;
   prometheus::Gauge& in_flight_;
--- a/src/sidecar/sidecar_process.cc
+++ b/src/sidecar/sidecar_process.cc
@@ -24,10 +24,10 @@
 
 namespace asio = boost::asio;
 
-/// How often a drained process looks whether the last bytes have left.
-constexpr auto kDrainPoll = std::chrono::milliseconds(10);
+/// Interval at which a drained process checks whether all response bytes were written.
+constexpr auto kDrainPollInterval = std::chrono::milliseconds(10);
 
-std::uint64_t freshIncarnation() {
+std::uint64_t generateIncarnation() {
   std::random_device device;
   return (static_cast<std::uint64_t>(device()) << 32U) | device();
 }
@@ -57,7 +57,7 @@
   SidecarProcessImpl(SidecarSettings settings, EventLog& log)
       : settings_(std::move(settings)),
         log_(log),
-        holder_(settings_.trusted_keys),
+        bundle_holder_(settings_.trusted_keys),
         signals_(control_),
         drain_timer_(traffic_),
         service_(traffic_.get_executor(), settings_, incarnation_, log, metrics_,
@@ -69,7 +69,7 @@
     if (!listen()) return kExitCannotListen;
     signals_.add(SIGTERM);
     signals_.add(SIGINT);
-    awaitSignal();
+    waitForSignal();
     fmt::print("listening {} admin {}\n", service_.port(), admin_->port());
     std::fflush(stdout);
     log_.write(EventId::ProcessStarted, {{"address", fmt::format("port {}", service_.port())},
@@ -84,87 +84,87 @@
   }
 
 private:
-  /// Before the threads start.
+  /// Called before the threads start.
   bool listen() {
     std::error_code error;
     addAdminPaths();
     admin_ = http::listenAdmin(control_.get_executor(), settings_.admin, endpoints_, error);
-    if (error) return refuseAddress("admin", settings_.admin, error);
+    if (error) return reportListenError("admin", settings_.admin, error);
     error = service_.start();
-    return !error || refuseAddress("listen", settings_.listen, error);
+    return !error || reportListenError("listen", settings_.listen, error);
   }
 
-  bool refuseAddress(const char* key, const std::string& address, std::error_code error) {
+  bool reportListenError(const char* key, const std::string& address, std::error_code error) {
     log_.write(EventId::SettingsRefused, {{"key", key}, {"value", address}, {"reason", error.message()}});
     return false;
   }
 
-  void awaitSignal() {
+  void waitForSignal() {
     signals_.async_wait([this](boost::system::error_code error, int) {
       if (error) return;
       if (stopping_) {
-        endThreads();
+        stopThreads();
         return;
       }
       stopping_ = true;
-      awaitSignal();
+      waitForSignal();
       asio::post(traffic_, [this] { drain(); });
     });
   }
 
-  /// On the traffic thread.
+  /// Runs on the traffic thread.
   void drain() {
     log_.write(EventId::ProcessStopping, {{"in_flight", service_.status().in_flight}});
-    service_.drain([this] { endWhenWritten(); });
+    service_.drain([this] { stopWhenWritten(); });
   }
 
-  /// On the traffic thread: the last answers are complete but their bytes may still be on their way out.
-  void endWhenWritten() {
+  /// Runs on the traffic thread. The last responses are complete, but may not be completely written.
+  void stopWhenWritten() {
     if (service_.openResponses() == 0) {
       service_.stop();
-      asio::post(control_, [this] { endThreads(); });
+      asio::post(control_, [this] { stopThreads(); });
       return;
     }
-    drain_timer_.expires_after(kDrainPoll);
+    drain_timer_.expires_after(kDrainPollInterval);
     drain_timer_.async_wait([this](boost::system::error_code error) {
-      if (!error) endWhenWritten();
+      if (!error) stopWhenWritten();
     });
   }
 
-  /// On the control thread.
-  void endThreads() {
+  /// Runs on the control thread.
+  void stopThreads() {
     traffic_work_.reset();
     traffic_.stop();
     control_.stop();
   }
 
-  /// On the traffic thread; verification is the control thread's.
+  /// Runs on the traffic thread; verification runs on the control thread.
   void onBundleBody(BundleBody body) {
-    asio::post(control_, [this, body = std::move(body)] { offerBundle(body); });
+    asio::post(control_, [this, body = std::move(body)] { verifyBundle(body); });
   }
 
-  void offerBundle(const BundleBody& body) {
-    const std::error_code error = holder_.offer(body);
+  void verifyBundle(const BundleBody& body) {
+    const std::error_code error = bundle_holder_.offer(body);
     if (!error) {
       log_.write(EventId::SidecarBundleTaken, {{"version", body.version}});
-      asio::post(traffic_, [this, bundle = holder_.current()] { service_.setBundle(bundle); });
+      asio::post(traffic_, [this, bundle = bundle_holder_.current()] { service_.setBundle(bundle); });
     } else if (error != make_error_code(ErrorCode::Stale)) {
       log_.write(EventId::SidecarBundleRefused, {{"version", body.version}, {"reason", error.message()}});
       asio::post(traffic_, [this, version = body.version] { service_.onBundleRefused(version); });
     }
   }
 
-  /// @return why the sidecar cannot serve, or an empty string. On the control thread.
+  /// @return why the sidecar cannot serve, or an empty string. Runs on the control thread.
   std::string unhealthyReason() const {
     if (stopping_) return "stopping";
-    if (holder_.version() == 0) return "no bundle";
+    if (bundle_holder_.version() == 0) return "no bundle";
     return service_.usableRouters() == 0 ? "no router" : "";
   }
 
   void addAdminPaths() {
     endpoints_->add("/status", [this](const http::Request&, std::shared_ptr<http::ResponseWriter> writer) {
-      // Moved, not copied: the traffic thread must not be the last to let go of a writer of the control
-      // thread.
+      // Moved, not copied: the last reference to a writer of the control thread must not be released on the
+      // traffic thread.
       asio::post(traffic_, [this, writer = std::move(writer)]() mutable {
         asio::post(control_, [this, writer = std::move(writer), status = service_.status()] {
           writer->respond(http::jsonResponse(200, statusBody(settings_, status)));
@@ -178,18 +178,18 @@
     discovery_ = std::make_unique<RouterDiscovery>(
         control_.get_executor(), settings_.platform, settings_.machine_list_interval, incarnation_, log_,
         [this](std::vector<MemberRecord> routers) {
-          asio::post(traffic_, [this, routers = std::move(routers)] { service_.learnRouters(routers); });
+          asio::post(traffic_, [this, routers = std::move(routers)] { service_.addRouters(routers); });
         });
     discovery_->start();
   }
 
   const SidecarSettings settings_;
   EventLog& log_;
-  const std::uint64_t incarnation_ = freshIncarnation();
+  const std::uint64_t incarnation_ = generateIncarnation();
   asio::io_context control_{1};
   asio::io_context traffic_{1};
   asio::executor_work_guard<asio::io_context::executor_type> traffic_work_{traffic_.get_executor()};
-  BundleHolder holder_;  ///< Control thread only.
+  BundleHolder bundle_holder_;  ///< Control thread only.
   asio::signal_set signals_;
   asio::steady_timer drain_timer_;
   SidecarMetrics metrics_;
--- a/src/sidecar/sidecar_process.h
+++ b/src/sidecar/sidecar_process.h
@@ -9,20 +9,20 @@
 
 namespace crankspur {
 
-/// The process. One instance lives in main().
+/// Process of the sidecar; main() owns the only instance.
 class SidecarProcess {
 public:
   virtual ~SidecarProcess() = default;
-  /// Listens, prints "listening PORT admin PORT" on standard output and serves until a signal ends it.
-  /// SIGTERM or SIGINT finishes what is in flight; a second one ends the process at once.
+  /// Listens, prints "listening PORT admin PORT" on standard output and serves until stopped by a signal.
+  /// SIGTERM or SIGINT drains requests in flight; a second signal stops the process immediately.
   /// @return the exit status of the process.
   virtual int run() = 0;
 };
 
-/// Exit statuses.
+/// Exit statuses of the process.
 inline constexpr int kExitOk = 0;
-inline constexpr int kExitSettings = 2;      ///< Settings or flags are wrong.
-inline constexpr int kExitCannotListen = 3;  ///< An address cannot be listened on.
+inline constexpr int kExitSettings = 2;      ///< Invalid settings or flags.
+inline constexpr int kExitCannotListen = 3;  ///< Listening on an address failed.
 
 std::unique_ptr<SidecarProcess> makeSidecarProcess(SidecarSettings settings, EventLog& log);
 
--- a/src/sidecar/sidecar_settings.cc
+++ b/src/sidecar/sidecar_settings.cc
@@ -4,17 +4,17 @@
 
 namespace {
 
-constexpr std::int64_t kMegabyte = std::int64_t{1} << 20U;
+constexpr std::int64_t kMebibyte = std::int64_t{1} << 20U;
 
 void readLimits(TomlTable& limits, SidecarSettings& settings) {
-  const auto readSize = [&limits](const char* key, std::size_t& value, std::int64_t highest) {
-    value = static_cast<std::size_t>(limits.getInteger(key, static_cast<std::int64_t>(value), {1, highest}));
+  const auto readSize = [&limits](const char* key, std::size_t& value, std::int64_t maximum) {
+    value = static_cast<std::size_t>(limits.getInteger(key, static_cast<std::int64_t>(value), {1, maximum}));
   };
   readSize("max_requests", settings.max_requests, 1'000'000);
   readSize("connections", settings.connections, 1'000'000);
-  readSize("slow_caller_bytes", settings.slow_caller_bytes, 256 * kMegabyte);
-  // A submit must fit into one frame with its prompt.
-  readSize("request_bytes", settings.request_bytes, 6 * kMegabyte);
+  readSize("slow_caller_bytes", settings.slow_caller_bytes, 256 * kMebibyte);
+  // A SubmitRequest with its prompt must fit into one frame.
+  readSize("request_bytes", settings.request_bytes, 6 * kMebibyte);
   settings.default_deadline =
       std::chrono::milliseconds(limits.getInteger("default_deadline_ms", 60'000, {1, 3'600'000}));
 }
--- a/tests/unit/fault_proxy/fault_proxy_test.cc
+++ b/tests/unit/fault_proxy/fault_proxy_test.cc
@@ -59,7 +59,7 @@
   fixture.control(R"({"swallow_answers":true})");
   const Outcome outcome = fixture.post("once");
   CHECK(outcome.error);
-  CHECK(outcome.state == SendState::SentUnknown);
+  CHECK(outcome.state == SendState::SentOutcomeUnknown);
   CHECK(fixture.requests == std::vector<std::string>{"once"});
   fixture.control(R"({"reset":true})");
   CHECK_FALSE(fixture.post("again").error);
--- a/tests/unit/http/admin_test.cc
+++ b/tests/unit/http/admin_test.cc
@@ -10,7 +10,7 @@
 using namespace crankspur;
 using namespace crankspur::http;
 
-TEST_CASE("admin endpoints show health with its reason, metrics and added paths", "[http]") {
+TEST_CASE("admin endpoints serve health with its reason, metrics and registered paths", "[http]") {
   auto registry = std::make_shared<prometheus::Registry>();
   prometheus::BuildCounter().Name("requests_total").Register(*registry).Add({{"kind", "a"}}).Increment(3);
   std::string reason;
--- a/tests/unit/http/bad_input_test.cc
+++ b/tests/unit/http/bad_input_test.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A client that writes given bytes and collects the answer until the server closes.
+/// Client that writes raw bytes and collects the response until the server closes.
 struct RawClient {
   RawClient(HttpFixture& fixture, const std::string& bytes) : socket(fixture.context) {
     socket.connect({asio::ip::make_address("127.0.0.1"), fixture.server->port()});
@@ -22,14 +22,14 @@
   void read() {
     socket.async_read_some(asio::buffer(chunk), [this](boost::system::error_code error, std::size_t bytes) {
       received.append(chunk.data(), bytes);
-      ended = static_cast<bool>(error);
+      closed = static_cast<bool>(error);
       if (!error) read();
     });
   }
   asio::ip::tcp::socket socket;
   std::array<char, 4096> chunk{};
   std::string received;
-  bool ended = false;
+  bool closed = false;
 };
 
 void echoBody(Request request, std::shared_ptr<ResponseWriter> writer) {
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-TEST_CASE("a request beyond a limit or no HTTP gets a JSON error; others are not affected", "[http]") {
+TEST_CASE("an oversized or malformed request gets a JSON error and does not affect others", "[http]") {
   const BadInput input = GENERATE(values<BadInput>({
       {"long header", "GET / HTTP/1.1\r\nX: " + std::string(2000, 'x') + "\r\n\r\n", "431", "too_large"},
       {"long target", "GET /" + std::string(5000, 'x') + " HTTP/1.1\r\n\r\n", "431", "too_large"},
@@ -75,7 +75,7 @@
   HttpFixture fixture(&echoBody, smallLimits());
   CHECK(fixture.run({"POST", "/", {}, "before"}).response.body == "before");
   RawClient client(fixture, input.bytes);
-  fixture.runUntil([&] { return client.ended; });
+  fixture.runUntil([&] { return client.closed; });
   CHECK(client.received.substr(0, 13) == "HTTP/1.1 " + input.status + " ");
   const std::size_t body = client.received.find("\r\n\r\n");
   REQUIRE(body != std::string::npos);
@@ -85,54 +85,55 @@
   CHECK(fixture.run({"POST", "/", {}, "after"}).response.body == "after");
 }
 
-TEST_CASE("a request that trickles in too slowly gets 408", "[http]") {
+TEST_CASE("a request that is not received in time gets 408", "[http]") {
   ServerLimits limits;
   limits.header_timeout = std::chrono::milliseconds(50);
   HttpFixture fixture(&echoBody, limits);
   RawClient client(fixture, "GET / HTT");
-  fixture.runUntil([&] { return client.ended; });
+  fixture.runUntil([&] { return client.closed; });
   CHECK(client.received.substr(0, 13) == "HTTP/1.1 408 ");
 }
 
-TEST_CASE("requests that the server answers itself are told, with what was read of their heads", "[http]") {
+TEST_CASE("requests rejected by the server are reported with the part of the head that was read", "[http]") {
   ServerLimits limits = smallLimits();
   limits.connections = 1;
   HttpFixture fixture(&echoBody, limits);
-  std::vector<UnreadRequest> told;
-  fixture.server->setUnreadHandler([&](const UnreadRequest& unread) { told.push_back(unread); });
+  std::vector<RejectedRequest> reported;
+  fixture.server->setRejectedRequestHandler(
+      [&](const RejectedRequest& rejected) { reported.push_back(rejected); });
   {
     RawClient client(fixture, "POST /long HTTP/1.1\r\nRequest-Id: 7f\r\nContent-Length: 2049\r\n\r\n");
-    fixture.runUntil([&] { return client.ended; });
+    fixture.runUntil([&] { return client.closed; });
   }
-  REQUIRE(told.size() == 1);
-  CHECK(told[0].status == 413);
-  CHECK(told[0].head.target == "/long");
-  CHECK(told[0].head.header("Request-Id") == "7f");
+  REQUIRE(reported.size() == 1);
+  CHECK(reported[0].status == 413);
+  CHECK(reported[0].head.target == "/long");
+  CHECK(reported[0].head.header("Request-Id") == "7f");
   CHECK(fixture.run({"POST", "/", {}, "kept open"}).response.body == "kept open");
   RawClient surplus(fixture, "GET / HTTP/1.1\r\n\r\n");
-  fixture.runUntil([&] { return surplus.ended; });
-  REQUIRE(told.size() == 2);
-  CHECK(told[1].status == 503);
+  fixture.runUntil([&] { return surplus.closed; });
+  REQUIRE(reported.size() == 2);
+  CHECK(reported[1].status == 503);
 }
 
-TEST_CASE("a silent connection is closed after the idle time", "[http]") {
+TEST_CASE("a silent connection is closed after the idle timeout", "[http]") {
   ServerLimits limits;
   limits.idle_timeout = std::chrono::milliseconds(50);
   HttpFixture fixture(&echoBody, limits);
   RawClient client(fixture, "");
-  fixture.runUntil([&] { return client.ended; });
+  fixture.runUntil([&] { return client.closed; });
   CHECK(client.received.empty());
 }
 
-TEST_CASE("a client that stops reading is given up and its handler told", "[http]") {
+TEST_CASE("a client that stops reading is disconnected and its handler notified", "[http]") {
   ServerLimits limits;
   limits.idle_timeout = std::chrono::milliseconds(100);
-  bool gone = false;
-  std::shared_ptr<ResponseWriter> kept;
+  bool disconnected = false;
+  std::shared_ptr<ResponseWriter> retained_writer;
   HttpFixture fixture(
       [&](Request, std::shared_ptr<ResponseWriter> writer) {
-        kept = writer;
-        writer->onClientGone([&] { gone = true; });
+        retained_writer = writer;
+        writer->onClientGone([&] { disconnected = true; });
         writer->begin(200, {});
         for (int count = 0; count < 64; ++count) writer->write(std::string(1024 * 1024, 'x'));
         CHECK(writer->queuedBytes() > 32 * 1024 * 1024);
@@ -141,7 +142,7 @@
   asio::ip::tcp::socket socket(fixture.context);
   socket.connect({asio::ip::make_address("127.0.0.1"), fixture.server->port()});
   asio::write(socket, asio::buffer(std::string("GET / HTTP/1.1\r\n\r\n")));
-  fixture.runUntil([&] { return gone; });
+  fixture.runUntil([&] { return disconnected; });
   CHECK(fixture.server->openRequests() == 0);
 }
 
@@ -151,19 +152,20 @@
   HttpFixture fixture(&echoBody, limits);
   CHECK(fixture.run({"POST", "/", {}, "first"}).response.body == "first");
   RawClient client(fixture, "GET / HTTP/1.1\r\n\r\n");
-  fixture.runUntil([&] { return client.ended; });
+  fixture.runUntil([&] { return client.closed; });
   CHECK(client.received.substr(0, 13) == "HTTP/1.1 503 ");
   CHECK(client.received.find("Retry-After: 1") != std::string::npos);
   CHECK(fixture.run({"POST", "/", {}, "again"}).response.body == "again");
 }
 
-TEST_CASE("requests sent ahead are answered in order; 100-continue and HTTP/1.0 are served", "[http]") {
+TEST_CASE("pipelined requests get their responses in order; 100-continue and HTTP/1.0 are supported",
+          "[http]") {
   HttpFixture fixture(&echoBody);
   const std::string first = "POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\na";
   const std::string second = "POST / HTTP/1.1\r\nContent-Length: 1\r\nExpect: 100-continue\r\n\r\nb";
   const std::string last = "POST / HTTP/1.0\r\nContent-Length: 1\r\n\r\nc";
   RawClient client(fixture, first + second + last);
-  fixture.runUntil([&] { return client.ended; });
+  fixture.runUntil([&] { return client.closed; });
   const std::size_t a = client.received.find("\r\n\r\na");
   const std::size_t b = client.received.find("\r\n\r\nb");
   const std::size_t c = client.received.find("\r\n\r\nc");
@@ -172,7 +174,7 @@
   CHECK(c != std::string::npos);
 }
 
-TEST_CASE("a header value cannot forge a field, and a dropped writer answers 500", "[http]") {
+TEST_CASE("a header value cannot inject a field, and a dropped writer responds 500", "[http]") {
   HttpFixture fixture([](Request request, std::shared_ptr<ResponseWriter> writer) {
     if (request.path() == "/drop") return;
     writer->respond({200, {{"X-A", "1\r\nX-B: 2"}}, ""});
--- a/tests/unit/http/event_stream_parser_test.cc
+++ b/tests/unit/http/event_stream_parser_test.cc
@@ -5,7 +5,7 @@
 
 using namespace crankspur::http;
 
-TEST_CASE("events are the same at every split of the stream", "[http]") {
+TEST_CASE("parsed events do not depend on chunk boundaries", "[http]") {
   const std::string stream =
       ": note\n\ndata: one\n\nevent: x\ndata:two\r\ndata: more\r\n\r\nid: 1\n\ndata:\n\ndata: cut";
   const std::vector<std::string> expected = {"one", "two\nmore", ""};
@@ -22,7 +22,7 @@
   }
 }
 
-TEST_CASE("an event beyond the limit makes the stream unusable", "[http]") {
+TEST_CASE("an event that exceeds the limit is an error", "[http]") {
   const auto ignore = [](std::string_view) {};
   CHECK_FALSE(EventStreamParser(10).feed("data: 12345678901", ignore));
   CHECK_FALSE(EventStreamParser(10).feed("data: 123456\ndata: 123456\n", ignore));
--- a/tests/unit/http/http_test.cc
+++ b/tests/unit/http/http_test.cc
@@ -9,7 +9,7 @@
 using namespace crankspur;
 using namespace crankspur::http;
 
-TEST_CASE("a request with a body is answered and its connection is used again", "[http]") {
+TEST_CASE("a request with a body gets a response and its connection is reused", "[http]") {
   HttpFixture fixture([](Request request, std::shared_ptr<ResponseWriter> writer) {
     const std::string echo = request.method + " " + request.path() + " " + request.query("a") + request.body;
     writer->respond({201, {{"X-Seen", request.header("x-sent")}}, echo});
@@ -23,7 +23,7 @@
   }
 }
 
-TEST_CASE("chunks reach the client one by one, as they are written", "[http]") {
+TEST_CASE("the client receives chunks individually, as they are written", "[http]") {
   std::shared_ptr<ResponseWriter> stream;
   HttpFixture fixture([&](Request, std::shared_ptr<ResponseWriter> writer) {
     stream = writer;
@@ -46,12 +46,12 @@
   CHECK(fixture.server->openRequests() == 0);
 }
 
-TEST_CASE("a handler is told that its client has gone, and later writes are ignored", "[http]") {
+TEST_CASE("a handler is notified that its client disconnected, and later writes are ignored", "[http]") {
   std::shared_ptr<ResponseWriter> stream;
-  bool gone = false;
+  bool disconnected = false;
   HttpFixture fixture([&](Request, std::shared_ptr<ResponseWriter> writer) {
     stream = writer;
-    writer->onClientGone([&] { gone = true; });
+    writer->onClientGone([&] { disconnected = true; });
     writer->begin(200, {});
     writer->write("piece");
   });
@@ -61,14 +61,14 @@
   callbacks.on_data = [&](std::string_view) { exchange->cancel(); };
   callbacks.on_done = [&](std::error_code, SendState, Response) { done = true; };
   exchange = fixture.client->start(fixture.address(), {"GET", "/", {}, {}}, callbacks);
-  fixture.runUntil([&] { return gone; });
+  fixture.runUntil([&] { return disconnected; });
   CHECK_FALSE(done);
   stream->write("more");
   stream->end();
   CHECK(fixture.server->openRequests() == 0);
 }
 
-TEST_CASE("a stream that the server aborts is an error after the request was sent", "[http]") {
+TEST_CASE("a stream aborted by the server is an error after the request was sent", "[http]") {
   HttpFixture fixture([](Request, std::shared_ptr<ResponseWriter> writer) {
     writer->begin(200, {});
     writer->write("piece");
@@ -76,10 +76,10 @@
   });
   const Outcome outcome = fixture.run({"POST", "/", {}, "body"});
   CHECK(outcome.error);
-  CHECK(outcome.state == SendState::SentUnknown);
+  CHECK(outcome.state == SendState::SentOutcomeUnknown);
 }
 
-TEST_CASE("a refused connection says that nothing was sent", "[http]") {
+TEST_CASE("a refused connection reports that nothing was sent", "[http]") {
   HttpFixture fixture([](Request, std::shared_ptr<ResponseWriter>) {});
   const std::string address = fixture.address();
   fixture.server.reset();
--- a/tests/unit/http/silent_connections_test.cc
+++ b/tests/unit/http/silent_connections_test.cc
@@ -1,6 +1,6 @@
-/// @file Open connections went silent for good, all at once and without a reset, while new ones worked. The
-/// client kept several of them for later exchanges; each was tried in turn, and each cost a caller the whole
-/// time for an answer.
+/// @file Guards against repeated timeouts when all established connections fall silent permanently, without a
+/// reset, while new ones work: the client tried its idle connections one after another, and each cost a
+/// caller the full response timeout.
 
 #include <catch2/catch.hpp>
 
@@ -14,17 +14,18 @@
 
 namespace {
 
-/// A client with kept connections through a proxy to a server that answers at once.
-struct KeptConnections : HttpFixture {
-  explicit KeptConnections(std::size_t kept)
+/// Client with idle connections through a proxy to a server that responds immediately.
+struct IdleConnectionsFixture : HttpFixture {
+  explicit IdleConnectionsFixture(std::size_t connection_count)
       : HttpFixture([](const Request&, const std::shared_ptr<ResponseWriter>& writer) {
           writer->respond({200, {}, "answer"});
         }) {
     REQUIRE_FALSE(proxy.addRoute({"server", "127.0.0.1:0", address()}));
-    // Exchanges at the same time, each on a connection of its own.
+    // Concurrent exchanges, each on its own connection.
     std::size_t done = 0;
-    for (std::size_t index = 0; index < kept; ++index) start([&done](std::error_code) { ++done; });
-    runUntil([&] { return done == kept; });
+    for (std::size_t index = 0; index < connection_count; ++index)
+      start([&done](std::error_code) { ++done; });
+    runUntil([&] { return done == connection_count; });
   }
 
   void start(std::function<void(std::error_code)> done) { start(std::move(done), proxy.ports().front()); }
@@ -46,8 +47,8 @@
     return *outcome;
   }
 
-  /// Exchanges with one server of several behind the proxy.
-  std::error_code exchangeWith(std::size_t route) {
+  /// Runs an exchange with one of several servers behind the proxy.
+  std::error_code runExchangeOnRoute(std::size_t route) {
     const std::uint16_t port = proxy.ports().at(route);
     std::optional<std::error_code> outcome;
     start([&outcome](std::error_code error) { outcome = error; }, port);
@@ -66,51 +67,49 @@
 
 }  // namespace
 
-TEST_CASE("one exchange pays for kept connections that went silent, not one for each",
-          "[http][silent_connections]") {
-  KeptConnections kept(5);
-  kept.silenceOpenConnections();
-  CHECK(kept.exchange());
-  CHECK_FALSE(kept.exchange());
-  CHECK_FALSE(kept.exchange());
+TEST_CASE("idle connections that fell silent fail one exchange, not one each", "[http][silent_connections]") {
+  IdleConnectionsFixture fixture(5);
+  fixture.silenceOpenConnections();
+  CHECK(fixture.exchange());
+  CHECK_FALSE(fixture.exchange());
+  CHECK_FALSE(fixture.exchange());
 }
 
-TEST_CASE("after two servers gave no answer the connections to a third one are not tried either",
+TEST_CASE("after timeouts at two servers the idle connections to a third are not used",
           "[http][silent_connections]") {
-  KeptConnections kept(1);
+  IdleConnectionsFixture fixture(1);
   for (std::size_t route = 1; route < 3; ++route) {
-    REQUIRE_FALSE(kept.proxy.addRoute({"more", "127.0.0.1:0", kept.address()}));
-    REQUIRE_FALSE(kept.exchangeWith(route));
+    REQUIRE_FALSE(fixture.proxy.addRoute({"more", "127.0.0.1:0", fixture.address()}));
+    REQUIRE_FALSE(fixture.runExchangeOnRoute(route));
   }
-  int silences = 0;
-  kept.client->setSilenceHandler([&silences] { ++silences; });
-  kept.silenceOpenConnections();
-  CHECK(kept.exchangeWith(0));
-  CHECK(silences == 0);
-  CHECK(kept.exchangeWith(1));
-  CHECK(silences == 1);
-  CHECK_FALSE(kept.exchangeWith(2));
+  int silence_reports = 0;
+  fixture.client->setSilentConnectionsHandler([&silence_reports] { ++silence_reports; });
+  fixture.silenceOpenConnections();
+  CHECK(fixture.runExchangeOnRoute(0));
+  CHECK(silence_reports == 0);
+  CHECK(fixture.runExchangeOnRoute(1));
+  CHECK(silence_reports == 1);
+  CHECK_FALSE(fixture.runExchangeOnRoute(2));
 }
 
-TEST_CASE("an exchange that is given up for silence counts as one without an answer",
-          "[http][silent_connections]") {
-  KeptConnections kept(4);
-  kept.silenceOpenConnections();
-  const auto exchange = kept.client->start("127.0.0.1:" + std::to_string(kept.proxy.ports().front()),
-                                           {"POST", "/", {}, "x"}, {}, {});
-  kept.context.run_for(50ms);
-  exchange->cancelUnanswered();
-  CHECK_FALSE(kept.exchange());
+TEST_CASE("an exchange cancelled for silence counts as a response timeout", "[http][silent_connections]") {
+  IdleConnectionsFixture fixture(4);
+  fixture.silenceOpenConnections();
+  const auto exchange = fixture.client->start("127.0.0.1:" + std::to_string(fixture.proxy.ports().front()),
+                                              {"POST", "/", {}, "x"}, {}, {});
+  fixture.context.run_for(50ms);
+  exchange->cancelTimedOut();
+  CHECK_FALSE(fixture.exchange());
 }
 
-TEST_CASE("a connection that is reset long after the request is the caller's to judge",
+TEST_CASE("a connection reset long after the request is reported to the caller",
           "[http][silent_connections]") {
-  // The server holds the second request.
-  std::vector<std::shared_ptr<ResponseWriter>> held;
+  // The server holds the second request open.
+  std::vector<std::shared_ptr<ResponseWriter>> held_writers;
   int requests = 0;
   HttpFixture fixture([&](const Request&, const std::shared_ptr<ResponseWriter>& writer) {
     if (++requests == 1) return writer->respond({200, {}, "answer"});
-    held.push_back(writer);
+    held_writers.push_back(writer);
   });
   REQUIRE_FALSE(fixture.run({"GET", "/", {}, ""}).error);
   std::optional<std::error_code> outcome;
@@ -118,8 +117,8 @@
   callbacks.on_done = [&outcome](std::error_code error, SendState, const Response&) { outcome = error; };
   fixture.client->start(fixture.address(), {"GET", "/", {}, ""}, callbacks, {});
   fixture.context.run_for(600ms);
-  REQUIRE(held.size() == 1);
-  held.front()->abort();
+  REQUIRE(held_writers.size() == 1);
+  held_writers.front()->abort();
   fixture.runUntil([&] { return outcome.has_value(); });
   CHECK(*outcome);
   CHECK(requests == 2);
--- a/tests/unit/sidecar/caller_request_test.cc
+++ b/tests/unit/sidecar/caller_request_test.cc
@@ -14,17 +14,17 @@
   std::vector<std::string> routers{"r1", "r2", "r3"};
 };
 
-/// Drives one request and sorts its actions.
+/// Drives one request and records its actions by type.
 class Driver {
 public:
   explicit Driver(SubmitRequest request, std::vector<std::string> routers = {"r1", "r2", "r3"}) {
     selector.routers = std::move(routers);
-    caller = makeCallerRequest(std::move(request), selector, 3, 7, now);
+    caller_request = makeCallerRequest(std::move(request), selector, 3, 7, now);
     collect();
   }
 
   void collect() {
-    for (CallerAction& action : caller->takeActions()) {
+    for (CallerAction& action : caller_request->takeActions()) {
       if (auto* submit = std::get_if<SubmitToRouter>(&action)) submits.push_back(*submit);
       if (auto* cancel = std::get_if<CancelAtRouter>(&action)) cancels.push_back(*cancel);
       if (auto* text = std::get_if<DeliverText>(&action)) delivered += text->text;
@@ -33,41 +33,41 @@
     }
   }
   void accepted(std::uint32_t attempt, const std::string& weights = "w1") {
-    caller->onAccepted({"q", attempt, "engine-1", 42, weights, 10, 5}, now);
+    caller_request->onAccepted({"q", attempt, "engine-1", 42, weights, 10, 5}, now);
     collect();
   }
   void piece(std::uint32_t attempt, std::uint64_t offset, const std::string& text,
              const std::string& id = "q") {
-    caller->onPiece({id, attempt, offset, static_cast<std::uint32_t>(text.size()), text}, now);
+    caller_request->onPiece({id, attempt, offset, static_cast<std::uint32_t>(text.size()), text}, now);
     collect();
   }
-  void end(std::uint32_t attempt, const std::string& whole) {
+  void end(std::uint32_t attempt, const std::string& text) {
     StreamEnd message;
     message.request_id = "q";
     message.attempt = attempt;
-    message.token_count = whole.size();
-    message.checksum = hashBytes(whole);
-    caller->onEnd(message, now);
+    message.token_count = text.size();
+    message.checksum = hashBytes(text);
+    caller_request->onEnd(message, now);
     collect();
   }
   void refuse(std::uint32_t attempt, ErrorCode code, RunState state) {
-    caller->onRefusal({"q", attempt, code, state, Duration(0), ""}, now);
+    caller_request->onRefusal({"q", attempt, code, state, Duration(0), ""}, now);
     collect();
   }
-  void lose(const std::string& router, bool submitted = true) {
-    caller->onRouterLost(router, submitted, now);
+  void loseRouter(const std::string& router, bool submitted = true) {
+    caller_request->onRouterLost(router, submitted, now);
     collect();
   }
-  void toNextTimer() {
-    now = *caller->nextTimer();
-    caller->onTimer(now);
+  void fireNextTimer() {
+    now = *caller_request->nextTimer();
+    caller_request->onTimer(now);
     collect();
   }
-  std::size_t answers() const { return errors.size() + static_cast<std::size_t>(ends); }
+  std::size_t finalResponses() const { return errors.size() + static_cast<std::size_t>(ends); }
 
   TimePoint now{std::chrono::seconds(100)};
   FixedSelector selector;
-  std::unique_ptr<CallerRequest> caller;
+  std::unique_ptr<CallerRequest> caller_request;
   std::vector<SubmitToRouter> submits;
   std::vector<CancelAtRouter> cancels;
   std::vector<Refusal> errors;
@@ -96,7 +96,7 @@
 
 }  // namespace
 
-TEST_CASE("duplicate, crossed, reordered and late pieces never disturb the answer", "[sidecar]") {
+TEST_CASE("duplicate, misdirected, reordered and late pieces do not corrupt the response", "[sidecar]") {
   Driver driver(completion());
   driver.accepted(1);
   driver.piece(1, 0, "ab");
@@ -112,10 +112,10 @@
   driver.end(1, "abcdef");
   driver.piece(1, 6, "gh");
   CHECK(driver.delivered == "abcdef");
-  CHECK(driver.answers() == 1);
+  CHECK(driver.finalResponses() == 1);
 }
 
-TEST_CASE("an answer whose checksum disagrees ends in an explicit error", "[sidecar]") {
+TEST_CASE("a response with a checksum mismatch ends with an explicit error", "[sidecar]") {
   Driver driver(completion());
   driver.accepted(1);
   driver.piece(1, 0, "abc");
@@ -125,7 +125,7 @@
   CHECK(driver.ends == 0);
 }
 
-TEST_CASE("an end with a part missing resumes at the hole on another router", "[sidecar]") {
+TEST_CASE("an incomplete response is resumed at the gap on another router", "[sidecar]") {
   Driver driver(completion());
   driver.accepted(1);
   driver.piece(1, 0, "ab");
@@ -142,12 +142,12 @@
   CHECK(driver.ends == 1);
 }
 
-TEST_CASE("a lost router is replaced and the stream goes on where it stopped", "[sidecar]") {
+TEST_CASE("after the loss of a router the stream resumes at another where it stopped", "[sidecar]") {
   Driver driver(completion());
   driver.accepted(1);
   driver.piece(1, 0, "ab");
   driver.now += std::chrono::seconds(10);
-  driver.lose("r1");
+  driver.loseRouter("r1");
   REQUIRE(driver.submits.size() == 2);
   const SubmitRequest& second = driver.submits[1].request;
   CHECK(second.attempt == 2);
@@ -166,11 +166,11 @@
   CHECK(driver.ends == 1);
 }
 
-TEST_CASE("a continuation under other weights is never mixed in", "[sidecar]") {
+TEST_CASE("a continuation under other weights is rejected", "[sidecar]") {
   Driver driver(completion());
   driver.accepted(1);
   driver.piece(1, 0, "ab");
-  driver.lose("r1");
+  driver.loseRouter("r1");
   driver.accepted(2, "w2");
   driver.piece(2, 2, "cd");
   CHECK(driver.delivered == "ab");
@@ -179,13 +179,13 @@
   CHECK(driver.errors[0].run_state == RunState::Ran);
 }
 
-TEST_CASE("routers that are not ready are passed over at once, then asked again", "[sidecar]") {
+TEST_CASE("routers that are not ready are skipped immediately and retried later", "[sidecar]") {
   Driver driver(completion());
   driver.refuse(1, ErrorCode::NotReady, RunState::NotRun);
   driver.refuse(2, ErrorCode::StaleBundle, RunState::NotRun);
   driver.refuse(3, ErrorCode::Stopping, RunState::NotRun);
   CHECK(driver.submits.size() == 3);
-  driver.toNextTimer();
+  driver.fireNextTimer();
   REQUIRE(driver.submits.size() == 4);
   CHECK(driver.submits[3].router == "r1");
   driver.accepted(4);
@@ -194,10 +194,11 @@
   CHECK(driver.ends == 1);
 }
 
-TEST_CASE("without any router the refusal is true, prompt and says when to come back", "[sidecar]") {
+TEST_CASE("without any router the request is refused promptly, as not run and with a retry delay",
+          "[sidecar]") {
   Driver driver(completion(), {});
   const TimePoint start = driver.now;
-  while (!driver.caller->finished()) driver.toNextTimer();
+  while (!driver.caller_request->finished()) driver.fireNextTimer();
   REQUIRE(driver.errors.size() == 1);
   CHECK(driver.errors[0].code == ErrorCode::RouterUnavailable);
   CHECK(driver.errors[0].run_state == RunState::NotRun);
@@ -205,7 +206,7 @@
   CHECK(driver.now - start < std::chrono::seconds(5));
 }
 
-TEST_CASE("attempts are bounded and run states merge truthfully", "[sidecar]") {
+TEST_CASE("attempts are bounded and run states are merged correctly", "[sidecar]") {
   Driver driver(completion());
   driver.refuse(1, ErrorCode::EngineLost, RunState::Unknown);
   driver.refuse(2, ErrorCode::EngineUnavailable, RunState::NotRun);
@@ -215,10 +216,10 @@
   CHECK(driver.errors[0].run_state == RunState::Unknown);
 }
 
-TEST_CASE("an overload is told at once with its advice", "[sidecar]") {
+TEST_CASE("an overload is reported immediately with its retry delay", "[sidecar]") {
   Driver driver(completion());
-  driver.caller->onRefusal({"q", 1, ErrorCode::Overloaded, RunState::NotRun, Duration(250'000), ""},
-                           driver.now);
+  driver.caller_request->onRefusal({"q", 1, ErrorCode::Overloaded, RunState::NotRun, Duration(250'000), ""},
+                                   driver.now);
   driver.collect();
   REQUIRE(driver.errors.size() == 1);
   CHECK(driver.errors[0].retry_after == Duration(250'000));
@@ -226,36 +227,36 @@
   CHECK(driver.submits.size() == 1);
 }
 
-TEST_CASE("an order is resubmitted after a lost router only under its key", "[sidecar]") {
+TEST_CASE("an order is resubmitted after the loss of a router only with an idempotency key", "[sidecar]") {
   SECTION("without a key the outcome is unknown") {
     Driver driver(order(""));
-    driver.lose("r1");
+    driver.loseRouter("r1");
     REQUIRE(driver.errors.size() == 1);
     CHECK(driver.errors[0].run_state == RunState::Unknown);
     CHECK(driver.submits.size() == 1);
   }
-  SECTION("a submit that never left may go elsewhere") {
+  SECTION("a submit that was not sent may go to another router") {
     Driver driver(order(""));
-    driver.lose("r1", false);
+    driver.loseRouter("r1", false);
     CHECK(driver.submits.size() == 2);
     CHECK(driver.errors.empty());
   }
   SECTION("with a key the recorded result is awaited") {
     Driver driver(order("k1"));
-    driver.lose("r1");
+    driver.loseRouter("r1");
     REQUIRE(driver.submits.size() == 2);
     CHECK(driver.submits[1].request.idempotency_key == "k1");
     driver.refuse(2, ErrorCode::DuplicateRequest, RunState::Unknown);
     CHECK(driver.errors.empty());
-    driver.toNextTimer();
+    driver.fireNextTimer();
     REQUIRE(driver.submits.size() == 3);
     driver.piece(3, 0, "order 7");
     driver.end(3, "order 7");
     CHECK(driver.ends == 1);
   }
-  SECTION("a claim that cannot be had after a lost attempt stays unknown") {
+  SECTION("the outcome stays unknown if the claim is unavailable after a lost attempt") {
     Driver driver(order("k1"));
-    driver.lose("r1");
+    driver.loseRouter("r1");
     driver.refuse(2, ErrorCode::ClaimUnavailable, RunState::NotRun);
     REQUIRE(driver.errors.size() == 1);
     CHECK(driver.errors[0].run_state == RunState::Unknown);
@@ -268,28 +269,28 @@
   }
 }
 
-TEST_CASE("the deadline ends the request once, with a cancel", "[sidecar]") {
+TEST_CASE("the deadline ends the request exactly once and cancels its attempt", "[sidecar]") {
   Driver driver(completion());
   driver.accepted(1);
-  driver.toNextTimer();
+  driver.fireNextTimer();
   REQUIRE(driver.errors.size() == 1);
   CHECK(driver.errors[0].code == ErrorCode::DeadlineExceeded);
   CHECK(driver.errors[0].run_state == RunState::Unknown);
   CHECK(driver.cancels.size() == 1);
-  driver.lose("r1");
+  driver.loseRouter("r1");
   driver.end(1, "");
-  CHECK(driver.answers() == 1);
+  CHECK(driver.finalResponses() == 1);
 }
 
-TEST_CASE("a caller that went away cancels a completion but not an order", "[sidecar]") {
-  Driver reading(completion());
-  reading.caller->onCallerGone(reading.now);
-  reading.collect();
-  CHECK(reading.cancels.size() == 1);
-  CHECK(reading.answers() == 0);
-  Driver ordering(order("k"));
-  ordering.caller->onCallerGone(ordering.now);
-  ordering.collect();
-  CHECK(ordering.cancels.empty());
-  CHECK(ordering.caller->finished());
+TEST_CASE("a disconnect of the caller cancels a completion but not an order", "[sidecar]") {
+  Driver completion_driver(completion());
+  completion_driver.caller_request->onCallerDisconnected(completion_driver.now);
+  completion_driver.collect();
+  CHECK(completion_driver.cancels.size() == 1);
+  CHECK(completion_driver.finalResponses() == 0);
+  Driver order_driver(order("k"));
+  order_driver.caller_request->onCallerDisconnected(order_driver.now);
+  order_driver.collect();
+  CHECK(order_driver.cancels.empty());
+  CHECK(order_driver.caller_request->finished());
 }
--- a/tests/unit/sidecar/router_directory_test.cc
+++ b/tests/unit/sidecar/router_directory_test.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <catch2/catch.hpp>
 
-#include "sidecar/bundle_exchange.h"
+#include "sidecar/bundle_puller.h"
 
 using namespace crankspur;
 
@@ -31,85 +31,85 @@
 
 }  // namespace
 
-TEST_CASE("seeds are tried until they answer, with a growing wait", "[sidecar]") {
+TEST_CASE("seeds are retried until they respond, with increasing backoff", "[sidecar]") {
   RouterDirectory directory("s", "annex", "creek", 1);
   directory.addSeed("a:1");
-  CHECK(contains(directory.wanted(kStart), "a:1"));
+  CHECK(contains(directory.targetAddresses(kStart), "a:1"));
   directory.onClosed("a:1", kStart);
-  CHECK_FALSE(contains(directory.wanted(kStart), "a:1"));
+  CHECK_FALSE(contains(directory.targetAddresses(kStart), "a:1"));
   TimePoint now = kStart + std::chrono::seconds(1);
-  CHECK(contains(directory.wanted(now), "a:1"));
+  CHECK(contains(directory.targetAddresses(now), "a:1"));
   for (int failure = 0; failure < 20; ++failure) directory.onClosed("a:1", now);
-  CHECK_FALSE(contains(directory.wanted(now + std::chrono::seconds(1)), "a:1"));
-  CHECK(contains(directory.wanted(now + std::chrono::seconds(5)), "a:1"));
+  CHECK_FALSE(contains(directory.targetAddresses(now + std::chrono::seconds(1)), "a:1"));
+  CHECK(contains(directory.targetAddresses(now + std::chrono::seconds(5)), "a:1"));
 }
 
-TEST_CASE("a leaving router gets no new work and a restarted one does at once", "[sidecar]") {
+TEST_CASE("a leaving router gets no new requests; a restarted router gets them immediately", "[sidecar]") {
   RouterDirectory directory("s", "annex", "creek", 1);
   directory.addSeed("a:1");
   REQUIRE(directory.onHello("a:1", hello("r1", "annex", 5)));
-  REQUIRE(directory.usable().size() == 1);
-  directory.learn(record("r1", "a:1", "annex", 5, MemberState::Leaving));
-  CHECK(directory.usable().empty());
-  directory.learn(record("r1", "a:1", "annex", 5));
-  CHECK(directory.usable().empty());
+  REQUIRE(directory.usableRouters().size() == 1);
+  directory.applyRecord(record("r1", "a:1", "annex", 5, MemberState::Leaving));
+  CHECK(directory.usableRouters().empty());
+  directory.applyRecord(record("r1", "a:1", "annex", 5));
+  CHECK(directory.usableRouters().empty());
   directory.onClosed("a:1", kStart);
   REQUIRE(directory.onHello("a:1", hello("r1", "annex", 6)));
-  CHECK(directory.usable().size() == 1);
+  CHECK(directory.usableRouters().size() == 1);
 }
 
-TEST_CASE("one router reached by two addresses is connected once", "[sidecar]") {
+TEST_CASE("a router reachable at two addresses is connected once", "[sidecar]") {
   RouterDirectory directory("s", "annex", "creek", 1);
   directory.addSeed("a:1");
   directory.addSeed("b:1");
   REQUIRE(directory.onHello("a:1", hello("r1", "annex", 5)));
   CHECK_FALSE(directory.onHello("b:1", hello("r1", "annex", 5)));
   directory.onClosed("b:1", kStart);
-  CHECK_FALSE(contains(directory.wanted(kStart + std::chrono::hours(1)), "b:1"));
+  CHECK_FALSE(contains(directory.targetAddresses(kStart + std::chrono::hours(1)), "b:1"));
   directory.onClosed("a:1", kStart);
-  CHECK(contains(directory.wanted(kStart + std::chrono::hours(1)), "b:1"));
+  CHECK(contains(directory.targetAddresses(kStart + std::chrono::hours(1)), "b:1"));
 }
 
-TEST_CASE("a router replaced at another address is followed there", "[sidecar]") {
+TEST_CASE("a router replaced at another address is contacted there", "[sidecar]") {
   RouterDirectory directory("s", "annex", "creek", 1);
-  directory.learn(record("r1", "a:1", "annex", 5));
-  directory.learn(record("r1", "c:1", "annex", 6));
-  CHECK(directory.wanted(kStart) == std::vector<std::string>{"c:1"});
-  directory.learn(record("r2", "d:1", "annex", 1, MemberState::Dead));
+  directory.applyRecord(record("r1", "a:1", "annex", 5));
+  directory.applyRecord(record("r1", "c:1", "annex", 6));
+  CHECK(directory.targetAddresses(kStart) == std::vector<std::string>{"c:1"});
+  directory.applyRecord(record("r2", "d:1", "annex", 1, MemberState::Dead));
   CHECK(directory.size() == 1);
 }
 
-TEST_CASE("connections are bounded: many in the own zone, few elsewhere", "[sidecar]") {
+TEST_CASE("connections are limited: many in the own zone, few elsewhere", "[sidecar]") {
   RouterDirectory directory("s", "annex", "creek", 1);
   for (int number = 0; number < 100; ++number) {
     const std::string text = std::to_string(number);
-    directory.learn(record("a" + text, "a:" + text, "annex", 1));
-    directory.learn(record("p" + text, "p:" + text, "pump", 1));
+    directory.applyRecord(record("a" + text, "a:" + text, "annex", 1));
+    directory.applyRecord(record("p" + text, "p:" + text, "pump", 1));
     MemberRecord far = record("f" + text, "f:" + text, "dam", 1);
     far.region = "river";
-    directory.learn(far);
+    directory.applyRecord(far);
   }
-  const std::vector<std::string> wanted = directory.wanted(kStart);
-  CHECK(wanted.size() == 32 + 4 + 2);
-  CHECK(std::count_if(wanted.begin(), wanted.end(), [](const auto& name) { return name[0] == 'a'; }) == 32);
-  // Connected ones count, so that the bound holds from then on.
-  for (const std::string& address : wanted) {
+  const std::vector<std::string> targets = directory.targetAddresses(kStart);
+  CHECK(targets.size() == 32 + 4 + 2);
+  CHECK(std::count_if(targets.begin(), targets.end(), [](const auto& name) { return name[0] == 'a'; }) == 32);
+  // Connected routers count towards the limits.
+  for (const std::string& address : targets) {
     Hello message = hello(std::string(1, address[0]) + address.substr(2), "annex", 1);
     message.zone = address[0] == 'a' ? "annex" : address[0] == 'p' ? "pump" : "dam";
     if (address[0] == 'f') message.region = "river";
     REQUIRE(directory.onHello(address, message));
   }
-  CHECK(directory.wanted(kStart).size() == 38);
+  CHECK(directory.targetAddresses(kStart).size() == 38);
 }
 
-TEST_CASE("a bundle is pulled once at a time, from who holds a newer one", "[sidecar]") {
-  BundleExchange bundles;
-  CHECK_FALSE(bundles.onVersion("r1", 4, 4, kStart));
-  CHECK(bundles.onVersion("r1", 5, 4, kStart));
-  CHECK_FALSE(bundles.onVersion("r2", 5, 4, kStart));
-  bundles.onRouterLost("r1");
-  CHECK(bundles.onVersion("r2", 5, 4, kStart));
-  CHECK(bundles.onVersion("r3", 6, 4, kStart + BundleExchange::kPullTimeout));
-  bundles.onBody();
-  CHECK(bundles.onVersion("r1", 6, 5, kStart + BundleExchange::kPullTimeout));
+TEST_CASE("one bundle pull runs at a time, from a router that holds a newer bundle", "[sidecar]") {
+  BundlePuller puller;
+  CHECK_FALSE(puller.onVersion("r1", 4, 4, kStart));
+  CHECK(puller.onVersion("r1", 5, 4, kStart));
+  CHECK_FALSE(puller.onVersion("r2", 5, 4, kStart));
+  puller.onRouterLost("r1");
+  CHECK(puller.onVersion("r2", 5, 4, kStart));
+  CHECK(puller.onVersion("r3", 6, 4, kStart + BundlePuller::kPullTimeout));
+  puller.onBody();
+  CHECK(puller.onVersion("r1", 6, 5, kStart + BundlePuller::kPullTimeout));
 }
--- a/tests/unit/sidecar/router_selector_test.cc
+++ b/tests/unit/sidecar/router_selector_test.cc
@@ -40,7 +40,7 @@
   CHECK(ranked[5] == "far");
 }
 
-TEST_CASE("completions of one model meet one router of the region, whatever zone they come from",
+TEST_CASE("completions of one model go to one router of the region, regardless of the zone of the sidecar",
           "[sidecar]") {
   RendezvousRouterSelector annex("annex", "creek");
   RendezvousRouterSelector pump("pump", "creek");
@@ -54,7 +54,7 @@
   }
 }
 
-TEST_CASE("losing a router moves only its models, all to the next in the order", "[sidecar]") {
+TEST_CASE("removing a router moves only its models, each to the next router in its ranking", "[sidecar]") {
   RendezvousRouterSelector selector("annex", "creek");
   selector.setRouters(sixRouters());
   std::vector<std::vector<std::string>> before;
@@ -70,14 +70,14 @@
   }
 }
 
-TEST_CASE("a hot model spreads: no router exceeds its bound", "[sidecar]") {
+TEST_CASE("a hot model is spread over routers: none exceeds its bound", "[sidecar]") {
   RendezvousRouterSelector selector("annex", "creek");
   selector.setRouters(sixRouters());
-  for (std::uint32_t number = 0; number < kUnboundedInFlight; ++number) {
-    selector.noteStarted(selector.rank(request("hot"))[0]);
+  for (std::uint32_t number = 0; number < kMinInFlightBound; ++number) {
+    selector.recordStarted(selector.rank(request("hot"))[0]);
   }
   CHECK(selector.inFlight(selector.rank(request("hot"))[0]) == 0);
-  for (int number = 0; number < 400; ++number) selector.noteStarted(selector.rank(request("hot"))[0]);
+  for (int number = 0; number < 400; ++number) selector.recordStarted(selector.rank(request("hot"))[0]);
   std::uint32_t total = 0;
   for (const char* name : {"a1", "a2", "a3", "p1", "p2"}) {
     INFO(name);
@@ -86,14 +86,14 @@
   }
   CHECK(total == 464);
   CHECK(selector.inFlight("far") == 0);
-  for (int number = 0; number < 500; ++number) selector.noteFinished("a1");
+  for (int number = 0; number < 500; ++number) selector.recordFinished("a1");
   CHECK(selector.inFlight("a1") == 0);
 }
 
-TEST_CASE("operations of one zone spread evenly", "[sidecar]") {
+TEST_CASE("operations of one zone are spread evenly", "[sidecar]") {
   RendezvousRouterSelector selector("annex", "creek");
   selector.setRouters(sixRouters());
-  for (int number = 0; number < 90; ++number) selector.noteStarted(selector.rank(operation("hot"))[0]);
+  for (int number = 0; number < 90; ++number) selector.recordStarted(selector.rank(operation("hot"))[0]);
   for (const char* name : {"a1", "a2", "a3"}) {
     INFO(name);
     CHECK(selector.inFlight(name) >= 1);
