--- a/src/gateway_process/traffic_loop.cc
+++ b/src/gateway_process/traffic_loop.cc
@@ -88,7 +88,7 @@
       load_digest_timer_(executor_),
       crash_timer_(executor_),
       meter_timer_(executor_) {
-  http_->setSilenceHandler([this] {
+  http_->setSilentConnectionsHandler([this] {
     gateway_.onConnectionsSilent(now());
     executeActions();
   });
@@ -103,7 +103,8 @@
   };
   server_ = http::listen(executor_, settings_.listen_address, handler, error, limits);
   if (server_)
-    server_->setUnreadHandler([this](const http::UnreadRequest& unread) { onUnreadableRequest(unread); });
+    server_->setRejectedRequestHandler(
+        [this](const http::RejectedRequest& unread) { onUnreadableRequest(unread); });
   return error;
 }
 
@@ -143,7 +144,7 @@
 }
 
 void TrafficLoop::onConnectionsSilent() {
-  http_->leaveKept("");
+  http_->closeStaleConnections("");
   gateway_.onTimer(now());  // Timers fire late after the machine was suspended.
   gateway_.onConnectionsSilent(now());
   executeActions();
@@ -200,7 +201,7 @@
 }
 
 void TrafficLoop::drain() {
-  server_->closeAfterAnswers();
+  server_->disableKeepAlive();
   countInFlight();
   pollDrain();
 }
@@ -243,7 +244,7 @@
   executeActions();
 }
 
-void TrafficLoop::onUnreadableRequest(const http::UnreadRequest& unread) {
+void TrafficLoop::onUnreadableRequest(const http::RejectedRequest& unread) {
   const std::optional<ClientRequest> client = dialect_->readRequest(unread.head);
   gateway_.onUnreadableRequest(client ? client->request_id : std::string(), unread.status, now());
 }
@@ -322,7 +323,7 @@
   const auto exchange = found->second.exchange;
   exchanges_.erase(found);
   if (action.unanswered) {
-    exchange->cancelUnanswered();
+    exchange->cancelTimedOut();
   } else {
     exchange->cancel();
   }
@@ -421,7 +422,7 @@
 
 http::ExchangeCallbacks TrafficLoop::exchangeCallbacks(ExchangeId exchange, const std::string& request_id) {
   http::ExchangeCallbacks callbacks;
-  callbacks.is_own = [dialect = dialect_, request_id](int status, const http::Headers& headers) {
+  callbacks.matches_request = [dialect = dialect_, request_id](int status, const http::Headers& headers) {
     return !dialect->readResponse({status, headers, {}}, request_id).other_request;
   };
   callbacks.on_headers = [this, exchange, request_id](int status, const http::Headers& headers) {
@@ -461,7 +462,7 @@
   if (!exchanges_.contains(exchange)) return;
   if (error) {
     exchanges_.erase(exchange);
-    gateway_.onLost(exchange, state == http::SendState::SentUnknown, now());
+    gateway_.onLost(exchange, state == http::SendState::SentOutcomeUnknown, now());
   } else {
     gateway_.onEnd(exchange, now());
   }
--- a/src/gateway_process/traffic_loop.h
+++ b/src/gateway_process/traffic_loop.h
@@ -65,7 +65,7 @@
   void countInFlight();
   void pollDrain();
 
-  void onUnreadableRequest(const http::UnreadRequest& unread);
+  void onUnreadableRequest(const http::RejectedRequest& unread);
   void scheduleLoadDigest();
   void scheduleCrashUpdate();
   void sendLoadDigest();
