--- a/apps/crankspur_router/main.cc
+++ b/apps/crankspur_router/main.cc
@@ -22,7 +22,7 @@
 }
 
 void applyFlags(RouterSettings& settings) {
-  overrideWith(settings.peers, absl::GetFlag(FLAGS_peers));
+  overrideIfSet(settings.peers, absl::GetFlag(FLAGS_peers));
   overrideInterval(settings.machine_list_interval, absl::GetFlag(FLAGS_machine_list_interval_ms));
   overrideInterval(settings.bundle_row_interval, absl::GetFlag(FLAGS_bundle_row_interval_ms));
   const int threads = absl::GetFlag(FLAGS_traffic_threads);
--- a/apps/crankspur_sidecar/main.cc
+++ b/apps/crankspur_sidecar/main.cc
@@ -15,7 +15,7 @@
 using namespace crankspur;
 
 void applyFlags(SidecarSettings& settings) {
-  overrideWith(settings.routers, absl::GetFlag(FLAGS_routers));
+  overrideIfSet(settings.routers, absl::GetFlag(FLAGS_routers));
 }
 
 }  // namespace
--- a/apps/standin_engine/main.cc
+++ b/apps/standin_engine/main.cc
@@ -82,7 +82,7 @@
   options.models = parseServedModels(absl::GetFlag(FLAGS_models), problem);
   options.publish_blocks = !absl::GetFlag(FLAGS_kv_store).empty();
   const std::optional<ServingRole> role = parseRole(absl::GetFlag(FLAGS_role));
-  if (!role) problem.note("role", "must be mixed, prefill or decode");
+  if (!role) problem.record("role", "must be mixed, prefill or decode");
   options.role = role.value_or(ServingRole::Mixed);
   return options;
 }
--- a/apps/standin_platform/main.cc
+++ b/apps/standin_platform/main.cc
@@ -73,7 +73,7 @@
   }
   std::vector<SettingsProblem> problems;
   std::vector<Machine> machines = parseMachineFile(*text, path, problems);
-  logProblems(problems, log);
+  logSettingsProblems(problems, log);
   if (!problems.empty()) {
     return std::nullopt;
   }
--- a/src/app_runner/app_runner_client.cc
+++ b/src/app_runner/app_runner_client.cc
@@ -13,7 +13,7 @@
 
 constexpr int kOk = 200;
 
-/// Delivers the outcome of one call unless the caller closed it.
+/// Delivers the result of one call unless the caller has closed it.
 class CallState : public std::enable_shared_from_this<CallState> {
 public:
   explicit CallState(std::function<void(const BackendEvent&)> handler) : handler_(std::move(handler)) {}
@@ -27,22 +27,22 @@
   void setExchange(std::shared_ptr<http::Exchange> exchange) { exchange_ = std::move(exchange); }
 
   void onDone(std::error_code error, http::SendState state, const http::Response& response) {
-    const std::shared_ptr<CallState> kept = shared_from_this();  // The handler may let the call go.
+    const std::shared_ptr<CallState> self = shared_from_this();  // The handler may destroy the call.
     exchange_.reset();
     if (error) return deliver(BackendLost{state == http::SendState::SentUnknown});
-    if (response.status != kOk) return deliver(failureOf(response));
+    if (response.status != kOk) return deliver(toFailureEvent(response));
     std::string result;
-    if (decodeExecution(response.body, result)) return deliver(BackendLost{true});
+    if (decodeExecuteResponse(response.body, result)) return deliver(BackendLost{true});
     deliverResult(std::move(result));
   }
 
 private:
-  static BackendEvent failureOf(const http::Response& response) {
-    const EngineErrorAnswer answer = decodeError(response.body);
-    if (answer.ran != RunState::NotRun) return BackendLost{true};
+  static BackendEvent toFailureEvent(const http::Response& response) {
+    const EngineErrorResponse error = decodeError(response.body);
+    if (error.ran != RunState::NotRun) return BackendLost{true};
     const auto retry_after = response.headers.find("retry-after");
-    const bool advised = retry_after != response.headers.end();
-    return BackendRefused{answer.code, advised ? decodeRetryAfter(retry_after->second) : Duration{0}};
+    const bool has_retry_after = retry_after != response.headers.end();
+    return BackendRefused{error.code, has_retry_after ? decodeRetryAfter(retry_after->second) : Duration{0}};
   }
 
   void deliverResult(std::string result) {
@@ -86,7 +86,7 @@
     request.method = "POST";
     request.target = "/v1/execute";
     request.headers["content-type"] = "application/json";
-    request.body = encodeExecution(dispatch.request);
+    request.body = encodeExecuteRequest(dispatch.request);
     const auto state = std::make_shared<CallState>(std::move(handler));
     http::ExchangeCallbacks callbacks;
     callbacks.on_done = [state](std::error_code error, http::SendState sent, const http::Response& response) {
@@ -140,7 +140,7 @@
   return {};
 }
 
-std::error_code decodeExecution(std::string_view json, std::string& result) {
+std::error_code decodeExecuteResponse(std::string_view json, std::string& result) {
   JsonProblem problem;
   const auto object = parseJsonObject(json, problem);
   if (!object) return ErrorCode::Malformed;
@@ -151,7 +151,7 @@
   return {};
 }
 
-std::string encodeExecution(const SubmitRequest& request) {
+std::string encodeExecuteRequest(const SubmitRequest& request) {
   boost::json::object body;
   body["request_id"] = request.request_id;
   body["attempt"] = request.attempt;
--- a/src/bundle/bundle_parser.cc
+++ b/src/bundle/bundle_parser.cc
@@ -107,7 +107,7 @@
     readOperations();
     readTenants();
     readKnobs();
-    root_.finish();
+    root_.reportUnknownKeys();
     return std::move(bundle_);
   }
 
--- a/src/engine/completion_decoder.h
+++ b/src/engine/completion_decoder.h
@@ -1,5 +1,6 @@
 #pragma once
-/// @file Decoder of the event stream that answers a completion. Free of I/O; its input is untrusted.
+/// @file Decoder of the event stream with which an engine responds to a completion request. Does no I/O; its
+/// input is untrusted.
 
 #include <functional>
 #include <string_view>
@@ -10,22 +11,22 @@
 
 namespace crankspur {
 
-/// Turns the bytes of a stream into events and checks their order: accepted, then pieces, then one end.
+/// Decodes the bytes of a stream into events and verifies their order: accepted, then pieces, then one end.
 class CompletionDecoder {
 public:
-  using Receiver = std::function<void(const BackendEvent&)>;
-
-  /// Feeds bytes; calls `receive` for each event. `receive` may make the decoder's owner ignore further
-  /// events but must not destroy the decoder.
-  /// @return Malformed when the bytes break the protocol, TooLarge when an event is too long. The decoder is
-  /// then unusable.
-  std::error_code feed(std::string_view bytes, const Receiver& receive);
-  /// @return whether the end has come.
+  using EventHandler = std::function<void(const BackendEvent&)>;
+
+  /// Decodes further bytes and calls `handler` for each event. `handler` may make the decoder's owner ignore
+  /// further events but must not destroy the decoder.
+  /// @return Malformed when the bytes violate the protocol, TooLarge when an event exceeds the size limit.
+  /// The decoder is unusable after an error.
+  std::error_code feed(std::string_view bytes, const EventHandler& handler);
+  /// @return whether the end event has been received.
   bool ended() const { return ended_; }
 
 private:
-  std::error_code take(std::string_view json, const Receiver& receive);
-  bool follows(const BackendEvent& event) const;
+  std::error_code handleEvent(std::string_view json, const EventHandler& handler);
+  bool isInOrder(const BackendEvent& event) const;
 
   http::EventStreamParser parser_;
   bool accepted_ = false;
--- a/src/engine/engine_client.cc
+++ b/src/engine/engine_client.cc
@@ -10,7 +10,7 @@
 
 constexpr int kOk = 200;
 constexpr int kTooManyRequests = 429;
-constexpr std::size_t kErrorBodyBytes = 65'536;
+constexpr std::size_t kMaxErrorBodyBytes = 65'536;
 
 http::Request postRequest(std::string target, std::string body) {
   http::Request request;
@@ -32,10 +32,10 @@
   return found == headers.end() ? Duration{0} : decodeRetryAfter(found->second);
 }
 
-/// What an answer other than 200 means for a dispatch.
-BackendEvent refusalOrLoss(std::string_view body, Duration retry_after) {
-  const EngineErrorAnswer answer = decodeError(body);
-  if (answer.ran == RunState::NotRun) return BackendRefused{answer.code, retry_after};
+/// @return the event that a response with a status other than 200 means for a dispatch.
+BackendEvent toFailureEvent(std::string_view body, Duration retry_after) {
+  const EngineErrorResponse error = decodeError(body);
+  if (error.ran == RunState::NotRun) return BackendRefused{error.code, retry_after};
   return BackendLost{true};
 }
 
@@ -61,41 +61,41 @@
   void setExchange(std::shared_ptr<http::Exchange> exchange) { exchange_ = std::move(exchange); }
 
   void close() {
-    over_ = true;
+    finished_ = true;
     const std::shared_ptr<http::Exchange> exchange = std::exchange(exchange_, nullptr);
     if (exchange) exchange->cancel();
   }
 
 private:
   void onData(std::string_view bytes) {
-    const std::shared_ptr<StreamState> kept = shared_from_this();  // The handler may let the stream go.
-    if (over_) return;
+    const std::shared_ptr<StreamState> self = shared_from_this();  // The handler may destroy the stream.
+    if (finished_) return;
     if (status_ != kOk) {
-      const std::size_t room = kErrorBodyBytes - error_body_.size();
-      error_body_ += bytes.substr(0, room);
+      const std::size_t remaining = kMaxErrorBodyBytes - error_body_.size();
+      error_body_ += bytes.substr(0, remaining);
       return;
     }
     const std::error_code error = decoder_.feed(bytes, [this](const BackendEvent& event) { deliver(event); });
-    if (!error || over_) return;
+    if (!error || finished_) return;
     finish(BackendLost{true});
     close();
   }
 
   void onDone(std::error_code error, http::SendState state) {
-    const std::shared_ptr<StreamState> kept = shared_from_this();
+    const std::shared_ptr<StreamState> self = shared_from_this();
     exchange_.reset();
-    if (over_) return;
+    if (finished_) return;
     if (error) {
       finish(BackendLost{state == http::SendState::SentUnknown});
     } else if (status_ == kOk) {
       finish(BackendLost{true});
     } else {
-      finish(refusalOrLoss(error_body_, retry_after_));
+      finish(toFailureEvent(error_body_, retry_after_));
     }
   }
 
   void deliver(const BackendEvent& event) {
-    if (over_) return;
+    if (finished_) return;
     if (std::holds_alternative<BackendEnd>(event)) {
       finish(event);
     } else {
@@ -104,7 +104,7 @@
   }
 
   void finish(const BackendEvent& event) {
-    over_ = true;
+    finished_ = true;
     handler_(event);
   }
 
@@ -114,7 +114,7 @@
   std::string error_body_;
   int status_ = 0;
   Duration retry_after_{0};
-  bool over_ = false;  ///< The last event was delivered or the caller closed the stream.
+  bool finished_ = false;  ///< The last event was delivered or the caller closed the stream.
 };
 
 class HttpEngineStream : public EngineStream {
@@ -127,14 +127,14 @@
   std::shared_ptr<StreamState> state_;
 };
 
-/// @return the error of a short call, empty when a body with status 200 arrived.
-std::error_code errorOf(std::error_code error, const http::Response& response) {
+/// @return the error of a call; empty when the response has status 200.
+std::error_code callError(std::error_code error, const http::Response& response) {
   if (error) return ErrorCode::Unavailable;
   if (response.status == kOk) return {};
-  const EngineErrorAnswer answer = decodeError(response.body);
-  if (response.status == kTooManyRequests && answer.code == ErrorCode::Malformed)
+  const EngineErrorResponse error_response = decodeError(response.body);
+  if (response.status == kTooManyRequests && error_response.code == ErrorCode::Malformed)
     return ErrorCode::RateLimited;
-  return answer.code;
+  return error_response.code;
 }
 
 class HttpEngineClient : public EngineClient {
@@ -148,7 +148,7 @@
                   std::move(handler));
   }
 
-  std::shared_ptr<EngineStream> resume(const std::string& address, const EngineResume& resume,
+  std::shared_ptr<EngineStream> resume(const std::string& address, const EngineResumeRequest& resume,
                                        BackendHandler handler) override {
     return stream(address, postRequest("/v1/resume", encodeResume(resume)), std::move(handler));
   }
@@ -172,41 +172,41 @@
   }
 
   void fetchLoad(const std::string& address,
-                 std::function<void(std::error_code, const EngineLoadAnswer&)> done) override {
+                 std::function<void(std::error_code, const EngineLoadResponse&)> done) override {
     call(address, getRequest("/v1/load"), Duration{0},
          [&clock = clock_, done = std::move(done)](std::error_code error, const http::Response& response) {
-           EngineLoadAnswer load;
+           EngineLoadResponse load;
            if (!error) error = decodeLoad(response.body, clock.now(), load);
-           done(error, error ? EngineLoadAnswer{} : load);
+           done(error, error ? EngineLoadResponse{} : load);
          });
   }
 
   void pollCacheEvents(const std::string& address, std::uint64_t after, Duration wait,
-                       std::function<void(std::error_code, const CacheEventsAnswer&)> done) override {
+                       std::function<void(std::error_code, const CacheEventsResponse&)> done) override {
     const auto wait_ms = std::chrono::duration_cast<std::chrono::milliseconds>(wait).count();
     const std::string target =
         "/v1/cache_events?after=" + std::to_string(after) + "&wait_ms=" + std::to_string(wait_ms);
     call(address, getRequest(target), wait,
          [done = std::move(done)](std::error_code error, const http::Response& response) {
-           CacheEventsAnswer events;
+           CacheEventsResponse events;
            if (!error) error = decodeCacheEvents(response.body, events);
-           done(error, error ? CacheEventsAnswer{} : events);
+           done(error, error ? CacheEventsResponse{} : events);
          });
   }
 
   void fetchDigest(const std::string& address,
-                   std::function<void(std::error_code, const CacheDigestAnswer&)> done) override {
+                   std::function<void(std::error_code, const CacheDigestResponse&)> done) override {
     call(address, getRequest("/v1/cache_digest"), Duration{0},
          [done = std::move(done)](std::error_code error, const http::Response& response) {
-           CacheDigestAnswer digest;
+           CacheDigestResponse digest;
            if (!error) error = decodeCacheDigest(response.body, digest);
-           if (error) digest = CacheDigestAnswer{};
+           if (error) digest = CacheDigestResponse{};
            digest.retry_after = retryAfterOf(response.headers);
            done(error, digest);
          });
   }
 
-  void sendOrder(const std::string& address, const EngineOrderCall& order,
+  void sendOrder(const std::string& address, const EngineOrderRequest& order,
                  std::function<void(std::error_code)> done) override {
     call(address, postRequest("/v1/orders", encodeOrder(order)), Duration{0},
          [done = std::move(done)](std::error_code error, const http::Response&) { done(error); });
@@ -225,7 +225,7 @@
     return std::make_shared<HttpEngineStream>(state);
   }
 
-  /// @param wait time for which the engine may hold the answer back on purpose.
+  /// @param wait time for which the engine may delay the response to a long poll; extends the idle timeout.
   void call(const std::string& address, http::Request request, Duration wait, CallHandler handler) {
     http::ExchangeOptions options;
     options.connect_timeout = options_.connect_timeout;
@@ -234,7 +234,7 @@
     http::ExchangeCallbacks callbacks;
     callbacks.on_done = [handler = std::move(handler)](std::error_code error, http::SendState,
                                                        const http::Response& response) {
-      handler(errorOf(error, response), response);
+      handler(callError(error, response), response);
     };
     client_.start(address, std::move(request), std::move(callbacks), options);
   }
--- a/src/engine/engine_messages.cc
+++ b/src/engine/engine_messages.cc
@@ -12,11 +12,11 @@
 
 namespace {
 
-constexpr std::uint64_t kLongestAgeMilliseconds = 3'600'000;
-constexpr double kFastestPrefill = 1e9;
-constexpr double kLongestRetryAfterSeconds = 3600;
+constexpr std::uint64_t kMaxAgeMilliseconds = 3'600'000;
+constexpr double kMaxPrefillTokensPerSecond = 1e9;
+constexpr double kMaxRetryAfterSeconds = 3600;
 
-std::error_code outcomeOf(const JsonProblem& problem) {
+std::error_code toErrorCode(const JsonProblem& problem) {
   if (problem.found()) return ErrorCode::Malformed;
   return {};
 }
@@ -113,7 +113,7 @@
   return boost::json::serialize(body);
 }
 
-std::string encodeResume(const EngineResume& resume) {
+std::string encodeResume(const EngineResumeRequest& resume) {
   boost::json::object body;
   body["request_id"] = resume.request_id;
   body["attempt"] = resume.attempt;
@@ -129,7 +129,7 @@
   return boost::json::serialize(body);
 }
 
-std::string encodeOrder(const EngineOrderCall& order) {
+std::string encodeOrder(const EngineOrderRequest& order) {
   boost::json::object body;
   body["token"] = order.token;
   body["order"] = orderName(order.kind);
@@ -157,29 +157,29 @@
   }
   out.batch_limit = reader.requireUnsigned32("batch_limit");
   out.cache_blocks_total = reader.requireUnsigned32("cache_blocks_total");
-  return outcomeOf(problem);
+  return toErrorCode(problem);
 }
 
-std::error_code decodeLoad(std::string_view json, TimePoint now, EngineLoadAnswer& out) {
+std::error_code decodeLoad(std::string_view json, TimePoint now, EngineLoadResponse& out) {
   JsonProblem problem;
   const auto object = parseJsonObject(json, problem);
   if (!object) return ErrorCode::Malformed;
   const JsonReader reader(*object, problem);
   LoadReport& report = out.report;
   out.incarnation = reader.requireUnsigned("incarnation");
-  report.measured_at =
-      now - std::chrono::milliseconds(reader.requireUnsigned("age_ms", kLongestAgeMilliseconds));
+  report.measured_at = now - std::chrono::milliseconds(reader.requireUnsigned("age_ms", kMaxAgeMilliseconds));
   report.queued_tokens = reader.requireUnsigned32("queued_tokens");
   report.queued_requests = reader.requireUnsigned32("queued_requests");
   report.running_requests = reader.requireUnsigned32("running_requests");
   report.batch_limit = reader.requireUnsigned32("batch_limit");
   report.cache_blocks_total = reader.requireUnsigned32("cache_blocks_total");
   report.cache_blocks_used = reader.requireUnsigned32("cache_blocks_used");
-  report.prefill_tokens_per_second = reader.requireNumber("prefill_tokens_per_second", 1, kFastestPrefill);
-  return outcomeOf(problem);
+  report.prefill_tokens_per_second =
+      reader.requireNumber("prefill_tokens_per_second", 1, kMaxPrefillTokensPerSecond);
+  return toErrorCode(problem);
 }
 
-std::error_code decodeCacheEvents(std::string_view json, CacheEventsAnswer& out) {
+std::error_code decodeCacheEvents(std::string_view json, CacheEventsResponse& out) {
   JsonProblem problem;
   const auto object = parseJsonObject(json, problem);
   if (!object) return ErrorCode::Malformed;
@@ -187,17 +187,17 @@
   out.incarnation = reader.requireUnsigned("incarnation");
   out.last_sequence = reader.requireUnsigned("last_sequence");
   out.events.clear();
-  std::uint64_t previous = 0;
+  std::uint64_t previous_sequence = 0;
   for (const JsonReader& event : reader.requireObjects("events")) {
     const std::uint64_t sequence = event.requireUnsigned("sequence");
-    if (sequence <= previous) reader.report("events", "must have growing sequences from 1");
-    previous = sequence;
+    if (sequence <= previous_sequence) reader.report("events", "must have growing sequences from 1");
+    previous_sequence = sequence;
     out.events.push_back({sequence, event.requireHashes("stored"), event.requireHashes("removed")});
   }
-  return outcomeOf(problem);
+  return toErrorCode(problem);
 }
 
-std::error_code decodeCacheDigest(std::string_view json, CacheDigestAnswer& out) {
+std::error_code decodeCacheDigest(std::string_view json, CacheDigestResponse& out) {
   JsonProblem problem;
   const auto object = parseJsonObject(json, problem);
   if (!object) return ErrorCode::Malformed;
@@ -205,7 +205,7 @@
   out.incarnation = reader.requireUnsigned("incarnation");
   out.sequence = reader.requireUnsigned("sequence");
   out.blocks = reader.requireHashes("blocks");
-  return outcomeOf(problem);
+  return toErrorCode(problem);
 }
 
 std::error_code decodeStreamEvent(std::string_view json, BackendEvent& out) {
@@ -223,30 +223,30 @@
   } else {
     reader.report("type", "must be accepted, tokens or end");
   }
-  return outcomeOf(problem);
+  return toErrorCode(problem);
 }
 
-EngineErrorAnswer decodeError(std::string_view json) {
-  EngineErrorAnswer answer;
-  answer.code = ErrorCode::Malformed;
+EngineErrorResponse decodeError(std::string_view json) {
+  EngineErrorResponse error;
+  error.code = ErrorCode::Malformed;
   JsonProblem problem;
   const auto object = parseJsonObject(json, problem);
-  if (!object) return answer;
+  if (!object) return error;
   const JsonReader reader = JsonReader(*object, problem).requireObject("error");
   const std::string code = reader.requireString("code");
-  answer.message = reader.getString("message");
-  if (problem.found()) return answer;
-  answer.code = errorFromName(code).value_or(ErrorCode::Internal);
-  answer.ran = readRunState(reader);
-  return answer;
+  error.message = reader.getString("message");
+  if (problem.found()) return error;
+  error.code = errorFromName(code).value_or(ErrorCode::Internal);
+  error.ran = readRunState(reader);
+  return error;
 }
 
 Duration decodeRetryAfter(std::string_view header) {
   double seconds = 0;
-  const auto [end, error] = std::from_chars(header.data(), header.data() + header.size(), seconds);
-  const bool whole = error == std::errc() && end == header.data() + header.size();
-  if (!whole || !std::isfinite(seconds) || seconds < 0) return Duration{0};
-  const double bounded = std::min(seconds, kLongestRetryAfterSeconds);
+  const auto [end, parse_error] = std::from_chars(header.data(), header.data() + header.size(), seconds);
+  const bool fully_parsed = parse_error == std::errc() && end == header.data() + header.size();
+  if (!fully_parsed || !std::isfinite(seconds) || seconds < 0) return Duration{0};
+  const double bounded = std::min(seconds, kMaxRetryAfterSeconds);
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(bounded));
 }
 
--- a/src/gateway_control/node_settings.cc
+++ b/src/gateway_control/node_settings.cc
@@ -101,7 +101,7 @@
   readDuration(*root, "directory_lifetime_ms", settings.directory_lifetime);
   readMachine(*root, settings);
   readLogLevel(*root, settings.log_level);
-  root->finish();
+  root->reportUnknownKeys();
   return settings;
 }
 
--- a/src/json/json_fields.cc
+++ b/src/json/json_fields.cc
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr std::size_t kMaximumDepth = 16;
+constexpr std::size_t kMaxDepth = 16;
 
-const boost::json::value* find(const boost::json::object& object, std::string_view name) {
+const boost::json::value* findField(const boost::json::object& object, std::string_view name) {
   return object.if_contains(boost::json::string_view(name.data(), name.size()));
 }
 
@@ -17,7 +17,7 @@
 
 std::optional<boost::json::object> parseJsonObject(std::string_view text) {
   boost::json::parse_options options;
-  options.max_depth = kMaximumDepth;
+  options.max_depth = kMaxDepth;
   boost::json::error_code error;
   const boost::json::string_view input(text.data(), text.size());
   boost::json::value value = boost::json::parse(input, error, {}, options);
@@ -28,7 +28,7 @@
 }
 
 std::optional<std::string> stringField(const boost::json::object& object, std::string_view name) {
-  const boost::json::value* value = find(object, name);
+  const boost::json::value* value = findField(object, name);
   if (value == nullptr || !value->is_string()) {
     return std::nullopt;
   }
@@ -37,7 +37,7 @@
 }
 
 std::optional<std::uint64_t> unsignedField(const boost::json::object& object, std::string_view name) {
-  const boost::json::value* value = find(object, name);
+  const boost::json::value* value = findField(object, name);
   if (value == nullptr) {
     return std::nullopt;
   }
@@ -51,7 +51,7 @@
 }
 
 std::optional<double> numberField(const boost::json::object& object, std::string_view name) {
-  const boost::json::value* value = find(object, name);
+  const boost::json::value* value = findField(object, name);
   if (value == nullptr || !value->is_number()) {
     return std::nullopt;
   }
@@ -59,7 +59,7 @@
 }
 
 std::optional<bool> boolField(const boost::json::object& object, std::string_view name) {
-  const boost::json::value* value = find(object, name);
+  const boost::json::value* value = findField(object, name);
   if (value == nullptr || !value->is_bool()) {
     return std::nullopt;
   }
@@ -67,7 +67,7 @@
 }
 
 const boost::json::array* arrayField(const boost::json::object& object, std::string_view name) {
-  const boost::json::value* value = find(object, name);
+  const boost::json::value* value = findField(object, name);
   return value == nullptr ? nullptr : value->if_array();
 }
 
--- a/src/json/json_reader.cc
+++ b/src/json/json_reader.cc
@@ -19,14 +19,14 @@
 
 }  // namespace
 
-void JsonProblem::note(std::string_view key, std::string_view reason) {
+void JsonProblem::record(std::string_view key, std::string_view reason) {
   if (found()) return;
   text_ = std::string(key) + ": " + std::string(reason);
 }
 
 std::optional<boost::json::object> parseJsonObject(std::string_view text, JsonProblem& problem) {
   std::optional<boost::json::object> object = parseJsonObject(text);
-  if (!object) problem.note("body", "must be one JSON object");
+  if (!object) problem.record("body", "must be one JSON object");
   return object;
 }
 
@@ -40,7 +40,7 @@
   return hash;
 }
 
-boost::json::array hashArray(const std::vector<std::uint64_t>& hashes) {
+boost::json::array hashesToJson(const std::vector<std::uint64_t>& hashes) {
   boost::json::array array;
   array.reserve(hashes.size());
   for (const std::uint64_t hash : hashes) array.emplace_back(toHex(hash));
@@ -53,7 +53,7 @@
 
 template <typename Value>
 Value JsonReader::valueOr(std::string_view key, std::optional<Value> value, std::string_view reason) const {
-  if (!value) problem_.note(key, has(key) ? reason : "is missing");
+  if (!value) problem_.record(key, has(key) ? reason : "is missing");
   return std::move(value).value_or(Value{});
 }
 
@@ -73,15 +73,14 @@
   return has(key) && requireBool(key);
 }
 
-std::uint64_t JsonReader::requireUnsigned(std::string_view key, std::uint64_t highest) const {
+std::uint64_t JsonReader::requireUnsigned(std::string_view key, std::uint64_t max) const {
   std::optional<std::uint64_t> number = unsignedField(object_, key);
-  if (number && *number > highest) number.reset();
-  return valueOr(key, number, "must be a whole number from 0 to " + std::to_string(highest));
+  if (number && *number > max) number.reset();
+  return valueOr(key, number, "must be a whole number from 0 to " + std::to_string(max));
 }
 
-std::uint64_t JsonReader::getUnsigned(std::string_view key, std::uint64_t fallback,
-                                      std::uint64_t highest) const {
-  return has(key) ? requireUnsigned(key, highest) : fallback;
+std::uint64_t JsonReader::getUnsigned(std::string_view key, std::uint64_t fallback, std::uint64_t max) const {
+  return has(key) ? requireUnsigned(key, max) : fallback;
 }
 
 std::uint32_t JsonReader::requireUnsigned32(std::string_view key) const {
@@ -92,11 +91,10 @@
   return has(key) ? requireUnsigned32(key) : fallback;
 }
 
-double JsonReader::requireNumber(std::string_view key, double lowest, double highest) const {
+double JsonReader::requireNumber(std::string_view key, double min, double max) const {
   std::optional<double> number = numberField(object_, key);
-  if (number && !(*number >= lowest && *number <= highest)) number.reset();
-  return valueOr(key, number,
-                 "must be a number from " + std::to_string(lowest) + " to " + std::to_string(highest));
+  if (number && !(*number >= min && *number <= max)) number.reset();
+  return valueOr(key, number, "must be a number from " + std::to_string(min) + " to " + std::to_string(max));
 }
 
 std::uint64_t JsonReader::requireHash(std::string_view key) const {
@@ -107,7 +105,7 @@
 
 const boost::json::array* JsonReader::requireArray(std::string_view key) const {
   const boost::json::array* array = arrayField(object_, key);
-  if (array == nullptr) problem_.note(key, has(key) ? "must be an array" : "is missing");
+  if (array == nullptr) problem_.record(key, has(key) ? "must be an array" : "is missing");
   return array;
 }
 
@@ -119,7 +117,7 @@
   for (const boost::json::value& element : *array) {
     const boost::json::string* digits = element.if_string();
     const auto hash = digits == nullptr ? std::nullopt : parseHash({digits->data(), digits->size()});
-    if (!hash) problem_.note(key, "must hold 16 lower-case hexadecimal digits each");
+    if (!hash) problem_.record(key, "must hold 16 lower-case hexadecimal digits each");
     hashes.push_back(hash.value_or(0));
   }
   return hashes;
@@ -132,7 +130,7 @@
   for (const boost::json::value& element : *array) {
     const boost::json::string* text = element.if_string();
     if (text == nullptr) {
-      problem_.note(key, "must hold strings");
+      problem_.record(key, "must hold strings");
       return {};
     }
     texts.emplace_back(text->data(), text->size());
@@ -143,7 +141,7 @@
 std::vector<JsonReader> JsonReader::requireObjects(std::string_view key) const {
   std::vector<JsonReader> readers;
   const auto objects = objectsField(object_, key);
-  if (!objects) problem_.note(key, has(key) ? "must be an array of objects" : "is missing");
+  if (!objects) problem_.record(key, has(key) ? "must be an array of objects" : "is missing");
   if (!objects) return readers;
   for (const boost::json::object* object : *objects) readers.emplace_back(*object, problem_);
   return readers;
@@ -152,7 +150,7 @@
 JsonReader JsonReader::requireObject(std::string_view key) const {
   const boost::json::value* value = object_.if_contains({key.data(), key.size()});
   const boost::json::object* object = value == nullptr ? nullptr : value->if_object();
-  if (object == nullptr) problem_.note(key, value == nullptr ? "is missing" : "must be an object");
+  if (object == nullptr) problem_.record(key, value == nullptr ? "is missing" : "must be an object");
   return {object == nullptr ? kEmptyObject : *object, problem_};
 }
 
--- a/src/machine_list/machine_codec.cc
+++ b/src/machine_list/machine_codec.cc
@@ -93,8 +93,8 @@
     return std::nullopt;
   }
   MachineList list{*as_of, {}};
-  for (const json::object* each : *objects) {
-    std::optional<Machine> machine = machineFromJson(*each);
+  for (const json::object* machine_object : *objects) {
+    std::optional<Machine> machine = machineFromJson(*machine_object);
     if (!machine) {
       return std::nullopt;
     }
--- a/src/machine_list/machine_codec.h
+++ b/src/machine_list/machine_codec.h
@@ -1,5 +1,6 @@
 #pragma once
-/// @file JSON form of the machine list. Decoding is strict: what does not have the exact form is empty.
+/// @file JSON encoding of the machine list. Decoding is strict: any deviation from the format yields an empty
+/// value.
 
 #include <boost/json/object.hpp>
 #include <optional>
@@ -17,7 +18,7 @@
 const char* machineStateName(MachineState state);
 std::optional<MachineState> machineStateFromName(std::string_view name);
 
-/// Decodes one machine.
+/// Decodes one machine; empty when a field is missing or invalid.
 std::optional<Machine> machineFromJson(const boost::json::object& object);
 
 std::string encodeMachineList(const MachineList& list);
--- a/src/machine_list/machine_list_client.cc
+++ b/src/machine_list/machine_list_client.cc
@@ -11,26 +11,26 @@
 
 constexpr int kOk = 200;
 
-MachineListResult listResult(const ServiceAnswer& answer) {
-  if (const auto* unavailable = std::get_if<ServiceUnavailable>(&answer)) {
+MachineListResult toMachineListResult(const ServiceResult& result) {
+  if (const auto* unavailable = std::get_if<ServiceUnavailable>(&result)) {
     return *unavailable;
   }
-  if (const auto* limited = std::get_if<ServiceRateLimited>(&answer)) {
+  if (const auto* limited = std::get_if<ServiceRateLimited>(&result)) {
     return *limited;
   }
-  const http::Response& response = std::get<http::Response>(answer);
+  const http::Response& response = std::get<http::Response>(result);
   std::optional<MachineList> list;
   if (response.status == kOk) {
     list = decodeMachineList(response.body);
   }
   if (!list) {
-    return unusableAnswer();
+    return unusableResponse();
   }
   return std::move(*list);
 }
 
-/// The one list there is, as a key of single flight.
-enum class ListKey { Whole };
+/// Key of the only value that this client fetches.
+enum class FetchKey { MachineList };
 
 class HttpMachineListClient : public MachineListClient {
 public:
@@ -39,18 +39,18 @@
       : caller_(std::move(executor), client, clock, std::move(options)) {}
 
   void fetch(std::function<void(const MachineListResult&)> done) override {
-    if (!fetches_.join(ListKey::Whole, std::move(done))) {
+    if (!fetches_.join(FetchKey::MachineList, std::move(done))) {
       return;
     }
     http::Request request;
     request.target = "/v1/machines";
-    caller_.call(std::move(request), [this](const ServiceAnswer& answer) {
-      fetches_.finish(ListKey::Whole, listResult(answer));
+    caller_.call(std::move(request), [this](const ServiceResult& result) {
+      fetches_.finish(FetchKey::MachineList, toMachineListResult(result));
     });
   }
 
 private:
-  SingleFlight<ListKey, MachineListResult> fetches_;
+  SingleFlight<FetchKey, MachineListResult> fetches_;
   ServiceCaller caller_;
 };
 
--- a/src/machine_list/machine_list_client.h
+++ b/src/machine_list/machine_list_client.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Client of the machine list. Fetches at the same time share one call. Callbacks come on the
-/// executor's thread, never from inside the call.
+/// @file Client of the machine list. Concurrent fetches share one call. Callbacks run on the executor's
+/// thread, never from inside the call.
 
 #include <functional>
 #include <memory>
@@ -13,7 +13,7 @@
 
 using MachineListResult = std::variant<MachineList, ServiceUnavailable, ServiceRateLimited>;
 
-/// Calls the machine list. Destruction drops calls without a callback.
+/// Fetches the machine list. Destruction cancels pending calls without running their callbacks.
 class MachineListClient {
 public:
   virtual ~MachineListClient() = default;
--- a/src/node_settings/node_flags.cc
+++ b/src/node_settings/node_flags.cc
@@ -18,14 +18,14 @@
 namespace crankspur {
 
 std::string applyNodeFlags(NodeSettings& settings) {
-  overrideWith(settings.name, absl::GetFlag(FLAGS_name));
-  overrideWith(settings.zone, absl::GetFlag(FLAGS_zone));
-  overrideWith(settings.region, absl::GetFlag(FLAGS_region));
-  overrideWith(settings.listen, absl::GetFlag(FLAGS_listen));
-  overrideWith(settings.admin, absl::GetFlag(FLAGS_admin));
-  overrideWith(settings.platform, absl::GetFlag(FLAGS_platform));
-  overrideWith(settings.trusted_keys.authors, absl::GetFlag(FLAGS_author_keys));
-  overrideWith(settings.trusted_keys.approvers, absl::GetFlag(FLAGS_approver_keys));
+  overrideIfSet(settings.name, absl::GetFlag(FLAGS_name));
+  overrideIfSet(settings.zone, absl::GetFlag(FLAGS_zone));
+  overrideIfSet(settings.region, absl::GetFlag(FLAGS_region));
+  overrideIfSet(settings.listen, absl::GetFlag(FLAGS_listen));
+  overrideIfSet(settings.admin, absl::GetFlag(FLAGS_admin));
+  overrideIfSet(settings.platform, absl::GetFlag(FLAGS_platform));
+  overrideIfSet(settings.trusted_keys.authors, absl::GetFlag(FLAGS_author_keys));
+  overrideIfSet(settings.trusted_keys.approvers, absl::GetFlag(FLAGS_approver_keys));
   const std::string name = absl::GetFlag(FLAGS_log_format);
   if (name.empty()) return {};
   const std::optional<LogFormat> format = parseLogFormat(name);
--- a/src/node_settings/node_settings.cc
+++ b/src/node_settings/node_settings.cc
@@ -16,26 +16,26 @@
   return !error;
 }
 
-void readLog(TomlTable& root, NodeSettings& settings) {
+void readLogSettings(TomlTable& root, NodeSettings& settings) {
   const std::optional<LogFormat> format = parseLogFormat(root.getString("log_format", "key_value"));
   if (format) {
     settings.log_format = *format;
   } else {
     root.report("log_format", "must be key_value or json");
   }
-  const std::string level = root.getString("log_level", "info");
-  if (level == "debug") {
+  const std::string level_name = root.getString("log_level", "info");
+  if (level_name == "debug") {
     settings.log_level = LogLevel::Debug;
-  } else if (level == "warning") {
+  } else if (level_name == "warning") {
     settings.log_level = LogLevel::Warning;
-  } else if (level == "error") {
+  } else if (level_name == "error") {
     settings.log_level = LogLevel::Error;
-  } else if (level != "info") {
+  } else if (level_name != "info") {
     root.report("log_level", "must be debug, info, warning or error");
   }
 }
 
-std::string missing(const std::string& key) {
+std::string missingKeyReason(const std::string& key) {
   return key + " is missing: set it in the settings file or with --" + key;
 }
 
@@ -72,13 +72,13 @@
   const auto keys = root.getTable("trusted_keys");
   settings.trusted_keys.authors = keys->getStrings("authors");
   settings.trusted_keys.approvers = keys->getStrings("approvers");
-  readLog(root, settings);
+  readLogSettings(root, settings);
 }
 
 std::string checkNodeSettings(const NodeSettings& settings) {
-  if (settings.name.empty()) return missing("name");
-  if (settings.zone.empty()) return missing("zone");
-  if (settings.region.empty()) return missing("region");
+  if (settings.name.empty()) return missingKeyReason("name");
+  if (settings.zone.empty()) return missingKeyReason("zone");
+  if (settings.region.empty()) return missingKeyReason("region");
   if (!isAddress(settings.listen)) return "listen must be IP:port, not \"" + settings.listen + "\"";
   if (!isAddress(settings.admin)) return "admin must be IP:port, not \"" + settings.admin + "\"";
   if (!settings.platform.empty() && !isAddress(settings.platform)) {
@@ -97,7 +97,7 @@
   return {};
 }
 
-void logProblems(const std::vector<SettingsProblem>& problems, EventLog& log) {
+void logSettingsProblems(const std::vector<SettingsProblem>& problems, EventLog& log) {
   for (const SettingsProblem& problem : problems) {
     log.write(
         EventId::SettingsRefused,
--- a/src/object_store/object_client.cc
+++ b/src/object_store/object_client.cc
@@ -9,34 +9,34 @@
 constexpr int kOk = 200;
 constexpr int kNotFound = 404;
 
-GetObjectResult getResult(ServiceAnswer answer) {
-  if (const auto* unavailable = std::get_if<ServiceUnavailable>(&answer)) {
+GetObjectResult toGetResult(ServiceResult result) {
+  if (const auto* unavailable = std::get_if<ServiceUnavailable>(&result)) {
     return *unavailable;
   }
-  if (const auto* limited = std::get_if<ServiceRateLimited>(&answer)) {
+  if (const auto* limited = std::get_if<ServiceRateLimited>(&result)) {
     return *limited;
   }
-  http::Response& response = std::get<http::Response>(answer);
+  http::Response& response = std::get<http::Response>(result);
   if (response.status == kOk) {
     return ObjectBody{std::move(response.body)};
   }
   if (response.status == kNotFound) {
-    return ObjectAbsent{};
+    return ObjectNotFound{};
   }
-  return unusableAnswer();
+  return unusableResponse();
 }
 
-PutObjectResult putResult(const ServiceAnswer& answer) {
-  if (const auto* unavailable = std::get_if<ServiceUnavailable>(&answer)) {
+PutObjectResult toPutResult(const ServiceResult& result) {
+  if (const auto* unavailable = std::get_if<ServiceUnavailable>(&result)) {
     return *unavailable;
   }
-  if (const auto* limited = std::get_if<ServiceRateLimited>(&answer)) {
+  if (const auto* limited = std::get_if<ServiceRateLimited>(&result)) {
     return *limited;
   }
-  if (std::get<http::Response>(answer).status == kOk) {
+  if (std::get<http::Response>(result).status == kOk) {
     return ObjectWritten{};
   }
-  return unusableAnswer();
+  return unusableResponse();
 }
 
 class HttpObjectClient : public ObjectClient {
@@ -52,7 +52,7 @@
     http::Request request;
     request.target = "/v1/objects/" + key;
     caller_.call(std::move(request),
-                 [this, key](ServiceAnswer answer) { reads_.finish(key, getResult(std::move(answer))); });
+                 [this, key](ServiceResult result) { reads_.finish(key, toGetResult(std::move(result))); });
   }
 
   void put(const std::string& key, std::string body, std::function<void(PutObjectResult)> done) override {
@@ -62,7 +62,7 @@
     request.headers["Content-Type"] = "application/octet-stream";
     request.body = std::move(body);
     caller_.call(std::move(request),
-                 [done = std::move(done)](const ServiceAnswer& answer) { done(putResult(answer)); });
+                 [done = std::move(done)](const ServiceResult& result) { done(toPutResult(result)); });
   }
 
 private:
--- a/src/object_store/object_client.h
+++ b/src/object_store/object_client.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Client of the object store. Objects that crankspur keeps never change once written, so reads of one
-/// key at the same time share one call. Callbacks come on the executor's thread, never from inside the call.
+/// @file Client of the object store. Stored objects are immutable, so concurrent reads of one key share one
+/// call. Callbacks run on the executor's thread, never from inside the call.
 
 #include <functional>
 #include <memory>
@@ -11,25 +11,25 @@
 
 namespace crankspur {
 
-/// There is no object with the key.
-struct ObjectAbsent {};
-/// The object's content.
+/// No object has the key.
+struct ObjectNotFound {};
+/// Content of the object.
 struct ObjectBody {
   std::string bytes;
 };
-/// The object is stored.
+/// The object has been stored.
 struct ObjectWritten {};
 
-using GetObjectResult = std::variant<ObjectBody, ObjectAbsent, ServiceUnavailable, ServiceRateLimited>;
+using GetObjectResult = std::variant<ObjectBody, ObjectNotFound, ServiceUnavailable, ServiceRateLimited>;
 using PutObjectResult = std::variant<ObjectWritten, ServiceUnavailable, ServiceRateLimited>;
 
-/// Calls the object store. Keys consist of letters, digits, '-', '.', '_' and '/'. Destruction drops calls
-/// without a callback.
+/// Calls the object store. Keys consist of letters, digits, '-', '.', '_' and '/'. Destruction cancels
+/// pending calls without running their callbacks.
 class ObjectClient {
 public:
   virtual ~ObjectClient() = default;
   virtual void get(const std::string& key, std::function<void(const GetObjectResult&)> done) = 0;
-  /// Writing the same object again does no harm, so a lost answer is resolved by writing again.
+  /// Idempotent: after a lost response, write the same object again.
   virtual void put(const std::string& key, std::string body, std::function<void(PutObjectResult)> done) = 0;
 };
 
--- a/src/platform_service/service_caller.cc
+++ b/src/platform_service/service_caller.cc
@@ -18,10 +18,10 @@
 
 constexpr int kTooManyRequests = 429;
 constexpr int kFirstServerError = 500;
-constexpr double kLongestRetryAfterSeconds = 3600;
+constexpr double kMaxRetryAfterSeconds = 3600;
 
-/// @return the Retry-After header in seconds, possibly fractional; 0 when absent or no number.
-Duration retryAfter(const http::Response& response) {
+/// @return the Retry-After header in seconds, possibly fractional; 0 when absent, invalid or out of range.
+Duration parseRetryAfter(const http::Response& response) {
   const auto found = response.headers.find("Retry-After");
   if (found == response.headers.end()) {
     return Duration{0};
@@ -29,12 +29,12 @@
   const std::string& text = found->second;
   double seconds = 0;
   const auto result = std::from_chars(text.data(), text.data() + text.size(), seconds);
-  const bool usable = result.ec == std::errc{} && seconds >= 0 && seconds <= kLongestRetryAfterSeconds;
-  return usable ? std::chrono::ceil<Duration>(std::chrono::duration<double>(seconds)) : Duration{0};
+  const bool valid = result.ec == std::errc{} && seconds >= 0 && seconds <= kMaxRetryAfterSeconds;
+  return valid ? std::chrono::ceil<Duration>(std::chrono::duration<double>(seconds)) : Duration{0};
 }
 
-/// @return whether an error body says that nothing ran.
-bool saysNotRun(const http::Response& response) {
+/// @return whether the error body states that nothing ran.
+bool isNotRun(const http::Response& response) {
   const std::optional<boost::json::object> body = parseJsonObject(response.body);
   if (!body) {
     return false;
@@ -43,19 +43,19 @@
   return error != nullptr && error->is_object() && stringField(error->get_object(), "ran") == "not_run";
 }
 
-ServiceAnswer classify(http::Response response) {
+ServiceResult classify(http::Response response) {
   if (response.status == kTooManyRequests) {
-    return ServiceRateLimited{retryAfter(response)};
+    return ServiceRateLimited{parseRetryAfter(response)};
   }
   if (response.status >= kFirstServerError) {
-    return ServiceUnavailable{!saysNotRun(response), retryAfter(response)};
+    return ServiceUnavailable{!isNotRun(response), parseRetryAfter(response)};
   }
   return response;
 }
 
 }  // namespace
 
-/// The part of the caller that its callbacks share.
+/// State of the caller, shared with its pending callbacks.
 class ServiceCaller::State : public std::enable_shared_from_this<ServiceCaller::State> {
 public:
   State(boost::asio::any_io_executor executor, http::Client& client, const Clock& clock,
@@ -65,19 +65,19 @@
         clock_(clock),
         options_(std::move(options)),
         limiter_(options_.limit) {
-    if (options_.starting_debt) limiter_.empty(*options_.starting_debt);
+    if (options_.initial_debt) limiter_.empty(*options_.initial_debt);
   }
 
   void call(http::Request request, Done done) {
     const TimePoint now = clock_.now();
-    const Duration own_wait = limiter_.reserve(now);
-    const Duration wait = std::max(own_wait, paused_until_ - now);
-    if (wait > options_.longest_wait) {
+    const Duration limiter_wait = limiter_.reserve(now);
+    const Duration wait = std::max(limiter_wait, backoff_until_ - now);
+    if (wait > options_.max_wait) {
       limiter_.giveBack();
-      runLater(Duration{0}, [done = std::move(done), wait] { done(ServiceRateLimited{wait}); });
+      schedule(Duration{0}, [done = std::move(done), wait] { done(ServiceRateLimited{wait}); });
       return;
     }
-    runLater(std::max(wait, Duration{0}),
+    schedule(std::max(wait, Duration{0}),
              [this, request = std::move(request), done = std::move(done)]() mutable {
                start(std::move(request), std::move(done));
              });
@@ -98,7 +98,7 @@
 private:
   using Timer = std::shared_ptr<boost::asio::steady_timer>;
 
-  void runLater(Duration wait, std::function<void()> action) {
+  void schedule(Duration wait, std::function<void()> action) {
     const Timer timer = std::make_shared<boost::asio::steady_timer>(executor_, wait);
     timers_.insert(timer);
     timer->async_wait(
@@ -136,11 +136,11 @@
       done(ServiceUnavailable{state != http::SendState::NotSent, Duration{0}});
       return;
     }
-    ServiceAnswer answer = classify(std::move(response));
-    if (const auto* limited = std::get_if<ServiceRateLimited>(&answer)) {
-      paused_until_ = std::max(paused_until_, clock_.now() + limited->retry_after);
+    ServiceResult result = classify(std::move(response));
+    if (const auto* limited = std::get_if<ServiceRateLimited>(&result)) {
+      backoff_until_ = std::max(backoff_until_, clock_.now() + limited->retry_after);
     }
-    done(std::move(answer));
+    done(std::move(result));
   }
 
   boost::asio::any_io_executor executor_;
@@ -148,7 +148,7 @@
   const Clock& clock_;
   ServiceOptions options_;
   CallRateLimiter limiter_;
-  TimePoint paused_until_{};  ///< The service asked to be left alone until then.
+  TimePoint backoff_until_{};  ///< The service has rejected calls as rate-limited until then.
   bool closed_ = false;
   std::set<Timer> timers_;
   std::uint64_t last_exchange_ = 0;
@@ -175,8 +175,8 @@
   constexpr std::string_view kUnreserved = "-._~";
   std::string encoded;
   for (const char character : text) {
-    const bool plain = std::isalnum(static_cast<unsigned char>(character)) != 0;
-    if (plain || kUnreserved.find(character) != std::string_view::npos) {
+    const bool alphanumeric = std::isalnum(static_cast<unsigned char>(character)) != 0;
+    if (alphanumeric || kUnreserved.find(character) != std::string_view::npos) {
       encoded += character;
     } else {
       encoded += fmt::format("%{:02X}", static_cast<unsigned char>(character));
--- a/src/router_process/backend_poller.cc
+++ b/src/router_process/backend_poller.cc
@@ -44,7 +44,7 @@
 
 void BackendPoller::pollLoad(const BackendPoll& poll) {
   engines_->fetchLoad(poll.address,
-                      [this, name = poll.name](std::error_code error, const EngineLoadAnswer& answer) {
+                      [this, name = poll.name](std::error_code error, const EngineLoadResponse& answer) {
                         if (error) return fail(name, error);
                         table_.onLoad(name, answer.incarnation, answer.report, clock_.now());
                         on_change_();
--- a/src/router_process/cache_event_feed.cc
+++ b/src/router_process/cache_event_feed.cc
@@ -81,7 +81,7 @@
   follower->digest_wanted = false;
   follower->digest_at = clock_.now() + kDigestPause;
   engines_->fetchDigest(follower->address,
-                        [this, follower](std::error_code error, const CacheDigestAnswer& answer) {
+                        [this, follower](std::error_code error, const CacheDigestResponse& answer) {
                           if (!current(follower)) return;
                           if (error) {
                             const Duration pause = std::max(kRetryPause, answer.retry_after);
@@ -108,7 +108,7 @@
 void CacheEventFeed::poll(const std::shared_ptr<Follower>& follower) {
   if (follower->digest_wanted && clock_.now() >= follower->digest_at) return fetchDigest(follower);
   engines_->pollCacheEvents(follower->address, follower->after, kPollWait,
-                            [this, follower](std::error_code error, const CacheEventsAnswer& answer) {
+                            [this, follower](std::error_code error, const CacheEventsResponse& answer) {
                               if (!current(follower)) return;
                               // Another incarnation's events are useless here; the engine table will replace
                               // this follower.
@@ -120,7 +120,7 @@
                             });
 }
 
-void CacheEventFeed::onEvents(const std::shared_ptr<Follower>& follower, const CacheEventsAnswer& answer) {
+void CacheEventFeed::onEvents(const std::shared_ptr<Follower>& follower, const CacheEventsResponse& answer) {
   if (answer.events.empty()) return;
   metrics_.cache_events.Increment(static_cast<double>(answer.events.size()));
   for (const CacheEvent& event : answer.events) follower->after = std::max(follower->after, event.sequence);
--- a/src/router_process/cache_event_feed.h
+++ b/src/router_process/cache_event_feed.h
@@ -33,7 +33,7 @@
   struct Follower;
   void fetchDigest(const std::shared_ptr<Follower>& follower);
   void poll(const std::shared_ptr<Follower>& follower);
-  void onEvents(const std::shared_ptr<Follower>& follower, const CacheEventsAnswer& answer);
+  void onEvents(const std::shared_ptr<Follower>& follower, const CacheEventsResponse& answer);
   void later(const std::shared_ptr<Follower>& follower, Duration delay,
              void (CacheEventFeed::*next)(const std::shared_ptr<Follower>&));
   bool current(const std::shared_ptr<Follower>& follower) const;
--- a/src/router_process/order_dispatcher.cc
+++ b/src/router_process/order_dispatcher.cc
@@ -12,8 +12,8 @@
 constexpr Duration kTick = std::chrono::milliseconds(250);
 constexpr char kLeaseName[] = "fleet_orders";
 
-EngineOrderCall callFor(const FleetOrder& order, std::uint64_t token) {
-  EngineOrderCall call;
+EngineOrderRequest callFor(const FleetOrder& order, std::uint64_t token) {
+  EngineOrderRequest call;
   call.token = token;
   const bool weights = order.kind == FleetOrderKind::LoadWeights;
   call.kind = weights ? EngineOrderKind::LoadWeights : EngineOrderKind::LoadAdapter;
--- a/src/router_process/router_settings.cc
+++ b/src/router_process/router_settings.cc
@@ -28,7 +28,7 @@
   readInterval(*root, "machine_list_interval_ms", settings.machine_list_interval, kIntervalRange);
   readInterval(*root, "bundle_row_interval_ms", settings.bundle_row_interval, kIntervalRange);
   readInterval(*root, "drain_limit_ms", settings.drain_limit, kIntervalRange);
-  root->finish();
+  root->reportUnknownKeys();
   return settings;
 }
 
--- a/src/router_process/traffic_shard.cc
+++ b/src/router_process/traffic_shard.cc
@@ -35,7 +35,7 @@
     service.address = options_.table_address;
     service.limit = table_share_.callerLimit();
     // Processes that start together must not make their calls in step for ever after.
-    service.starting_debt = RandomSource(options_.random_seed).unit();
+    service.initial_debt = RandomSource(options_.random_seed).unit();
     table_ = makeTableClient(thread_.executor(), *http_, clock_, service);
   }
   RequestRouterOptions router_options;
@@ -61,7 +61,7 @@
   // Back ends come by the list that names the routers, too; before it this router only knows itself.
   const bool fleet_known = !snapshot.engines.empty() || !snapshot.runners.empty();
   if (!table_ || !fleet_known) return;
-  table_share_.noteRouters(snapshot.router_count, now());
+  table_share_.recordRouterCount(snapshot.router_count, now());
   table_->setLimit(table_share_.callerLimit());
 }
 
@@ -188,7 +188,7 @@
     running.stream = engines_->complete(dispatch, handler);
     return;
   }
-  EngineResume resume;
+  EngineResumeRequest resume;
   resume.request_id = dispatch.request.request_id;
   resume.attempt = dispatch.request.attempt;
   resume.expect_incarnation = dispatch.expected_incarnation;
--- a/src/router_process/traffic_shard.h
+++ b/src/router_process/traffic_shard.h
@@ -16,7 +16,7 @@
 #include "router_process/event_loop_thread.h"
 #include "router_process/router_metrics.h"
 #include "table_service/table_client.h"
-#include "table_service/table_share.h"
+#include "table_service/table_rate_share.h"
 
 namespace crankspur {
 
@@ -109,7 +109,7 @@
   void armTimer();
 
   TrafficShardOptions options_;
-  TableShare table_share_;
+  TableRateShare table_share_;
   TrafficShardCallbacks callbacks_;
   EventLog& log_;
   RouterMetrics& metrics_;
--- a/src/settings/toml_reader.cc
+++ b/src/settings/toml_reader.cc
@@ -13,28 +13,28 @@
 
 namespace {
 
-/// Where problems of one document go.
+/// Collects the problems of one document.
 struct ProblemSink {
   std::string file;
   std::vector<SettingsProblem>& problems;
 
-  void add(const toml::source_position& place, const std::string& key, const std::string& reason) const {
-    problems.push_back({file, place.line, place.column, key, reason});
+  void add(const toml::source_position& position, const std::string& key, const std::string& reason) const {
+    problems.push_back({file, position.line, position.column, key, reason});
   }
 };
 
-/// What every table of one document shares.
+/// State shared by all tables of one document.
 struct Document {
   toml::table root;
   ProblemSink sink;
 };
 
-/// A table of a parsed document. Without a node it stands for an absent table.
+/// A table of a parsed document. A null table represents an absent one.
 class DocumentTable : public TomlTable {
 public:
   DocumentTable(std::shared_ptr<Document> document, const toml::table* table, std::string path,
-                toml::source_position place)
-      : document_(std::move(document)), table_(table), path_(std::move(path)), place_(place) {}
+                toml::source_position position)
+      : document_(std::move(document)), table_(table), path_(std::move(path)), position_(position) {}
 
   std::string requireString(const std::string& key) override {
     if (!requirePresent(key)) {
@@ -44,7 +44,7 @@
   }
 
   std::string getString(const std::string& key, std::string fallback) override {
-    const toml::node* node = take(key);
+    const toml::node* node = request(key);
     if (node == nullptr) {
       return fallback;
     }
@@ -58,13 +58,13 @@
 
   std::int64_t requireInteger(const std::string& key, Range<std::int64_t> range) override {
     if (!requirePresent(key)) {
-      return range.lowest;
+      return range.min;
     }
-    return getInteger(key, range.lowest, range);
+    return getInteger(key, range.min, range);
   }
 
   std::int64_t getInteger(const std::string& key, std::int64_t fallback, Range<std::int64_t> range) override {
-    const toml::node* node = take(key);
+    const toml::node* node = request(key);
     if (node == nullptr) {
       return fallback;
     }
@@ -77,7 +77,7 @@
   }
 
   double getNumber(const std::string& key, double fallback, Range<double> range) override {
-    const toml::node* node = take(key);
+    const toml::node* node = request(key);
     if (node == nullptr) {
       return fallback;
     }
@@ -89,20 +89,20 @@
   }
 
   bool getBool(const std::string& key, bool fallback) override {
-    const toml::node* node = take(key);
+    const toml::node* node = request(key);
     if (node == nullptr) {
       return fallback;
     }
-    const toml::value<bool>* truth = node->as_boolean();
-    if (truth == nullptr) {
+    const toml::value<bool>* flag = node->as_boolean();
+    if (flag == nullptr) {
       report(key, "must be true or false");
       return fallback;
     }
-    return truth->get();
+    return flag->get();
   }
 
   std::vector<std::string> getStrings(const std::string& key) override {
-    const toml::node* node = take(key);
+    const toml::node* node = request(key);
     if (node == nullptr) {
       return {};
     }
@@ -124,19 +124,19 @@
   }
 
   std::shared_ptr<TomlTable> getTable(const std::string& key) override {
-    const toml::node* node = take(key);
+    const toml::node* node = request(key);
     if (node == nullptr) {
-      return addChild(nullptr, joined(key), place_);
+      return addChild(nullptr, pathOf(key), position_);
     }
     if (!node->is_table()) {
       report(key, "must be a table");
-      return addChild(nullptr, joined(key), node->source().begin);
+      return addChild(nullptr, pathOf(key), node->source().begin);
     }
-    return addChild(node->as_table(), joined(key), node->source().begin);
+    return addChild(node->as_table(), pathOf(key), node->source().begin);
   }
 
   std::vector<std::shared_ptr<TomlTable>> getTables(const std::string& key) override {
-    const toml::node* node = take(key);
+    const toml::node* node = request(key);
     if (node == nullptr) {
       return {};
     }
@@ -152,7 +152,7 @@
         reportElement(key, index, element, "must be a table");
         continue;
       }
-      const std::string path = fmt::format("{}[{}]", joined(key), index);
+      const std::string path = fmt::format("{}[{}]", pathOf(key), index);
       tables.push_back(addChild(element.as_table(), path, element.source().begin));
     }
     return tables;
@@ -160,18 +160,18 @@
 
   void report(const std::string& key, const std::string& reason) override {
     const toml::node* node = find(key);
-    document_->sink.add(node == nullptr ? place_ : node->source().begin, joined(key), reason);
+    document_->sink.add(node == nullptr ? position_ : node->source().begin, pathOf(key), reason);
   }
 
   bool has(const std::string& key) const override { return find(key) != nullptr; }
 
-  void finish() override {
-    if (!finished_) {
-      reportUnknownKeys();
+  void reportUnknownKeys() override {
+    if (!unknown_keys_reported_) {
+      reportOwnUnknownKeys();
     }
-    finished_ = true;
+    unknown_keys_reported_ = true;
     for (const std::shared_ptr<DocumentTable>& child : children_) {
-      child->finish();
+      child->reportUnknownKeys();
     }
   }
 
@@ -180,14 +180,14 @@
     return table_ == nullptr ? nullptr : table_->get(key);
   }
 
-  /// Finds a key and remembers that it is known.
-  const toml::node* take(const std::string& key) {
-    asked_.insert(key);
+  /// Finds a key and records that it has been requested.
+  const toml::node* request(const std::string& key) {
+    requested_keys_.insert(key);
     return find(key);
   }
 
   bool requirePresent(const std::string& key) {
-    if (take(key) != nullptr) {
+    if (request(key) != nullptr) {
       return true;
     }
     report(key, "is missing");
@@ -196,53 +196,54 @@
 
   template <typename Number>
   Number checkRange(const std::string& key, Number number, Number fallback, Range<Number> range) {
-    const bool within = number >= range.lowest && number <= range.highest;  // False for NaN too.
-    if (within) {
+    const bool in_range = number >= range.min && number <= range.max;  // Also false for NaN.
+    if (in_range) {
       return number;
     }
-    report(key, fmt::format("must be from {} to {}", range.lowest, range.highest));
+    report(key, fmt::format("must be from {} to {}", range.min, range.max));
     return fallback;
   }
 
   void reportElement(const std::string& key, std::size_t index, const toml::node& element,
                      const std::string& reason) {
-    document_->sink.add(element.source().begin, fmt::format("{}[{}]", joined(key), index), reason);
+    document_->sink.add(element.source().begin, fmt::format("{}[{}]", pathOf(key), index), reason);
   }
 
-  void reportUnknownKeys() {
+  void reportOwnUnknownKeys() {
     if (table_ == nullptr) {
       return;
     }
     for (const auto& [key, node] : *table_) {
       const std::string name(key.str());
-      if (asked_.count(name) == 0) {
-        document_->sink.add(key.source().begin, joined(name), "is not a known key");
+      if (requested_keys_.count(name) == 0) {
+        document_->sink.add(key.source().begin, pathOf(name), "is not a known key");
       }
     }
   }
 
   std::shared_ptr<DocumentTable> addChild(const toml::table* table, std::string path,
-                                          toml::source_position place) {
-    children_.push_back(std::make_shared<DocumentTable>(document_, table, std::move(path), place));
+                                          toml::source_position position) {
+    children_.push_back(std::make_shared<DocumentTable>(document_, table, std::move(path), position));
     return children_.back();
   }
 
-  std::string joined(const std::string& key) const { return path_.empty() ? key : path_ + "." + key; }
+  std::string pathOf(const std::string& key) const { return path_.empty() ? key : path_ + "." + key; }
 
   std::shared_ptr<Document> document_;
   const toml::table* table_;
   std::string path_;
-  toml::source_position place_;
-  std::set<std::string> asked_;
+  toml::source_position position_;
+  std::set<std::string> requested_keys_;
   std::vector<std::shared_ptr<DocumentTable>> children_;
-  bool finished_ = false;
+  bool unknown_keys_reported_ = false;
 };
 
 }  // namespace
 
 std::string SettingsProblem::toString() const {
-  const std::string place = line == 0 ? file : fmt::format("{}:{}:{}", file, line, column);
-  return key.empty() ? fmt::format("{}: {}", place, reason) : fmt::format("{}: {}: {}", place, key, reason);
+  const std::string position = line == 0 ? file : fmt::format("{}:{}:{}", file, line, column);
+  return key.empty() ? fmt::format("{}: {}", position, reason)
+                     : fmt::format("{}: {}: {}", position, key, reason);
 }
 
 std::shared_ptr<TomlTable> parseToml(std::string_view text, const std::string& file,
--- a/src/settings/toml_reader.h
+++ b/src/settings/toml_reader.h
@@ -1,6 +1,5 @@
 #pragma once
-/// @file Checked reading of TOML documents: every problem is reported with file, line, column, key and
-/// reason.
+/// @file Validating reader of TOML documents. Reports every problem with file, line, column, key and reason.
 
 #include <cstdint>
 #include <memory>
@@ -11,11 +10,11 @@
 
 namespace crankspur {
 
-/// One thing wrong with a document.
+/// One problem in a document.
 struct SettingsProblem {
   std::string file;
-  std::uint32_t line = 0;    ///< From 1; 0 when the place is unknown.
-  std::uint32_t column = 0;  ///< From 1; 0 when the place is unknown.
+  std::uint32_t line = 0;    ///< From 1; 0 when the position is unknown.
+  std::uint32_t column = 0;  ///< From 1; 0 when the position is unknown.
   std::string key;           ///< Dotted path, for example "tenants[2].weight".
   std::string reason;
 
@@ -26,12 +25,13 @@
 /// Inclusive bounds of a number.
 template <typename Number>
 struct Range {
-  Number lowest;
-  Number highest;
+  Number min;
+  Number max;
 };
 
-/// One table of a document. Getters record a problem and return the fallback when a value is wrong, so that
-/// one pass finds every problem. A key that no getter asked for is unknown; finish() reports it.
+/// One table of a document. A getter that finds an invalid value records a problem and returns the fallback,
+/// so that one pass finds every problem. A key that no getter has requested is unknown; reportUnknownKeys()
+/// reports it.
 class TomlTable {
 public:
   virtual ~TomlTable() = default;
@@ -47,21 +47,22 @@
   virtual std::shared_ptr<TomlTable> getTable(const std::string& key) = 0;
   /// @return the tables of an array of tables; empty when the key is absent.
   virtual std::vector<std::shared_ptr<TomlTable>> getTables(const std::string& key) = 0;
-  /// Records a problem of the caller's own finding at the place of `key`.
+  /// Records a problem that the caller found, at the position of `key`.
   virtual void report(const std::string& key, const std::string& reason) = 0;
   /// @return whether the key is present.
   virtual bool has(const std::string& key) const = 0;
-  /// Reports every key of this table and of all tables taken from it that no getter asked for.
-  virtual void finish() = 0;
+  /// Reports every key of this table, and of all tables obtained from it, that no getter has requested.
+  virtual void reportUnknownKeys() = 0;
 };
 
-/// Parses `text`; a syntax error is a problem and gives an empty pointer.
-/// @param file name used in problems.
+/// Parses `text`.
+/// @return the root table, or null after recording a syntax error.
+/// @param file name reported in problems.
 /// @param problems receives every problem found now and by later getters; it must outlive the table.
 std::shared_ptr<TomlTable> parseToml(std::string_view text, const std::string& file,
                                      std::vector<SettingsProblem>& problems);
 
-/// @return the whole file, or empty when it cannot be read.
+/// @return the content of the file, or empty when it cannot be read.
 std::optional<std::string> readFile(const std::string& path);
 
 }  // namespace crankspur
--- a/src/sidecar/sidecar_settings.cc
+++ b/src/sidecar/sidecar_settings.cc
@@ -30,7 +30,7 @@
   readAddresses(*root, "routers", settings.routers);
   readInterval(*root, "machine_list_interval_ms", settings.machine_list_interval, {100, 3'600'000});
   readLimits(*root->getTable("limits"), settings);
-  root->finish();
+  root->reportUnknownKeys();
   return settings;
 }
 
--- a/src/table_service/row_codec.h
+++ b/src/table_service/row_codec.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Text forms of the rows that crankspur keeps in the table service, and their keys.
+/// @file Encoding of the rows stored in the table service, and their keys.
 
 #include <optional>
 #include <string>
@@ -15,21 +15,19 @@
 /// @return the key of a lease row.
 std::string leaseRowKey(std::string_view lease_name);
 
-/// The text form of a claim row. `row_version` is not part of it. `result` must be valid UTF-8.
+/// Encodes a claim row without its `row_version`. `result` must be valid UTF-8.
 std::string encodeClaimRow(const ClaimRow& row);
-/// @return the claim row; a default one with version 0 for an absent row; empty when the text is no claim
-/// row.
+/// @return the claim row; a default one with version 0 for an absent row; empty when the text is invalid.
 std::optional<ClaimRow> decodeClaimRow(const TableRow& row);
 
-/// The text form of the claim group's row. `row_version` is not part of it.
+/// Encodes the claim group's row without its `row_version`.
 std::string encodeClaimGroupRow(const ClaimGroupRow& row);
-/// @return the row; one of epoch 0 for an absent row; empty when the text is no such row.
+/// @return the row; one with epoch 0 for an absent row; empty when the text is invalid.
 std::optional<ClaimGroupRow> decodeClaimGroupRow(const TableRow& row);
 
-/// The text form of a lease row. `row_version` is not part of it.
+/// Encodes a lease row without its `row_version`.
 std::string encodeLeaseRow(const LeaseRow& row);
-/// @return the lease row; a default one with version 0 for an absent row; empty when the text is no lease
-/// row.
+/// @return the lease row; a default one with version 0 for an absent row; empty when the text is invalid.
 std::optional<LeaseRow> decodeLeaseRow(const TableRow& row);
 
 }  // namespace crankspur
--- a/src/table_service/table_client.cc
+++ b/src/table_service/table_client.cc
@@ -11,32 +11,32 @@
 constexpr int kOk = 200;
 constexpr int kConflict = 409;
 
-ReadResult readResult(ServiceAnswer answer, const std::string& key) {
-  if (const auto* unavailable = std::get_if<ServiceUnavailable>(&answer)) {
+ReadResult toReadResult(ServiceResult result, const std::string& key) {
+  if (const auto* unavailable = std::get_if<ServiceUnavailable>(&result)) {
     return *unavailable;
   }
-  if (const auto* limited = std::get_if<ServiceRateLimited>(&answer)) {
+  if (const auto* limited = std::get_if<ServiceRateLimited>(&result)) {
     return *limited;
   }
-  const http::Response& response = std::get<http::Response>(answer);
+  const http::Response& response = std::get<http::Response>(result);
   std::optional<TableRow> row;
   if (response.status == kOk) {
     row = decodeRow(response.body);
   }
   if (!row || row->key != key) {
-    return unusableAnswer();
+    return unusableResponse();
   }
   return std::move(*row);
 }
 
-TransactionResult transactionResult(ServiceAnswer answer) {
-  if (const auto* unavailable = std::get_if<ServiceUnavailable>(&answer)) {
+TransactionResult toTransactionResult(ServiceResult result) {
+  if (const auto* unavailable = std::get_if<ServiceUnavailable>(&result)) {
     return *unavailable;
   }
-  if (const auto* limited = std::get_if<ServiceRateLimited>(&answer)) {
+  if (const auto* limited = std::get_if<ServiceRateLimited>(&result)) {
     return *limited;
   }
-  const http::Response& response = std::get<http::Response>(answer);
+  const http::Response& response = std::get<http::Response>(result);
   if (response.status == kOk) {
     if (auto committed = decodeCommitted(response.body)) {
       return std::move(*committed);
@@ -47,7 +47,7 @@
       return std::move(*conflict);
     }
   }
-  return unusableAnswer();
+  return unusableResponse();
 }
 
 class HttpTableClient : public TableClient {
@@ -61,8 +61,8 @@
   void read(const std::string& key, std::function<void(ReadResult)> done) override {
     http::Request request;
     request.target = "/v1/rows?key=" + percentEncode(key);
-    caller_.call(std::move(request), [key, done = std::move(done)](ServiceAnswer answer) {
-      done(readResult(std::move(answer), key));
+    caller_.call(std::move(request), [key, done = std::move(done)](ServiceResult result) {
+      done(toReadResult(std::move(result), key));
     });
   }
 
@@ -72,8 +72,8 @@
     request.target = "/v1/transactions";
     request.headers["Content-Type"] = "application/json";
     request.body = encodeTransaction(transaction);
-    caller_.call(std::move(request), [done = std::move(done)](ServiceAnswer answer) {
-      done(transactionResult(std::move(answer)));
+    caller_.call(std::move(request), [done = std::move(done)](ServiceResult result) {
+      done(toTransactionResult(std::move(result)));
     });
   }
 
--- a/src/table_service/table_codec.cc
+++ b/src/table_service/table_codec.cc
@@ -43,7 +43,7 @@
   return RowWrite{*key, *value};
 }
 
-/// Decodes each object of an array; empty when one does not decode.
+/// Decodes each object of an array; empty when any of them is invalid.
 template <typename Element, typename Decode>
 std::optional<std::vector<Element>> decodeAll(const json::object& object, std::string_view name,
                                               Decode decode) {
@@ -52,8 +52,8 @@
     return std::nullopt;
   }
   std::vector<Element> elements;
-  for (const json::object* each : *objects) {
-    std::optional<Element> element = decode(*each);
+  for (const json::object* element_object : *objects) {
+    std::optional<Element> element = decode(*element_object);
     if (!element) {
       return std::nullopt;
     }
--- a/src/table_service/table_codec.h
+++ b/src/table_service/table_codec.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file JSON form of the table service's rows and transactions. Decoding is strict: what does not have the
-/// exact form is empty.
+/// @file JSON encoding of the table service's rows and transactions. Decoding is strict: any deviation from
+/// the format yields an empty value.
 
 #include <optional>
 #include <string>
--- a/src/table_service/table_types.h
+++ b/src/table_service/table_types.h
@@ -7,14 +7,14 @@
 
 namespace crankspur {
 
-/// A row as read. Version 0 with an empty value means that the row is absent.
+/// A row as read from the table. Version 0 with an empty value means that the row is absent.
 struct TableRow {
   std::string key;
   std::uint64_t version = 0;
   std::string value;
 };
 
-/// Demands that a row has a version; 0 demands that it is absent.
+/// Requires that a row has this version; 0 requires that it is absent.
 struct RowCondition {
   std::string key;
   std::uint64_t version = 0;
@@ -26,13 +26,13 @@
   std::string value;
 };
 
-/// All conditions hold and all writes happen, or nothing happens.
+/// Atomic: applies all writes if all conditions hold, otherwise none.
 struct TableTransaction {
   std::vector<RowCondition> conditions;
   std::vector<RowWrite> writes;
 };
 
-/// Version that a write gave a row.
+/// Version of a row after a write.
 struct RowVersion {
   std::string key;
   std::uint64_t version = 0;
@@ -43,7 +43,7 @@
   std::vector<RowVersion> versions;
 };
 
-/// The transaction took no effect; `rows` are the present rows of its conditions.
+/// The transaction had no effect; `rows` holds the current rows of its conditions.
 struct TransactionConflict {
   std::vector<TableRow> rows;
 };
--- a/src/weight_store/weight_client.cc
+++ b/src/weight_store/weight_client.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr int kOk = 200;
-constexpr double kLongestTransferSeconds = 24 * 3600;
+constexpr double kMaxTransferSeconds = 24 * 3600;
 
 std::optional<WeightsTransfer> decodeTransfer(const std::string& text) {
   const std::optional<boost::json::object> object = parseJsonObject(text);
@@ -18,26 +18,26 @@
   }
   const auto bytes = unsignedField(*object, "bytes");
   const auto seconds = numberField(*object, "seconds");
-  if (!bytes || !seconds || !(*seconds >= 0 && *seconds <= kLongestTransferSeconds)) {
+  if (!bytes || !seconds || !(*seconds >= 0 && *seconds <= kMaxTransferSeconds)) {
     return std::nullopt;
   }
   return WeightsTransfer{*bytes, std::chrono::ceil<Duration>(std::chrono::duration<double>(*seconds))};
 }
 
-WeightsResult weightsResult(const ServiceAnswer& answer) {
-  if (const auto* unavailable = std::get_if<ServiceUnavailable>(&answer)) {
+WeightsResult toWeightsResult(const ServiceResult& result) {
+  if (const auto* unavailable = std::get_if<ServiceUnavailable>(&result)) {
     return *unavailable;
   }
-  if (const auto* limited = std::get_if<ServiceRateLimited>(&answer)) {
+  if (const auto* limited = std::get_if<ServiceRateLimited>(&result)) {
     return *limited;
   }
-  const http::Response& response = std::get<http::Response>(answer);
+  const http::Response& response = std::get<http::Response>(result);
   std::optional<WeightsTransfer> transfer;
   if (response.status == kOk) {
     transfer = decodeTransfer(response.body);
   }
   if (!transfer) {
-    return unusableAnswer();
+    return unusableResponse();
   }
   return *transfer;
 }
@@ -53,7 +53,7 @@
     http::Request request;
     request.target = "/v1/weights/" + percentEncode(model) + "/" + percentEncode(weights_version);
     caller_.call(std::move(request),
-                 [done = std::move(done)](const ServiceAnswer& answer) { done(weightsResult(answer)); });
+                 [done = std::move(done)](const ServiceResult& result) { done(toWeightsResult(result)); });
   }
 
 private:
--- a/src/weight_store/weight_client.h
+++ b/src/weight_store/weight_client.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Client of the weight store. Callbacks come on the executor's thread, never from inside the call.
+/// @file Client of the weight store. Callbacks run on the executor's thread, never from inside the call.
 
 #include <functional>
 #include <memory>
@@ -13,11 +13,11 @@
 
 using WeightsResult = std::variant<WeightsTransfer, ServiceUnavailable, ServiceRateLimited>;
 
-/// Calls the weight store. Destruction drops calls without a callback.
+/// Calls the weight store. Destruction cancels pending calls without running their callbacks.
 class WeightClient {
 public:
   virtual ~WeightClient() = default;
-  /// Begins a transfer. Model and version are names as a bundle allows them.
+  /// Starts a transfer. Model and version must be names that are valid in a bundle.
   virtual void load(const std::string& model, const std::string& weights_version,
                     std::function<void(WeightsResult)> done) = 0;
 };
--- a/src/weight_store/weight_types.h
+++ b/src/weight_store/weight_types.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file What the weight store says of one transfer.
+/// @file Transfers of the weight store.
 
 #include <cstdint>
 
@@ -7,10 +7,10 @@
 
 namespace crankspur {
 
-/// A transfer of weights that has begun.
+/// A transfer of weights that has started.
 struct WeightsTransfer {
   std::uint64_t bytes = 0;
-  Duration duration{0};  ///< Longer when more than a few load at once.
+  Duration duration{0};  ///< Grows with the number of concurrent transfers beyond a few.
 };
 
 }  // namespace crankspur
--- a/standins/engine_server/engine_codec.cc
+++ b/standins/engine_server/engine_codec.cc
@@ -204,8 +204,8 @@
   boost::json::array events;
   for (const CacheChange& change : changes.events) {
     events.push_back({{"sequence", change.sequence},
-                      {"stored", hashArray(change.stored)},
-                      {"removed", hashArray(change.removed)}});
+                      {"stored", hashesToJson(change.stored)},
+                      {"removed", hashesToJson(change.removed)}});
   }
   boost::json::object body;
   body["incarnation"] = changes.incarnation;
@@ -218,7 +218,7 @@
   boost::json::object body;
   body["incarnation"] = digest.incarnation;
   body["sequence"] = digest.sequence;
-  body["blocks"] = hashArray(digest.blocks);
+  body["blocks"] = hashesToJson(digest.blocks);
   return boost::json::serialize(body);
 }
 
@@ -267,20 +267,20 @@
     const std::vector<std::string> parts = absl::StrSplit(entry, ':');
     const bool complete = parts.size() == 2 || parts.size() == 3;
     if (!complete || parts[0].empty() || parts[1].empty()) {
-      problem.note("models", "must be model:weights[:adapter,...];... but one part is \"" + entry + "\"");
+      problem.record("models", "must be model:weights[:adapter,...];... but one part is \"" + entry + "\"");
       return {};
     }
     ServedModel served{parts[0], parts[1], {}};
     if (parts.size() == 3) served.adapters = absl::StrSplit(parts[2], ',', absl::SkipEmpty());
     models.push_back(std::move(served));
   }
-  if (models.empty()) problem.note("models", "must name at least one model");
+  if (models.empty()) problem.record("models", "must name at least one model");
   return models;
 }
 
 void checkTimings(const EngineTimings& timings, JsonProblem& problem) {
   const auto check = [&problem](bool holds, std::string_view key, std::string_view reason) {
-    if (!holds) problem.note(key, reason);
+    if (!holds) problem.record(key, reason);
   };
   check(timings.prefill_tokens_per_second > 0, "prefill_tokens_per_second", "must be above 0");
   check(timings.import_tokens_per_second > 0, "import_tokens_per_second", "must be above 0");
--- a/standins/engine_server/engine_server_outputs.cc
+++ b/standins/engine_server/engine_server_outputs.cc
@@ -17,7 +17,7 @@
 
 http::Request blocksRequest(const std::string& path, const std::vector<BlockHash>& blocks) {
   boost::json::object body;
-  body["blocks"] = hashArray(blocks);
+  body["blocks"] = hashesToJson(blocks);
   http::Request request;
   request.method = "POST";
   request.target = path;
--- a/standins/platform/machine_file.cc
+++ b/standins/platform/machine_file.cc
@@ -46,7 +46,7 @@
       table->report("name", fmt::format("'{}' stands twice", machines.back().name));
     }
   }
-  root->finish();
+  root->reportUnknownKeys();
   return machines;
 }
 
--- a/tests/fuzz/engine_answer_fuzzer.cc
+++ b/tests/fuzz/engine_answer_fuzzer.cc
@@ -11,11 +11,11 @@
 void decodeBodies(std::string_view json) {
   EngineDescription description;
   decodeDescription(json, description);
-  EngineLoadAnswer load;
+  EngineLoadResponse load;
   decodeLoad(json, TimePoint{}, load);
-  CacheEventsAnswer events;
+  CacheEventsResponse events;
   decodeCacheEvents(json, events);
-  CacheDigestAnswer digest;
+  CacheDigestResponse digest;
   decodeCacheDigest(json, digest);
   BackendEvent event;
   decodeStreamEvent(json, event);
--- a/tests/integration/standin_processes_test.cc
+++ b/tests/integration/standin_processes_test.cc
@@ -47,7 +47,7 @@
 std::int64_t heldBy(const std::string& store) {
   const CacheScope scope{"parts", "small", "", "w1"};
   const std::string blocks = boost::json::serialize(
-      boost::json::object{{"blocks", hashArray(hashBlocks(scope.seed(), std::string(6400, 'p')))}});
+      boost::json::object{{"blocks", hashesToJson(hashBlocks(scope.seed(), std::string(6400, 'p')))}});
   return boost::json::parse(testing::post(store, "/v1/kv/get", blocks).body).at("held").as_int64();
 }
 
--- a/tests/unit/app_runner/app_runner_client_test.cc
+++ b/tests/unit/app_runner/app_runner_client_test.cc
@@ -59,7 +59,7 @@
   std::unique_ptr<AppRunnerClient> client;
 };
 
-TEST_CASE("an operation runs once and gives its result as one piece", "[app_runner]") {
+TEST_CASE("an operation runs once and delivers its result as one piece", "[app_runner]") {
   RunnerFixture fixture;
   const std::vector<BackendEvent> events = fixture.execute("order", fixture.address());
   REQUIRE(events.size() == 3);
@@ -70,7 +70,7 @@
   CHECK(fixture.model.executions().at({"parts", "k1"}) == 1);
 }
 
-TEST_CASE("a lost answer is a loss with bytes sent and is not repeated", "[app_runner]") {
+TEST_CASE("a lost response is reported as lost with bytes sent and is not retried", "[app_runner]") {
   RunnerFixture fixture;
   fixture.model.loseAnswers(1);
   const std::vector<BackendEvent> events = fixture.execute("order", fixture.address());
@@ -79,7 +79,7 @@
   CHECK(fixture.model.executions().at({"parts", "k1"}) == 1);
 }
 
-TEST_CASE("an operation that did not run is refused or not sent", "[app_runner]") {
+TEST_CASE("an operation that did not run is reported as refused or not sent", "[app_runner]") {
   RunnerFixture fixture;
   const std::vector<BackendEvent> unknown = fixture.execute("refund", fixture.address());
   CHECK(std::get<BackendRefused>(unknown.at(0)).code == ErrorCode::InvalidRequest);
@@ -94,14 +94,14 @@
 
 TEST_CASE("a runner's description is fetched and decoded strictly", "[app_runner]") {
   RunnerFixture fixture;
-  bool answered = false;
+  bool received = false;
   fixture.client->fetchInfo(fixture.address(), [&](std::error_code error, const RunnerDescription& info) {
     CHECK_FALSE(error);
     CHECK(info.incarnation == fixture.model.incarnation());
     CHECK(info.operations == std::vector<std::string>{"order"});
-    answered = true;
+    received = true;
   });
-  fixture.runUntil([&] { return answered; });
+  fixture.runUntil([&] { return received; });
   RunnerDescription out;
   for (const char* bad : {"", "[]", "{}", R"({"name":"a","incarnation":"1","leaving":false})",
                           R"({"name":"a","incarnation":1,"leaving":0})",
@@ -110,7 +110,7 @@
   }
   std::string result;
   for (const char* bad : {"{", R"({"result":"x"})", R"({"result":1,"execution":1})"}) {
-    CHECK(decodeExecution(bad, result) == ErrorCode::Malformed);
+    CHECK(decodeExecuteResponse(bad, result) == ErrorCode::Malformed);
   }
 }
 
--- a/tests/unit/engine/completion_decoder_test.cc
+++ b/tests/unit/engine/completion_decoder_test.cc
@@ -15,36 +15,36 @@
     "data: {\"type\":\"end\",\"token_count\":2,\"checksum\":\"00000000000000aa\",\"finish_reason\":\"stop\"}"
     "\n\n";
 
-struct Fed {
+struct DecodedStream {
   std::error_code error;
   std::vector<BackendEvent> events;
   bool ended = false;
 };
 
-Fed feed(const std::string& bytes, std::size_t piece) {
-  Fed fed;
+DecodedStream decode(const std::string& bytes, std::size_t chunk_size) {
+  DecodedStream decoded;
   CompletionDecoder decoder;
-  for (std::size_t begin = 0; begin < bytes.size() && !fed.error; begin += piece) {
-    fed.error = decoder.feed(std::string_view(bytes).substr(begin, piece),
-                             [&fed](const BackendEvent& event) { fed.events.push_back(event); });
+  for (std::size_t begin = 0; begin < bytes.size() && !decoded.error; begin += chunk_size) {
+    decoded.error = decoder.feed(std::string_view(bytes).substr(begin, chunk_size),
+                                 [&decoded](const BackendEvent& event) { decoded.events.push_back(event); });
   }
-  fed.ended = decoder.ended();
-  return fed;
+  decoded.ended = decoder.ended();
+  return decoded;
 }
 
-TEST_CASE("a stream is decoded however it is cut into pieces", "[engine]") {
-  for (const std::size_t piece : {std::size_t{1}, std::size_t{7}, std::size_t{10'000}}) {
-    const Fed fed = feed(kAccepted + kTokens + kEnd, piece);
-    CHECK_FALSE(fed.error);
-    CHECK(fed.ended);
-    REQUIRE(fed.events.size() == 3);
-    CHECK(std::get<BackendAccepted>(fed.events[0]).cached_tokens == 16);
-    CHECK(std::get<BackendPiece>(fed.events[1]).text == "bab dad ");
-    CHECK(std::get<BackendEnd>(fed.events[2]).checksum == 0xaa);
+TEST_CASE("a stream is decoded regardless of how it is split into chunks", "[engine]") {
+  for (const std::size_t chunk_size : {std::size_t{1}, std::size_t{7}, std::size_t{10'000}}) {
+    const DecodedStream decoded = decode(kAccepted + kTokens + kEnd, chunk_size);
+    CHECK_FALSE(decoded.error);
+    CHECK(decoded.ended);
+    REQUIRE(decoded.events.size() == 3);
+    CHECK(std::get<BackendAccepted>(decoded.events[0]).cached_tokens == 16);
+    CHECK(std::get<BackendPiece>(decoded.events[1]).text == "bab dad ");
+    CHECK(std::get<BackendEnd>(decoded.events[2]).checksum == 0xaa);
   }
 }
 
-TEST_CASE("a stream out of order or with bad events is malformed", "[engine]") {
+TEST_CASE("a stream with events out of order or invalid events is malformed", "[engine]") {
   const std::vector<std::string> bad = {
       kTokens,
       kEnd,
@@ -59,11 +59,11 @@
       "\"cached_tokens\":21}\n\n",
       "data: \xff\xfe\n\n",
   };
-  for (const std::string& bytes : bad) CHECK(feed(bytes, 64).error == ErrorCode::Malformed);
+  for (const std::string& bytes : bad) CHECK(decode(bytes, 64).error == ErrorCode::Malformed);
 }
 
-TEST_CASE("an event beyond the limit is refused", "[engine]") {
-  CHECK(feed("data: " + std::string(3 * 1024 * 1024, 'x'), 64 * 1024).error == ErrorCode::TooLarge);
+TEST_CASE("an event above the size limit is rejected", "[engine]") {
+  CHECK(decode("data: " + std::string(3 * 1024 * 1024, 'x'), 64 * 1024).error == ErrorCode::TooLarge);
 }
 
 }  // namespace
--- a/tests/unit/engine/engine_messages_test.cc
+++ b/tests/unit/engine/engine_messages_test.cc
@@ -9,7 +9,7 @@
     R"({"incarnation":7,"age_ms":250,"queued_tokens":1,"queued_requests":2,"running_requests":3,"batch_limit":4,)"
     R"("cache_blocks_total":5,"cache_blocks_used":6,"prefill_tokens_per_second":8000.5})";
 
-std::string replaced(std::string text, const std::string& from, const std::string& to) {
+std::string replaceFirst(std::string text, const std::string& from, const std::string& to) {
   text.replace(text.find(from), from.size(), to);
   return text;
 }
@@ -24,24 +24,24 @@
   CHECK(out.leaving);
   REQUIRE(out.models.size() == 1);
   CHECK(out.models[0].adapters == std::vector<std::string>{"a"});
-  CHECK(decodeDescription(replaced(text, "prefill", "cook"), out) == ErrorCode::Malformed);
-  CHECK(decodeDescription(replaced(text, "\"incarnation\":7", "\"incarnation\":-7"), out) ==
+  CHECK(decodeDescription(replaceFirst(text, "prefill", "cook"), out) == ErrorCode::Malformed);
+  CHECK(decodeDescription(replaceFirst(text, "\"incarnation\":7", "\"incarnation\":-7"), out) ==
         ErrorCode::Malformed);
-  CHECK(decodeDescription(replaced(text, "[\"a\"]", "[1]"), out) == ErrorCode::Malformed);
-  CHECK(decodeDescription(replaced(text, "[{\"model\"", "[3,{\"model\""), out) == ErrorCode::Malformed);
+  CHECK(decodeDescription(replaceFirst(text, "[\"a\"]", "[1]"), out) == ErrorCode::Malformed);
+  CHECK(decodeDescription(replaceFirst(text, "[{\"model\"", "[3,{\"model\""), out) == ErrorCode::Malformed);
 }
 
-TEST_CASE("a load report is dated back by its age", "[engine]") {
+TEST_CASE("the measurement time of a load report accounts for its age", "[engine]") {
   const TimePoint now{std::chrono::seconds(50)};
-  EngineLoadAnswer out;
+  EngineLoadResponse out;
   REQUIRE_FALSE(decodeLoad(kLoad, now, out));
   CHECK(out.incarnation == 7);
   CHECK(out.report.measured_at == now - std::chrono::milliseconds(250));
   CHECK(out.report.prefill_tokens_per_second == Approx(8000.5));
 }
 
-TEST_CASE("malformed load reports are refused", "[engine]") {
-  EngineLoadAnswer out;
+TEST_CASE("malformed load reports are rejected", "[engine]") {
+  EngineLoadResponse out;
   const std::vector<std::string> bad = {
       "",
       "null",
@@ -49,23 +49,23 @@
       "{",
       "{}",
       std::string(10'000, '['),
-      replaced(kLoad, "\"age_ms\":250", "\"age_ms\":1e300"),
-      replaced(kLoad, "\"age_ms\":250", "\"age_ms\":99999999"),
-      replaced(kLoad, "\"queued_tokens\":1", "\"queued_tokens\":4294967296"),
-      replaced(kLoad, "\"queued_tokens\":1", "\"queued_tokens\":1.5"),
-      replaced(kLoad, "\"queued_tokens\":1", "\"queued_tokens\":\"1\""),
-      replaced(kLoad, "8000.5", "0"),
-      replaced(kLoad, "8000.5", "-1"),
+      replaceFirst(kLoad, "\"age_ms\":250", "\"age_ms\":1e300"),
+      replaceFirst(kLoad, "\"age_ms\":250", "\"age_ms\":99999999"),
+      replaceFirst(kLoad, "\"queued_tokens\":1", "\"queued_tokens\":4294967296"),
+      replaceFirst(kLoad, "\"queued_tokens\":1", "\"queued_tokens\":1.5"),
+      replaceFirst(kLoad, "\"queued_tokens\":1", "\"queued_tokens\":\"1\""),
+      replaceFirst(kLoad, "8000.5", "0"),
+      replaceFirst(kLoad, "8000.5", "-1"),
       kLoad + "x",
   };
   for (const std::string& text : bad) CHECK(decodeLoad(text, TimePoint{}, out) == ErrorCode::Malformed);
 }
 
-TEST_CASE("cache events must come in order with proper hashes", "[engine]") {
+TEST_CASE("cache events must be in order with valid hashes", "[engine]") {
   const auto document = [](const std::string& events) {
     return R"({"incarnation":1,"last_sequence":9,"events":[)" + events + "]}";
   };
-  CacheEventsAnswer out;
+  CacheEventsResponse out;
   REQUIRE_FALSE(decodeCacheEvents(
       document(
           R"({"sequence":3,"stored":["00000000000000ff"],"removed":[]},{"sequence":5,"stored":[],"removed":[]})"),
@@ -87,14 +87,14 @@
 }
 
 TEST_CASE("a digest is decoded", "[engine]") {
-  CacheDigestAnswer out;
+  CacheDigestResponse out;
   REQUIRE_FALSE(decodeCacheDigest(R"({"incarnation":1,"sequence":4,"blocks":["0000000000000001"]})", out));
   CHECK(out.sequence == 4);
   CHECK(out.blocks == std::vector<BlockHash>{1});
   CHECK(decodeCacheDigest(R"({"incarnation":1,"sequence":4,"blocks":{}})", out) == ErrorCode::Malformed);
 }
 
-TEST_CASE("an error body without a run state leaves it unknown", "[engine]") {
+TEST_CASE("the run state is unknown when an error body does not state it", "[engine]") {
   CHECK(decodeError(R"({"error":{"code":"overloaded","message":"m","ran":"not_run"}})").ran ==
         RunState::NotRun);
   CHECK(decodeError(R"({"error":{"code":"overloaded","message":"m","ran":"not_run"}})").code ==
@@ -106,7 +106,7 @@
   CHECK(decodeError("<html>").code == ErrorCode::Malformed);
 }
 
-TEST_CASE("Retry-After takes bounded fractional seconds", "[engine]") {
+TEST_CASE("Retry-After accepts fractional seconds up to a maximum", "[engine]") {
   CHECK(decodeRetryAfter("0.25") == std::chrono::milliseconds(250));
   CHECK(decodeRetryAfter("2") == std::chrono::seconds(2));
   CHECK(decodeRetryAfter("1e30") == std::chrono::hours(1));
--- a/tests/unit/node_settings/node_settings_test.cc
+++ b/tests/unit/node_settings/node_settings_test.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-NodeSettings wholeSettings() {
+NodeSettings validSettings() {
   NodeSettings settings;
   settings.name = "n";
   settings.zone = "z";
@@ -21,31 +21,31 @@
 
 }  // namespace
 
-TEST_CASE("whole settings of a node pass", "[node_settings]") {
-  CHECK(checkNodeSettings(wholeSettings()).empty());
+TEST_CASE("valid settings of a node are accepted", "[node_settings]") {
+  CHECK(checkNodeSettings(validSettings()).empty());
 }
 
-TEST_CASE("each value that a flag may have spoilt is named", "[node_settings]") {
-  const auto reasonWith = [](auto change) {
-    NodeSettings settings = wholeSettings();
-    change(settings);
+TEST_CASE("the reason names each invalid setting", "[node_settings]") {
+  const auto reasonAfter = [](auto modify) {
+    NodeSettings settings = validSettings();
+    modify(settings);
     return checkNodeSettings(settings);
   };
-  const auto starts = [](const std::string& reason, const std::string& key) {
+  const auto startsWith = [](const std::string& reason, const std::string& key) {
     return reason.substr(0, key.size()) == key;
   };
-  CHECK(starts(reasonWith([](NodeSettings& s) { s.name.clear(); }), "name"));
-  CHECK(starts(reasonWith([](NodeSettings& s) { s.zone.clear(); }), "zone"));
-  CHECK(starts(reasonWith([](NodeSettings& s) { s.region.clear(); }), "region"));
-  CHECK(starts(reasonWith([](NodeSettings& s) { s.listen = "nowhere"; }), "listen"));
-  CHECK(starts(reasonWith([](NodeSettings& s) { s.admin = "127.0.0.1"; }), "admin"));
-  CHECK(starts(reasonWith([](NodeSettings& s) { s.platform = "127.0.0.1:70000"; }), "platform"));
-  CHECK(starts(reasonWith([](NodeSettings& s) { s.trusted_keys.approvers.clear(); }), "trusted_keys"));
-  CHECK(starts(checkAddresses("routers", {"127.0.0.1:1", "host:2"}), "routers"));
+  CHECK(startsWith(reasonAfter([](NodeSettings& s) { s.name.clear(); }), "name"));
+  CHECK(startsWith(reasonAfter([](NodeSettings& s) { s.zone.clear(); }), "zone"));
+  CHECK(startsWith(reasonAfter([](NodeSettings& s) { s.region.clear(); }), "region"));
+  CHECK(startsWith(reasonAfter([](NodeSettings& s) { s.listen = "nowhere"; }), "listen"));
+  CHECK(startsWith(reasonAfter([](NodeSettings& s) { s.admin = "127.0.0.1"; }), "admin"));
+  CHECK(startsWith(reasonAfter([](NodeSettings& s) { s.platform = "127.0.0.1:70000"; }), "platform"));
+  CHECK(startsWith(reasonAfter([](NodeSettings& s) { s.trusted_keys.approvers.clear(); }), "trusted_keys"));
+  CHECK(startsWith(checkAddresses("routers", {"127.0.0.1:1", "host:2"}), "routers"));
   CHECK(checkAddresses("routers", {"127.0.0.1:1", "[::1]:2"}).empty());
 }
 
-TEST_CASE("bad addresses in a sidecar's file are reported with their place", "[node_settings]") {
+TEST_CASE("invalid addresses in a sidecar's settings file are reported with their line", "[node_settings]") {
   std::vector<SettingsProblem> problems;
   readSidecarSettings("listen = \"nowhere\"\nadmin = \"x\"\nrouters = [\"y\"]\nlog_format = \"xml\"\n",
                       "f.toml", problems);
--- a/tests/unit/platform_service/platform_clients_test.cc
+++ b/tests/unit/platform_service/platform_clients_test.cc
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-TEST_CASE("a compare-and-set commits once and tells the loser the present row", "[table_service]") {
+TEST_CASE("a compare-and-set commits once, and a conflict returns the current row", "[table_service]") {
   TableFixture fixture;
   CHECK(std::get<TransactionCommitted>(fixture.compareAndSet(0, "one")).versions[0].version == 1);
   const auto conflict = std::get<TransactionConflict>(fixture.compareAndSet(0, "two"));
@@ -28,34 +28,36 @@
   CHECK(std::get<TableRow>(fixture.read("a key/with &odd=bytes%")).version == 0);
 }
 
-TEST_CASE("a failure says whether the write may have taken effect", "[table_service]") {
+TEST_CASE("a failure states whether the write may have taken effect", "[table_service]") {
   TableFixture fixture;
-  fixture.behave(ServiceMode::LoseAnswers);
+  fixture.setMode(ServiceMode::LoseAnswers);
   CHECK(std::get<ServiceUnavailable>(fixture.compareAndSet(0, "one")).effect_unknown);
   CHECK(fixture.model.row("k/1").value == "one");
-  fixture.behave(ServiceMode::Down);
+  fixture.setMode(ServiceMode::Down);
   CHECK_FALSE(std::get<ServiceUnavailable>(fixture.compareAndSet(1, "two")).effect_unknown);
 
-  ServiceOptions nowhere = fixture.options();
-  nowhere.address = "127.0.0.1:1";
-  fixture.table = makeTableClient(fixture.context.get_executor(), *fixture.client, fixture.clock, nowhere);
+  ServiceOptions unreachable = fixture.options();
+  unreachable.address = "127.0.0.1:1";
+  fixture.table =
+      makeTableClient(fixture.context.get_executor(), *fixture.client, fixture.clock, unreachable);
   CHECK_FALSE(std::get<ServiceUnavailable>(fixture.compareAndSet(1, "two")).effect_unknown);
 }
 
-TEST_CASE("an answer that never comes is unavailable with unknown effect", "[table_service]") {
+TEST_CASE("a missing response is reported as unavailable with unknown effect", "[table_service]") {
   TableFixture fixture;
   fixture.model.setBehaviour(PlatformService::Table, {ServiceMode::Slow, 1h, 1, 1.0});
-  ServiceOptions impatient = fixture.options();
-  impatient.call_timeout = 50ms;
-  fixture.table = makeTableClient(fixture.context.get_executor(), *fixture.client, fixture.clock, impatient);
+  ServiceOptions short_timeout = fixture.options();
+  short_timeout.call_timeout = 50ms;
+  fixture.table =
+      makeTableClient(fixture.context.get_executor(), *fixture.client, fixture.clock, short_timeout);
   CHECK(std::get<ServiceUnavailable>(fixture.compareAndSet(0, "one")).effect_unknown);
 }
 
-TEST_CASE("a client keeps to its share of the rate, and to the service's refusals", "[platform_service]") {
+TEST_CASE("a client honours its own rate limit and the service's Retry-After", "[platform_service]") {
   TableFixture fixture;
-  ServiceOptions slow = fixture.options();
-  slow.limit = {0.001, 1.0};
-  fixture.table = makeTableClient(fixture.context.get_executor(), *fixture.client, fixture.clock, slow);
+  ServiceOptions low_rate = fixture.options();
+  low_rate.limit = {0.001, 1.0};
+  fixture.table = makeTableClient(fixture.context.get_executor(), *fixture.client, fixture.clock, low_rate);
   CHECK(std::holds_alternative<TableRow>(fixture.read("a")));
   CHECK(std::get<ServiceRateLimited>(fixture.read("a")).retry_after > 100s);
   CHECK(fixture.model.served(PlatformService::Table) == 1);
@@ -69,7 +71,7 @@
   CHECK(fixture.model.rateLimited(PlatformService::Table) == 1);
 }
 
-TEST_CASE("a destroyed client calls nobody back", "[platform_service]") {
+TEST_CASE("a destroyed client runs no callback", "[platform_service]") {
   TableFixture fixture;
   fixture.model.setBehaviour(PlatformService::Table, {ServiceMode::Slow, 20ms, 0, 1.0});
   bool called = false;
@@ -82,30 +84,30 @@
   CHECK_FALSE(called);
 }
 
-TEST_CASE("objects are stored and read, and reads at the same time share one call", "[object_store]") {
+TEST_CASE("objects are stored and read, and concurrent reads share one call", "[object_store]") {
   PlatformFixture fixture;
   const auto objects =
       makeObjectClient(fixture.context.get_executor(), *fixture.client, fixture.clock, fixture.options());
   const auto get = [&] {
     return fixture.wait<GetObjectResult>([&](auto done) { objects->get("bundles/1-a", std::move(done)); });
   };
-  CHECK(std::holds_alternative<ObjectAbsent>(get()));
+  CHECK(std::holds_alternative<ObjectNotFound>(get()));
   const std::string body(300'000, 'x');
   const auto put =
       fixture.wait<PutObjectResult>([&](auto done) { objects->put("bundles/1-a", body, std::move(done)); });
   CHECK(std::holds_alternative<ObjectWritten>(put));
   const std::uint64_t before = fixture.model.served(PlatformService::Objects);
-  int answers = 0;
-  const auto count = [&answers, &body](const GetObjectResult& result) {
-    answers += std::get<ObjectBody>(result).bytes == body ? 1 : 0;
+  int completed = 0;
+  const auto count = [&completed, &body](const GetObjectResult& result) {
+    completed += std::get<ObjectBody>(result).bytes == body ? 1 : 0;
   };
   objects->get("bundles/1-a", count);
   objects->get("bundles/1-a", count);
-  fixture.runUntil([&answers] { return answers == 2; });
+  fixture.runUntil([&completed] { return completed == 2; });
   CHECK(fixture.model.served(PlatformService::Objects) == before + 1);
 }
 
-TEST_CASE("machine list and weight store answer through their clients", "[machine_list]") {
+TEST_CASE("the machine list and the weight store are available through their clients", "[machine_list]") {
   PlatformFixture fixture;
   const Machine machine{"e1", MachineRole::Engine, "general", "127.0.0.1:9", "z", "r", MachineState::Leaving};
   fixture.model.setInitialMachines({machine});
@@ -118,9 +120,9 @@
   REQUIRE(list.machines.size() == 1);
   CHECK(list.machines[0].state == MachineState::Leaving);
   CHECK(list.machines[0].pool == "general");
-  fixture.behave(ServiceMode::Down);
+  fixture.setMode(ServiceMode::Down);
   CHECK(std::holds_alternative<ServiceUnavailable>(fetch()));
-  fixture.behave(ServiceMode::Up);
+  fixture.setMode(ServiceMode::Up);
   const auto weights =
       makeWeightClient(fixture.context.get_executor(), *fixture.client, fixture.clock, fixture.options());
   const auto transfer = fixture.wait<WeightsResult>(
@@ -128,7 +130,8 @@
   CHECK(std::get<WeightsTransfer>(transfer).duration == 7s);
 }
 
-TEST_CASE("claim and lease rows survive their text form, and other text is no row", "[table_service]") {
+TEST_CASE("claim and lease rows survive encoding and decoding, and invalid text is rejected",
+          "[table_service]") {
   const ClaimRow claim{ClaimRow::Phase::Done, "t\"1", "hash", "{\"ok\":true}\n", 4};
   const auto decoded = decodeClaimRow({"k", 4, encodeClaimRow(claim)});
   REQUIRE(decoded);
@@ -142,12 +145,12 @@
   CHECK(lease->token == 7);
   CHECK(lease->row_version == 9);
   const ClaimGroupRow group{7, {{"10.0.0.1:80", ~0ull}, {"10.0.0.2:80", 2}}, "installer", 5};
-  const auto same = decodeClaimGroupRow({"k", 5, encodeClaimGroupRow(group)});
-  REQUIRE(same);
-  CHECK(same->epoch == 7);
-  CHECK(same->members == group.members);
-  CHECK(same->installer == group.installer);
-  CHECK(same->row_version == 5);
+  const auto decoded_group = decodeClaimGroupRow({"k", 5, encodeClaimGroupRow(group)});
+  REQUIRE(decoded_group);
+  CHECK(decoded_group->epoch == 7);
+  CHECK(decoded_group->members == group.members);
+  CHECK(decoded_group->installer == group.installer);
+  CHECK(decoded_group->row_version == 5);
   CHECK(decodeClaimGroupRow({"k", 0, ""})->epoch == 0);
   for (const std::string bad :
        {"", "{}", R"({"epoch":0,"installer":"","members":[{"address":"a","incarnation":1}]})",
@@ -162,7 +165,7 @@
   }
 }
 
-TEST_CASE("answers that are not the protocol's are refused", "[table_service]") {
+TEST_CASE("responses that violate the protocol are rejected", "[table_service]") {
   for (const std::string bad : {"", "{}", "[1]", R"({"committed":1,"versions":{}})",
                                 R"({"committed":true,"versions":{"k":"1"}})", R"({"committed":true})"}) {
     CHECK_FALSE(decodeCommitted(bad));
--- a/tests/unit/platform_service/platform_fixture.h
+++ b/tests/unit/platform_service/platform_fixture.h
@@ -15,7 +15,7 @@
 namespace crankspur {
 
 struct PlatformFixture {
-  static constexpr std::chrono::seconds kPatience{20};
+  static constexpr std::chrono::seconds kTimeout{20};
 
   PlatformFixture() { REQUIRE_FALSE(server.start("127.0.0.1:0")); }
 
@@ -27,7 +27,7 @@
     return options;
   }
 
-  /// Runs a call that takes a callback and gives what the callback got.
+  /// Runs an asynchronous call and returns the value passed to its callback.
   template <typename Result, typename Start>
   Result wait(Start start) {
     std::optional<Result> result;
@@ -39,7 +39,7 @@
 
   template <typename Condition>
   void runUntil(Condition condition) {
-    const auto end = std::chrono::steady_clock::now() + kPatience;
+    const auto end = std::chrono::steady_clock::now() + kTimeout;
     while (!condition() && std::chrono::steady_clock::now() < end) {
       context.restart();
       context.run_one_for(std::chrono::milliseconds(50));
@@ -52,7 +52,7 @@
         [&](auto done) { table->compareAndSet("k/1", version, value, std::move(done)); });
   }
 
-  void behave(standin::ServiceMode mode) {
+  void setMode(standin::ServiceMode mode) {
     for (const standin::PlatformService service : standin::kPlatformServices) {
       model.setBehaviour(service, {mode, Duration{0}, 0, 1.0});
     }
--- a/tests/unit/standin_engine_server/engine_client_test.cc
+++ b/tests/unit/standin_engine_server/engine_client_test.cc
@@ -117,14 +117,14 @@
     CHECK(info.models.at(0).adapters == std::vector<std::string>{"holiday"});
     ++answers;
   });
-  fixture.client->fetchLoad(fixture.address(), [&](std::error_code error, const EngineLoadAnswer& load) {
+  fixture.client->fetchLoad(fixture.address(), [&](std::error_code error, const EngineLoadResponse& load) {
     CHECK_FALSE(error);
     CHECK(load.report.batch_limit == 32);
     ++answers;
   });
   fixture.runUntil([&] { return answers == 2; });
   std::vector<std::error_code> digests;
-  const auto on_digest = [&](std::error_code error, const CacheDigestAnswer& answer) {
+  const auto on_digest = [&](std::error_code error, const CacheDigestResponse& answer) {
     if (error) CHECK(answer.retry_after > Duration{0});
     digests.push_back(error);
   };
@@ -135,7 +135,7 @@
   CHECK_FALSE(digests[0]);
   CHECK(digests[1] == ErrorCode::RateLimited);
   std::vector<std::error_code> orders;
-  EngineOrderCall order;
+  EngineOrderRequest order;
   order.kind = EngineOrderKind::SetRole;
   order.role = EngineRole::Decode;
   for (const std::uint64_t token : {5, 4}) {
@@ -151,10 +151,10 @@
 
 TEST_CASE("a long poll returns cache events once they are visible", "[engine]") {
   EngineFixture fixture;
-  CacheEventsAnswer events;
+  CacheEventsResponse events;
   bool answered = false;
   fixture.client->pollCacheEvents(fixture.address(), 0, std::chrono::seconds(10),
-                                  [&](std::error_code error, const CacheEventsAnswer& answer) {
+                                  [&](std::error_code error, const CacheEventsResponse& answer) {
                                     CHECK_FALSE(error);
                                     events = answer;
                                     answered = true;
