--- a/src/router_process/backend_poller.cc
+++ b/src/router_process/backend_poller.cc
@@ -44,7 +44,7 @@
 
 void BackendPoller::pollLoad(const BackendPoll& poll) {
   engines_->fetchLoad(poll.address,
-                      [this, name = poll.name](std::error_code error, const EngineLoadAnswer& response) {
+                      [this, name = poll.name](std::error_code error, const EngineLoadResponse& response) {
                         if (error) return reportFailure(name, error);
                         engine_table_.onLoad(name, response.incarnation, response.report, clock_.now());
                         on_change_();
--- a/src/router_process/cache_event_feed.cc
+++ b/src/router_process/cache_event_feed.cc
@@ -81,7 +81,7 @@
   follower->digest_wanted = false;
   follower->next_digest_at = clock_.now() + kDigestInterval;
   engines_->fetchDigest(follower->address,
-                        [this, follower](std::error_code error, const CacheDigestAnswer& response) {
+                        [this, follower](std::error_code error, const CacheDigestResponse& response) {
                           if (!isCurrent(follower)) return;
                           if (error) {
                             const Duration delay = std::max(kRetryDelay, response.retry_after);
@@ -108,7 +108,7 @@
 void CacheEventFeed::poll(const std::shared_ptr<Follower>& follower) {
   if (follower->digest_wanted && clock_.now() >= follower->next_digest_at) return fetchDigest(follower);
   engines_->pollCacheEvents(follower->address, follower->after, kMaxPollWait,
-                            [this, follower](std::error_code error, const CacheEventsAnswer& response) {
+                            [this, follower](std::error_code error, const CacheEventsResponse& response) {
                               if (!isCurrent(follower)) return;
                               // Events of another incarnation do not apply to this index. The engine table
                               // will report the new incarnation, and follow() then replaces this follower.
@@ -120,7 +120,8 @@
                             });
 }
 
-void CacheEventFeed::onEvents(const std::shared_ptr<Follower>& follower, const CacheEventsAnswer& response) {
+void CacheEventFeed::onEvents(const std::shared_ptr<Follower>& follower,
+                              const CacheEventsResponse& response) {
   if (response.events.empty()) return;
   metrics_.cache_events.Increment(static_cast<double>(response.events.size()));
   for (const CacheEvent& event : response.events) follower->after = std::max(follower->after, event.sequence);
--- a/src/router_process/traffic_shard.cc
+++ b/src/router_process/traffic_shard.cc
@@ -35,7 +35,7 @@
     service.address = options_.table_address;
     service.limit = table_share_.callerLimit();
     // Spreads the calls of processes that start together; otherwise they would stay synchronized.
-    service.starting_debt = RandomSource(options_.random_seed).unit();
+    service.initial_debt = RandomSource(options_.random_seed).unit();
     table_ = makeTableClient(thread_.executor(), *http_, clock_, service);
   }
   RequestRouterOptions router_options;
@@ -62,7 +62,7 @@
   // this router.
   const bool fleet_known = !snapshot.engines.empty() || !snapshot.runners.empty();
   if (!table_ || !fleet_known) return;
-  table_share_.noteRouters(snapshot.router_count, now());
+  table_share_.recordRouterCount(snapshot.router_count, now());
   table_->setLimit(table_share_.callerLimit());
 }
 
@@ -190,7 +190,7 @@
     active.stream = engines_->complete(dispatch, handler);
     return;
   }
-  EngineResume resume;
+  EngineResumeRequest resume;
   resume.request_id = dispatch.request.request_id;
   resume.attempt = dispatch.request.attempt;
   resume.expect_incarnation = dispatch.expected_incarnation;
