--- a/sim/check/checkers_fleet.cc
+++ b/sim/check/checkers_fleet.cc
@@ -128,7 +128,7 @@
     }
   }
   std::map<std::pair<std::string, std::uint64_t>, std::uint64_t> newest;
-  for (const BundleUse& use : records.bundle_uses) {
+  for (const BundleActivation& use : records.bundle_uses) {
     std::uint64_t& version = newest[{use.node, use.epoch}];
     if (use.version <= version) {
       violations.push_back(
@@ -148,7 +148,7 @@
   for (const CallerRecord& caller : records.callers) {
     named[caller.request.request_id] = caller.request.bundle_version;
   }
-  for (const DecisionUse& decision : records.decisions) {
+  for (const DecisionObservation& decision : records.decisions) {
     if (decision.version >= named[decision.request_id]) continue;
     violations.push_back(
         {"bundle", fmt::format("{} decided {} under bundle {} though its caller had {}", decision.router,
@@ -183,7 +183,7 @@
 
 void checkFencing(const CheckInput& input, Violations& violations) {
   std::map<std::pair<std::string, std::uint64_t>, std::uint64_t> highest;
-  for (const OrderUse& order : input.world.context().records.orders) {
+  for (const ExecutedOrder& order : input.world.context().records.orders) {
     std::uint64_t& token = highest[{order.engine, order.incarnation}];
     if (order.token < token) {
       violations.push_back({"fencing", fmt::format("{} took an order with token {} after one with {}",
@@ -200,7 +200,7 @@
     return;
   }
   const std::size_t limit = Knobs().parallel_weight_loads;
-  for (const OrderUse& order : input.world.context().records.orders) {
+  for (const ExecutedOrder& order : input.world.context().records.orders) {
     if (order.loading_weights <= limit) continue;
     violations.push_back({"waves", fmt::format("{} began to load weights as one of {} engines", order.engine,
                                                order.loading_weights)});
--- a/sim/check/checkers_outage.cc
+++ b/sim/check/checkers_outage.cc
@@ -12,7 +12,7 @@
 constexpr Duration kNoticeTime = std::chrono::seconds(10);
 
 void checkProgress(const Records& records, Violations& violations) {
-  const Span& outage = records.table_outage->span;
+  const TimeSpan& outage = records.table_outage->span;
   std::size_t answered = 0;
   for (const CallerRecord& caller : records.callers) {
     const bool order = !caller.request.idempotency_key.empty();
@@ -34,7 +34,7 @@
 
 void checkTableOutage(const CheckInput& input, Violations& violations) {
   const Records& records = input.world.context().records;
-  if (!records.table_outage || !records.table_outage->majority_lives) return;
+  if (!records.table_outage || !records.table_outage->majority_live) return;
   checkProgress(records, violations);
 }
 
--- a/sim/check/checkers_requests.cc
+++ b/sim/check/checkers_requests.cc
@@ -84,15 +84,15 @@
   for (const ArrivalRecord& arrival : input.world.context().records.arrivals) {
     const auto run = runs.find({arrival.engine, arrival.stream});
     if (run == runs.end()) continue;
-    if (arrival.counted_on_incarnation != 0 && arrival.counted_on_incarnation != arrival.incarnation) {
+    if (arrival.expected_incarnation != 0 && arrival.expected_incarnation != arrival.incarnation) {
       violations.push_back({"cache_use", fmt::format("{} ran at {} though it counted on a dead process",
                                                      arrival.request_id, arrival.engine)});
     }
     const std::string& weights = run->second->scope->weights_version;
-    if (!arrival.counted_on_weights.empty() && arrival.counted_on_weights != weights) {
+    if (!arrival.expected_weights.empty() && arrival.expected_weights != weights) {
       violations.push_back(
           {"cache_use", fmt::format("{} ran at {} under {} though it counted on {}", arrival.request_id,
-                                    arrival.engine, weights, arrival.counted_on_weights)});
+                                    arrival.engine, weights, arrival.expected_weights)});
     }
   }
 }
@@ -101,7 +101,7 @@
   for (const CallerRecord& caller : input.world.context().records.callers) {
     const std::string& id = caller.request.request_id;
     if (caller.out_of_order) violations.push_back({"stream_order", id + " got text out of order"});
-    if (caller.late_text) violations.push_back({"stream_order", id + " got text after its end"});
+    if (caller.text_after_final) violations.push_back({"stream_order", id + " got text after its end"});
     if (caller.finals > 1) violations.push_back({"stream_order", id + " got more than one final answer"});
     const bool completion = caller.request.kind == RequestKind::Completion;
     const bool right = completion ? agreesWithAnyWeights(caller) : !caller.end || rightResult(caller);
--- a/sim/check/fault.cc
+++ b/sim/check/fault.cc
@@ -131,12 +131,12 @@
     const std::size_t index = pick(world_.engineCount());
     for (std::size_t offset = 0; offset < kMostEngines; ++offset) {
       const std::size_t engine = (index + offset) % world_.engineCount();
-      at(from, [this, engine] { world_.engineAt(engine).setLostPieces(0.1); });
-      at(from + seconds(6), [this, engine] { world_.engineAt(engine).setLostPieces(0); });
+      at(from, [this, engine] { world_.engineAt(engine).setPieceLossRate(0.1); });
+      at(from + seconds(6), [this, engine] { world_.engineAt(engine).setPieceLossRate(0); });
     }
     const std::size_t sidecar = pick(world_.sidecarCount());
-    at(from, [this, sidecar] { world_.sidecarAt(sidecar).setLostPieces(0.05); });
-    at(from + seconds(6), [this, sidecar] { world_.sidecarAt(sidecar).setLostPieces(0); });
+    at(from, [this, sidecar] { world_.sidecarAt(sidecar).setPieceLossRate(0.05); });
+    at(from + seconds(6), [this, sidecar] { world_.sidecarAt(sidecar).setPieceLossRate(0); });
   } else if (kind == FaultKind::PrefixShift) {
     for (std::uint64_t count = random_.uniform(1, 3); count > 0; --count) {
       at(beginning(), [this] { workload_.shiftPrefixes(); });
@@ -245,7 +245,7 @@
     at(from + between(seconds(2), seconds(9)), [&network] { network.setDisturbance(Duration(0), 0); });
   } else if (kind == FaultKind::CrossedAnswers) {
     for (std::size_t index = 0; index < world_.sidecarCount(); ++index) {
-      world_.sidecarAt(index).setRepeatedAnswers(0.4);
+      world_.sidecarAt(index).setDuplicateResponseRate(0.4);
     }
     const Duration when = seconds(4) + between(Duration(0), seconds(6));
     roll(0, when - between(milliseconds(500), seconds(3)));
@@ -313,7 +313,7 @@
 
 void FaultDriver::planBundles(FaultKind kind) {
   const bool rolls = kind == FaultKind::WeightsRoll || kind == FaultKind::OperatorRace;
-  if (rolls) world_.context().repeated_bundle_share = 0.3;
+  if (rolls) world_.context().duplicate_bundle_rate = 0.3;
   if (kind == FaultKind::WeightsRoll) {
     const Duration when = beginning();
     roll(0, when);
--- a/sim/check/fault_fleet.cc
+++ b/sim/check/fault_fleet.cc
@@ -28,7 +28,7 @@
 
 void FaultDriver::planFleet(FaultKind kind) {
   if (kind == FaultKind::SamePrompts) {
-    workload_.sendSamePrompts();
+    workload_.sendDuplicatePrompts();
   } else if (kind == FaultKind::RackLoss) {
     loseRack();
   } else if (kind == FaultKind::HerdRateLimits) {
@@ -40,7 +40,7 @@
       when += between(seconds(1), seconds(4));
     }
   } else if (kind == FaultKind::Rollback) {
-    world_.context().repeated_bundle_share = 0.3;
+    world_.context().duplicate_bundle_rate = 0.3;
     const Duration when = beginning();
     roll(0, when);
     rollBack(random_.uniform(0, 1), when + between(milliseconds(200), seconds(8)));
@@ -71,12 +71,13 @@
 void FaultDriver::herdWithRateLimits() {
   const Duration when = beginning();
   at(when, [this] { world_.platform().setStoreRateLimit(kScarceCalls); });
-  at(when + kScarceTime, [this] { world_.platform().setStoreRateLimit(PlatformNode::kUsualStoreCalls); });
+  at(when + kScarceTime,
+     [this] { world_.platform().setStoreRateLimit(PlatformNode::kDefaultStoreRateLimit); });
   herdRestart(when + milliseconds(200));
 }
 
 void FaultDriver::partForAnHour() {
-  world_.context().repeated_bundle_share = 0.3;
+  world_.context().duplicate_bundle_rate = 0.3;
   const Duration from = between(seconds(2), seconds(20));
   const Duration to = from + kPartLasts;
   partition(from, to);
--- a/sim/check/run.cc
+++ b/sim/check/run.cc
@@ -135,7 +135,7 @@
   const TimePoint load_begins = queue.now();
   workload.start();
   for (const FaultKind kind : faults) driver.plan(kind);
-  queue.runUntil(load_begins + world.site().load + world.site().settle);
+  queue.runUntil(load_begins + world.site().load + world.site().settle_time);
 
   const CheckInput input{world, faults, load_begins, load_begins + world.site().load + kWindDown};
   result.violations = checkAll(input);
--- a/sim/check/table_outage.cc
+++ b/sim/check/table_outage.cc
@@ -25,7 +25,7 @@
 void FaultDriver::planTableOutage() {
   const Duration end = kBeforeOutage + kTableOutage;
   TableOutage outage;
-  outage.majority_lives = random_.chance(kMajorityLivesShare);
+  outage.majority_live = random_.chance(kMajorityLivesShare);
   outage.span = {world_.context().queue.now() + kBeforeOutage, world_.context().queue.now() + end};
   world_.context().records.table_outage = outage;
   const standin::ServiceBehaviour losing{standin::ServiceMode::LoseAnswers, Duration(0), 0,
@@ -34,14 +34,14 @@
   setStore(kBeforeOutage, end, {standin::ServiceMode::Down});
   if (random_.chance(0.5)) setStore(end, end + between(seconds(1), kLostAnswersAfter), losing);
   const std::uint64_t replacements = random_.uniform(6, 20);
-  replaceRouters(kBeforeOutage + seconds(1), end, replacements, outage.majority_lives);
+  replaceRouters(kBeforeOutage + seconds(1), end, replacements, outage.majority_live);
   for (std::uint64_t count = random_.uniform(2, 8); count > 0; --count) {
     const std::size_t index = pick(world_.runnerCount());
     const Duration when = between(kBeforeOutage, end);
     at(when, [this, index] { world_.runnerAt(index).crash(false); });
     at(when + between(milliseconds(50), seconds(3)), [this, index] { world_.runnerAt(index).restart(); });
   }
-  if (outage.majority_lives) return;
+  if (outage.majority_live) return;
   openTableAtTimes(kBeforeOutage + seconds(60), end - seconds(60));
   disturbOutage(kBeforeOutage - seconds(20), end + seconds(30));
   // While claims made without the table are still on their way into it.
--- a/sim/world/bundle_maker.cc
+++ b/sim/world/bundle_maker.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Fixed keys, so that a seed means the same run everywhere.
+/// Fixed keys keep a run of one seed identical on every machine.
 const std::string kAuthorKey = encodeBase64("simulation author key, 32 bytes.");
 const std::string kApproverKey = encodeBase64("simulation approver key,32 bytes");
 
--- a/sim/world/bundle_maker.h
+++ b/sim/world/bundle_maker.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Signed bundles for simulated sites.
+/// @file Builds signed configuration bundles for simulated sites.
 
 #include <string>
 
@@ -8,19 +8,19 @@
 
 namespace crankspur::sim {
 
-/// The model that every site serves.
+/// Model served at every site.
 inline constexpr const char* kModel = "language-model";
 
-/// What differs from bundle to bundle.
+/// Fields that vary between bundles of one site.
 struct BundleContent {
   std::uint64_t version = 1;
   std::string weights = "w1";
-  std::string remark;  ///< Makes documents of racing operators differ.
+  std::string remark;  ///< Distinguishes the documents of concurrent operators.
 };
 
-/// @return the public keys that the site's processes trust.
+/// @return the public keys trusted by the processes of every site.
 TrustedKeys trustedKeys();
-/// @return a bundle signed by author and approver.
+/// @return a bundle for `site` with author and approver signatures.
 BundleBody makeBundle(const Site& site, const BundleContent& content);
 
 }  // namespace crankspur::sim
--- a/sim/world/context.h
+++ b/sim/world/context.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file What every simulated node needs: time, network, trace, records and the nodes it may reach.
+/// @file Services shared by all simulated nodes: time, network, trace, records and node lookup.
 
 #include <functional>
 #include <memory>
@@ -20,11 +20,11 @@
 class RunnerNode;
 class PlatformNode;
 
-/// Finds nodes by name, as an address would.
-class Directory {
+/// Resolves node names, in place of network addresses.
+class NodeDirectory {
 public:
-  virtual ~Directory() = default;
-  /// @return the node, or nullptr.
+  virtual ~NodeDirectory() = default;
+  /// @return the node, or nullptr if the name is unknown. Applies to all lookups below.
   virtual RouterNode* router(const std::string& name) = 0;
   virtual SidecarNode* sidecar(const std::string& name) = 0;
   virtual EngineNode* engine(const std::string& name) = 0;
@@ -32,7 +32,7 @@
   virtual PlatformNode& platform() = 0;
 };
 
-/// Shared by all nodes of one run.
+/// State and services shared by all nodes of one run.
 struct Context {
   EventQueue& queue;
   Network& network;
@@ -40,34 +40,35 @@
   Records& records;
   RandomSource& random;
   const RemovedMechanisms& removed;
-  Directory& directory;
-  /// Share of bundle bodies that come a second time, much later.
-  double repeated_bundle_share = 0;
+  NodeDirectory& directory;
+  /// Fraction of received bundle bodies that are delivered again after a long delay.
+  double duplicate_bundle_rate = 0;
 
   bool without(Mechanism mechanism) const { return removed.contains(mechanism); }
 };
 
-/// Runs a request and its answer between two hosts. `handle` runs at the server and is given the function
-/// that sends the answer; `done` runs at the client with the answer, or with none after `timeout`.
+/// Executes a request/response exchange between two hosts. `handle` runs at the server and receives the
+/// function that sends the response; `done` runs once at the client, with the response or, after `timeout`,
+/// with std::nullopt.
 template <typename Reply>
 void call(Context& context, Host& client, Host& server, Duration timeout,
           std::function<void(std::function<void(Reply)>)> handle,
           std::function<void(std::optional<Reply>)> done) {
-  auto settled = std::make_shared<bool>(false);
-  const auto settle = [settled, done](std::optional<Reply> reply) {
-    if (*settled) return;
-    *settled = true;
+  auto completed = std::make_shared<bool>(false);
+  const auto complete = [completed, done](std::optional<Reply> reply) {
+    if (*completed) return;
+    *completed = true;
     done(std::move(reply));
   };
-  client.post(timeout, [settle] { settle(std::nullopt); });
+  client.post(timeout, [complete] { complete(std::nullopt); });
   const std::uint64_t epoch = client.epoch();
-  const auto answer = [&context, &client, &server, epoch, settle](Reply reply) {
+  const auto send_response = [&context, &client, &server, epoch, complete](Reply reply) {
     if (context.network.blocked(server, client)) return;
-    context.queue.after(context.network.delay(server, client), [&client, epoch, settle, reply] {
-      client.run(epoch, [settle, reply] { settle(reply); });
+    context.queue.after(context.network.delay(server, client), [&client, epoch, complete, reply] {
+      client.run(epoch, [complete, reply] { complete(reply); });
     });
   };
-  context.network.datagram(client, server, [handle, answer] { handle(answer); });
+  context.network.datagram(client, server, [handle, send_response] { handle(send_response); });
 }
 
 }  // namespace crankspur::sim
--- a/sim/world/engine_node.cc
+++ b/sim/world/engine_node.cc
@@ -11,7 +11,7 @@
 }
 
 void EngineNode::submit(const ChannelPointer& channel, standin::CompletionRequest request,
-                        const SenderView& sender, StreamHandler handler) {
+                        const DispatchExpectation& sender, StreamHandler handler) {
   if (context_.without(Mechanism::IncarnationCheck)) request.expect_incarnation = 0;
   if (context_.without(Mechanism::WeightsCheck)) request.expect_weights.clear();
   const standin::StreamId stream = addStream(channel, std::move(handler));
@@ -38,15 +38,15 @@
 }
 
 void EngineNode::recordArrival(standin::StreamId stream, const standin::CompletionRequest& request,
-                               const SenderView& sender) {
+                               const DispatchExpectation& sender) {
   ArrivalRecord record;
   record.request_id = request.request_id;
   record.attempt = request.attempt;
   record.engine = host_.name();
   record.stream = stream;
   record.router = sender.router;
-  record.counted_on_incarnation = sender.incarnation;
-  record.counted_on_weights = sender.weights;
+  record.expected_incarnation = sender.incarnation;
+  record.expected_weights = sender.weights;
   record.incarnation = model_.incarnation();
   record.at = context_.queue.now();
   context_.trace.note(host_.name(), "gets {} attempt {} from {}", record.request_id, record.attempt,
@@ -85,7 +85,7 @@
 void EngineNode::crash(bool silent) {
   context_.trace.note(host_.name(), "crash");
   context_.network.crash(host_, silent);
-  context_.records.endProcess(host_.name(), context_.queue.now());
+  context_.records.recordProcessEnd(host_.name(), context_.queue.now());
   model_.crash(context_.queue.now());
   context_.records.loading_weights.erase(host_.name());
   model_.takeOutputs();
@@ -122,10 +122,10 @@
 }
 
 void EngineNode::pump() {
-  noteLoadedWeights();
+  recordLoadedWeights();
   for (const standin::EngineOutput& output : model_.takeOutputs()) {
-    if (const auto* stream = std::get_if<standin::StreamOutput>(&output)) handle(*stream);
-    if (const auto* query = std::get_if<standin::WeightsQuery>(&output)) askWeightStore(*query);
+    if (const auto* stream = std::get_if<standin::StreamOutput>(&output)) forwardStreamOutput(*stream);
+    if (const auto* query = std::get_if<standin::WeightsQuery>(&output)) queryWeightStore(*query);
     if (const auto* query = std::get_if<standin::ImportQuery>(&output)) {
       const standin::ImportQuery copy = *query;
       host_.post(Duration(0), [this, copy] {
@@ -137,18 +137,18 @@
   armTimer();
 }
 
-void EngineNode::noteLoadedWeights() {
+void EngineNode::recordLoadedWeights() {
   std::set<std::string>& loading = context_.records.loading_weights;
-  // A model that loads weights is missing from what the engine tells.
+  // The engine omits a model from its info while it loads the weights of that model.
   if (loading.contains(host_.name()) && !model_.info().models.empty()) loading.erase(host_.name());
 }
 
-void EngineNode::handle(const standin::StreamOutput& output) {
+void EngineNode::forwardStreamOutput(const standin::StreamOutput& output) {
   const auto found = streams_.find(output.stream);
   if (found == streams_.end()) return;
   const Stream stream = found->second;
-  if (std::holds_alternative<standin::StreamTokens>(output.event) && lost_piece_share_ > 0 &&
-      context_.random.chance(lost_piece_share_)) {
+  if (std::holds_alternative<standin::StreamTokens>(output.event) && piece_loss_rate_ > 0 &&
+      context_.random.chance(piece_loss_rate_)) {
     context_.trace.note(host_.name(), "loses a piece of stream {}", output.stream);
     return;
   }
@@ -169,7 +169,7 @@
   }
 }
 
-void EngineNode::askWeightStore(const standin::WeightsQuery& query) {
+void EngineNode::queryWeightStore(const standin::WeightsQuery& query) {
   context_.directory.platform().loadWeights(
       host_, query.model, query.weights_version, [this, query](std::optional<WeightsTransfer> transfer) {
         const auto time = transfer ? std::optional(transfer->duration) : std::nullopt;
--- a/sim/world/engine_node.h
+++ b/sim/world/engine_node.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file A model engine of the simulation: drives standin::EngineModel over the simulated network and records
-/// what it did.
+/// @file Simulated model engine: drives standin::EngineModel over the simulated network and records
+/// observable actions.
 
 #include <functional>
 #include <map>
@@ -12,40 +12,39 @@
 
 namespace crankspur::sim {
 
-/// What the sender of a completion counted on, for the records.
-struct SenderView {
+/// Engine state that the sender of a completion expected, for the records.
+struct DispatchExpectation {
   std::string router;
   std::uint64_t incarnation = 0;
   std::string weights;
 };
 
-/// One engine.
 class EngineNode {
 public:
-  /// Receives stream events at the reader's host.
+  /// Receives stream events at the host of the stream's reader.
   using StreamHandler = std::function<void(const standin::StreamEvent&)>;
 
   EngineNode(Context& context, Host& host, standin::EngineOptions options, standin::EngineTimings timings,
              std::uint64_t seed);
 
-  // Calls that run at this host.
-  void submit(const ChannelPointer& channel, standin::CompletionRequest request, const SenderView& sender,
-              StreamHandler handler);
+  // Called in the context of this host.
+  void submit(const ChannelPointer& channel, standin::CompletionRequest request,
+              const DispatchExpectation& sender, StreamHandler handler);
   void resume(const ChannelPointer& channel, const standin::ResumeRequest& request, StreamHandler handler);
   void cancel(const std::string& request_id, std::uint32_t attempt);
   ErrorCode order(standin::EngineOrder order);
   const standin::EngineModel& model() const { return model_; }
   standin::CacheDigest cacheDigest();
 
-  // Faults.
-  /// The process dies; restart() brings it back empty.
+  // Fault injection.
+  /// Crashes the process; restart() starts it again without state.
   void crash(bool silent);
   void restart();
   void freeze();
   void thaw();
   void startLeaving();
-  /// Loses a share of the token events on the way to readers, as a faulty engine would.
-  void setLostPieces(double share) { lost_piece_share_ = share; }
+  /// Drops this fraction of token events on their way to readers, as a faulty engine would.
+  void setPieceLossRate(double rate) { piece_loss_rate_ = rate; }
   Host& host() { return host_; }
 
 private:
@@ -54,13 +53,13 @@
     StreamHandler handler;
   };
   void pump();
-  void noteLoadedWeights();
-  void handle(const standin::StreamOutput& output);
-  void askWeightStore(const standin::WeightsQuery& query);
+  void recordLoadedWeights();
+  void forwardStreamOutput(const standin::StreamOutput& output);
+  void queryWeightStore(const standin::WeightsQuery& query);
   void armTimer();
   standin::StreamId addStream(const ChannelPointer& channel, StreamHandler handler);
   void recordArrival(standin::StreamId stream, const standin::CompletionRequest& request,
-                     const SenderView& sender);
+                     const DispatchExpectation& sender);
 
   Context& context_;
   Host& host_;
@@ -70,7 +69,7 @@
   std::uint64_t highest_order_token_ = 0;
   std::uint64_t timer_generation_ = 0;
   TimePoint armed_for_{};
-  double lost_piece_share_ = 0;
+  double piece_loss_rate_ = 0;
 };
 
 }  // namespace crankspur::sim
--- a/sim/world/mechanism.h
+++ b/sim/world/mechanism.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Mechanisms of the product that a simulation run can go without, to show that a checker is able to
-/// find a violation. The removal is done by the simulation's adapters, never by the product.
+/// @file Safety mechanisms of the product that a simulation run can disable, to demonstrate that a checker
+/// detects the resulting violation. The simulation's adapters disable them; the product has no such switch.
 
 #include <optional>
 #include <set>
@@ -10,51 +10,51 @@
 
 namespace crankspur::sim {
 
-/// One mechanism that can be taken away.
+/// A mechanism that a run can disable.
 enum class Mechanism {
-  IncarnationCheck,     ///< Requests name the incarnation they count on; engines refuse others.
-  TenantSalt,           ///< Cache entries are bound to tenant, adapter and weights.
-  WeightsCheck,         ///< Requests name the weights they count on; engines refuse others.
-  ContiguousDelivery,   ///< The sidecar hands on contiguous text only.
-  EndCheck,             ///< The sidecar compares count and checksum before it tells an end.
-  AttemptCheck,         ///< The sidecar ignores messages of earlier attempts.
-  RequestCheck,         ///< The sidecar tells answers of different requests apart.
-  Claim,                ///< Work that may not be repeated is claimed before dispatch.
-  ClaimReadBack,        ///< A claim write without an answer is read back.
-  ClaimGroup,           ///< A group of routers decides on claims, with the table or without.
-  ClaimMajority,        ///< A claim group grants by a majority of its members' votes.
-  Fencing,              ///< Engines refuse orders with a lower token.
-  LeavingMarks,         ///< Marks of leaving back ends travel by gossip.
-  Drain,                ///< A planned stop lets requests in flight finish.
-  BundleMonotonicity,   ///< Versions only grow.
-  BundleCompareAndSet,  ///< Acceptance is conditional on the row's version.
-  BundleFromPeers,      ///< Sidecars and routers give each other the bundle.
-  CallerVersion,        ///< A router behind the caller's bundle version catches up first.
-  RunStateTruth,        ///< "Not run" is told only when it is true.
-  RelativeDeadlines,    ///< Deadlines travel as time left, not as instants of a machine's clock.
-  RetryBudget,          ///< A tenant's retries are bounded.
-  WeightWaves,          ///< Few engines load weights at once.
-  CrashExchange,        ///< Gateways tell each other which requests crash engines.
-  CrashSequence,        ///< Crashes count against a request only in sequence.
-  CrashClearing,        ///< A whole answer clears a request.
-  CrashIsolation,       ///< A request that may crash engines runs apart from others like it.
-  SignsOfLife,          ///< An engine that answers has not crashed.
-  QuarantineRecord,     ///< Quarantined requests are kept in the platform's store.
-  SuspensionClock,      ///< The product's clock counts the time of a suspension.
+  IncarnationCheck,     ///< Requests name the expected incarnation; other incarnations refuse them.
+  TenantSalt,           ///< Cache entries are scoped to tenant, adapter and weights.
+  WeightsCheck,         ///< Requests name the expected weights; engines with others refuse them.
+  ContiguousDelivery,   ///< The sidecar forwards contiguous text only.
+  EndCheck,             ///< The sidecar verifies token count and checksum before it reports an end.
+  AttemptCheck,         ///< The sidecar discards messages of earlier attempts.
+  RequestCheck,         ///< The sidecar matches responses to requests by request ID.
+  Claim,                ///< Non-repeatable operations are claimed before dispatch.
+  ClaimReadBack,        ///< A claim write without a response is read back.
+  ClaimGroup,           ///< A group of routers decides claims, also while the table is unavailable.
+  ClaimMajority,        ///< A claim group grants a claim by a majority of member votes.
+  Fencing,              ///< Engines refuse orders with a lower fencing token.
+  LeavingMarks,         ///< The leaving state of back ends is spread by gossip.
+  Drain,                ///< A planned stop waits for requests in flight.
+  BundleMonotonicity,   ///< The applied bundle version never decreases.
+  BundleCompareAndSet,  ///< A bundle is accepted by compare-and-set on the row version.
+  BundleFromPeers,      ///< Sidecars and routers send each other newer bundles.
+  CallerVersion,        ///< A router updates to the caller's bundle version before it decides.
+  RunStateTruth,        ///< "Not run" is reported only when it is certain.
+  RelativeDeadlines,    ///< Deadlines are sent as remaining time, not as local clock times.
+  RetryBudget,          ///< Retries of each tenant are bounded.
+  WeightWaves,          ///< The number of engines that load weights concurrently is bounded.
+  CrashExchange,        ///< Gateways exchange which requests crash engines.
+  CrashSequence,        ///< Only consecutive crashes count against a request.
+  CrashClearing,        ///< A complete response clears a suspected request.
+  CrashIsolation,       ///< Suspected requests do not share an engine with each other.
+  SignsOfLife,          ///< A responding engine is not counted as crashed.
+  QuarantineRecord,     ///< Quarantined requests are persisted in the platform's store.
+  SuspensionClock,      ///< The product's clock includes time spent suspended.
 };
 
-/// A mechanism with the name that --without takes.
+/// A mechanism and its name for the --without option.
 struct MechanismName {
   Mechanism mechanism;
   const char* name;
 };
 
-/// @return every mechanism.
+/// @return all mechanisms with their names.
 const std::vector<MechanismName>& mechanismNames();
 /// @return the mechanism of that name, if any.
 std::optional<Mechanism> findMechanism(std::string_view name);
 
-/// The mechanisms a run goes without.
+/// Mechanisms disabled in a run.
 using RemovedMechanisms = std::set<Mechanism>;
 
 }  // namespace crankspur::sim
--- a/sim/world/operator_node.h
+++ b/sim/world/operator_node.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file An operator of the simulation who rolls bundles: object first, then a compare-and-set on the row; an
-/// answer that was lost is resolved by reading back.
+/// @file Simulated operator that rolls out bundles: stores the object, then updates the row by
+/// compare-and-set. After a lost response it reads the row back to determine the outcome.
 
 #include <functional>
 #include <string>
@@ -11,13 +11,14 @@
 
 namespace crankspur::sim {
 
-/// One operator at one machine.
+/// An operator on one machine.
 class OperatorNode {
 public:
   OperatorNode(Context& context, Host& host, const Site& site) : context_(context), host_(host), site_(site) {
     host_.start();
   }
-  /// Rolls the next version with the weights; tries until told accepted or beaten, within a time limit.
+  /// Rolls out the next version with `weights`; retries a bounded number of times until the roll is accepted
+  /// or superseded by a concurrent one.
   void roll(const std::string& weights);
 
 private:
@@ -29,11 +30,11 @@
     BundleRow row;
   };
   void readThenWrite(Roll roll);
-  void store(Roll roll);
-  void accept(Roll roll);
+  void putBundleObject(Roll roll);
+  void writeBundleRow(Roll roll);
   void readBack(Roll roll);
-  void tryAgain(Roll roll);
-  void told(const Roll& roll, const char* outcome);
+  void retry(Roll roll);
+  void reportOutcome(const Roll& roll, const char* outcome);
 
   Context& context_;
   Host& host_;
--- a/sim/world/platform_node.cc
+++ b/sim/world/platform_node.cc
@@ -8,7 +8,7 @@
 
 constexpr Duration kCallTimeout = std::chrono::seconds(1);
 constexpr Duration kServiceTime = std::chrono::milliseconds(3);
-/// Transfer of one model's weights alone: 2 s, so that roll-outs fit into a run.
+/// Uncontended transfer of one model's weights takes 2 s, so that roll-outs fit into a run.
 constexpr std::uint64_t kWeightsBytes = 4'000'000'000;
 
 standin::PlatformOptions options() {
@@ -29,7 +29,7 @@
                          std::function<void(std::optional<standin::PlatformAnswer>)> done) {
   call<standin::PlatformAnswer>(
       context_, client, host_, kCallTimeout,
-      [this, platform_call](const std::function<void(standin::PlatformAnswer)>& answer) {
+      [this, platform_call](const std::function<void(standin::PlatformAnswer)>& respond) {
         standin::PlatformReply reply = model_.call(platform_call, context_.queue.now());
         const auto* transaction = std::get_if<TableTransaction>(&platform_call);
         const bool committed = std::holds_alternative<TransactionCommitted>(reply.answer);
@@ -37,25 +37,27 @@
           for (const RowWrite& write : transaction->writes) write_observer_(model_.row(write.key));
         }
         if (reply.lost) return;
-        host_.post(kServiceTime + reply.delay, [answer, reply] { answer(reply.answer); });
+        host_.post(kServiceTime + reply.delay, [respond, reply] { respond(reply.answer); });
       },
       std::move(done));
 }
 
-template <typename Answer>
-void PlatformNode::serveFor(Host& client, const standin::PlatformCall& platform_call, Done<Answer> done) {
-  serve(client, platform_call, [done = std::move(done)](std::optional<standin::PlatformAnswer> answer) {
-    Answer* good = answer ? std::get_if<Answer>(&*answer) : nullptr;
-    done(good ? std::optional<Answer>(std::move(*good)) : std::nullopt);
+template <typename Response>
+void PlatformNode::serveFor(Host& client, const standin::PlatformCall& platform_call,
+                            ResponseCallback<Response> done) {
+  serve(client, platform_call, [done = std::move(done)](std::optional<standin::PlatformAnswer> response) {
+    Response* typed = response ? std::get_if<Response>(&*response) : nullptr;
+    done(typed ? std::optional<Response>(std::move(*typed)) : std::nullopt);
   });
 }
 
-void PlatformNode::readRow(Host& client, const std::string& key, Done<TableRow> done) {
+void PlatformNode::readRow(Host& client, const std::string& key, ResponseCallback<TableRow> done) {
   serveFor<TableRow>(client, standin::ReadRow{key}, std::move(done));
 }
 
 void PlatformNode::writeRow(Host& client, const std::string& key, std::uint64_t expected_version,
-                            std::string value, Done<WriteAnswer> done, const std::string& absent_key) {
+                            std::string value, ResponseCallback<WriteResponse> done,
+                            const std::string& absent_key) {
   TableTransaction transaction;
   transaction.conditions.push_back({key, expected_version});
   transaction.writes.push_back({key, value});
@@ -63,34 +65,35 @@
   if (unconditional) transaction.conditions.clear();
   if (!absent_key.empty()) transaction.conditions.push_back({absent_key, 0});
   serve(client, transaction,
-        [key, value, done = std::move(done)](std::optional<standin::PlatformAnswer> answer) {
-          if (!answer) return done(std::nullopt);
-          if (const auto* committed = std::get_if<TransactionCommitted>(&*answer)) {
-            return done(WriteAnswer{true, {key, committed->versions.front().version, value}, false});
+        [key, value, done = std::move(done)](std::optional<standin::PlatformAnswer> response) {
+          if (!response) return done(std::nullopt);
+          if (const auto* committed = std::get_if<TransactionCommitted>(&*response)) {
+            return done(WriteResponse{true, {key, committed->versions.front().version, value}, false});
           }
-          if (const auto* conflict = std::get_if<TransactionConflict>(&*answer)) {
+          if (const auto* conflict = std::get_if<TransactionConflict>(&*response)) {
             const bool fenced = conflict->rows.size() > 1 && conflict->rows.back().version != 0;
-            return done(WriteAnswer{false, conflict->rows.front(), fenced});
+            return done(WriteResponse{false, conflict->rows.front(), fenced});
           }
           done(std::nullopt);
         });
 }
 
 void PlatformNode::putObject(Host& client, const std::string& key, std::string value,
-                             Done<standin::ObjectStored> done) {
+                             ResponseCallback<standin::ObjectStored> done) {
   serveFor<standin::ObjectStored>(client, standin::PutObject{key, std::move(value)}, std::move(done));
 }
 
-void PlatformNode::getObject(Host& client, const std::string& key, Done<standin::ObjectFound> done) {
+void PlatformNode::getObject(Host& client, const std::string& key,
+                             ResponseCallback<standin::ObjectFound> done) {
   serveFor<standin::ObjectFound>(client, standin::GetObject{key}, std::move(done));
 }
 
-void PlatformNode::listMachines(Host& client, Done<MachineList> done) {
+void PlatformNode::listMachines(Host& client, ResponseCallback<MachineList> done) {
   serveFor<MachineList>(client, standin::ListMachines{}, std::move(done));
 }
 
 void PlatformNode::loadWeights(Host& client, const std::string& model, const std::string& weights,
-                               Done<WeightsTransfer> done) {
+                               ResponseCallback<WeightsTransfer> done) {
   serveFor<WeightsTransfer>(client, standin::LoadWeights{model, weights}, std::move(done));
 }
 
--- a/sim/world/records.h
+++ b/sim/world/records.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file What can be seen from outside: what callers got, what engines and runners did, which bundles were
-/// accepted and used. Checkers judge by these alone.
+/// @file Externally observable events of a run: responses to callers, actions of engines and runners,
+/// accepted and applied bundles. Checkers read only these records.
 
 #include <algorithm>
 #include <cstdint>
@@ -15,25 +15,25 @@
 
 namespace crankspur::sim {
 
-/// One request as its caller saw it.
+/// A request as observed by its caller.
 struct CallerRecord {
   SubmitRequest request;
   std::string sidecar;
   TimePoint submitted_at{};
-  std::string text;           ///< Everything delivered, in the order of delivery.
-  std::uint64_t tokens = 0;   ///< Tokens delivered.
-  bool out_of_order = false;  ///< A piece did not begin where the one before ended.
-  std::uint32_t finals = 0;   ///< Ends and errors delivered.
-  bool late_text = false;     ///< Text came after the final answer.
+  std::string text;               ///< All delivered text, in order of delivery.
+  std::uint64_t tokens = 0;       ///< Number of delivered tokens.
+  bool out_of_order = false;      ///< A piece did not start at the end of the previous one.
+  std::uint32_t finals = 0;       ///< Number of delivered ends and errors.
+  bool text_after_final = false;  ///< Text was delivered after the end or error.
   std::optional<StreamEnd> end;
   std::optional<Refusal> error;
   TimePoint finished_at{};
-  bool abandoned = false;  ///< The sidecar crashed; the caller knows nothing.
+  bool abandoned = false;  ///< The sidecar crashed; the caller received no outcome.
 
   bool finished() const { return finals > 0 || abandoned; }
 };
 
-/// One execution at an application runner.
+/// An execution at an application runner.
 struct ExecutionRecord {
   std::string request_id;
   std::string tenant;
@@ -43,36 +43,36 @@
   TimePoint at{};
 };
 
-/// One completion as it arrived at an engine, with what its sender counted on.
+/// A completion on arrival at an engine, with the engine state that its sender expected.
 struct ArrivalRecord {
   std::string request_id;
   std::uint32_t attempt = 0;
   std::string engine;
-  std::uint64_t stream = 0;  ///< Number of this dispatch at the engine, never used again.
+  std::uint64_t stream = 0;  ///< Number of this dispatch at the engine; never reused.
   std::string router;
-  std::uint64_t counted_on_incarnation = 0;  ///< Named by the router before any tampering.
-  std::string counted_on_weights;
-  std::uint64_t incarnation = 0;  ///< Of the engine at arrival.
+  std::uint64_t expected_incarnation = 0;  ///< As sent by the router, before a disabled mechanism alters it.
+  std::string expected_weights;
+  std::uint64_t incarnation = 0;  ///< Incarnation of the engine on arrival.
   TimePoint at{};
 };
 
-/// A back end that began to leave.
+/// A back end that started to leave.
 struct LeavingRecord {
   std::string machine;
-  TimePoint at{};                      ///< First instant at which anyone could read it.
-  bool of_process = false;             ///< Only the process itself said so: its next start does not leave.
-  TimePoint ended = TimePoint::max();  ///< End of the process that leaves; far future for a machine.
+  TimePoint at{};                      ///< Earliest time at which the state is readable by others.
+  bool process_only = false;           ///< Reported by the process only; its next start is not leaving.
+  TimePoint ended = TimePoint::max();  ///< End of the leaving process; never for a leaving machine.
 };
 
-/// A bundle whose acceptance took effect in the table.
+/// A bundle whose acceptance was committed in the table.
 struct AcceptedBundle {
   std::uint64_t version = 0;
   std::string digest;  ///< SHA-256 of the document.
   TimePoint at{};
 };
 
-/// A node began to use a bundle.
-struct BundleUse {
+/// A node applied a bundle.
+struct BundleActivation {
   std::string node;
   std::uint64_t epoch = 0;
   std::uint64_t version = 0;
@@ -80,16 +80,16 @@
   TimePoint at{};
 };
 
-/// An order that an engine carried out.
-struct OrderUse {
+/// An order executed by an engine.
+struct ExecutedOrder {
   std::string engine;
   std::uint64_t incarnation = 0;
-  std::uint64_t token = 0;          ///< As its sender gave it.
-  std::size_t loading_weights = 0;  ///< Engines that loaded weights from then on, this one counted.
+  std::uint64_t token = 0;          ///< As sent, before a disabled mechanism alters it.
+  std::size_t loading_weights = 0;  ///< Engines loading weights after this order, this one included.
   TimePoint at{};
 };
 
-/// A refusal that a router sent.
+/// A refusal sent by a router.
 struct RouterRefusal {
   std::string router;
   std::uint64_t epoch = 0;
@@ -98,48 +98,48 @@
   TimePoint at{};
 };
 
-/// A router decided a request under a bundle.
-struct DecisionUse {
+/// A routing decision and the bundle versions involved.
+struct DecisionObservation {
   std::string router;
   std::string request_id;
-  std::uint64_t caller_version = 0;  ///< The version the sidecar had named.
-  std::uint64_t version = 0;         ///< The version the router decided under.
+  std::uint64_t caller_version = 0;  ///< Version named by the sidecar.
+  std::uint64_t version = 0;         ///< Version that the router used.
   TimePoint at{};
 };
 
-/// A time span in which a kind of trouble went on.
-struct Span {
+/// Time interval of a fault.
+struct TimeSpan {
   TimePoint from{};
   TimePoint to{};
 };
 
-/// The table service was down for long.
+/// A long outage of the table service.
 struct TableOutage {
-  Span span;
-  bool majority_lives = false;  ///< No fault of the run took a majority of the claim group away.
+  TimeSpan span;
+  bool majority_live = false;  ///< No fault removed a majority of the claim group.
 };
 
-/// All observations of a run.
+/// All records of a run.
 struct Records {
-  /// A back end's process died: what it alone said of itself does not hold for the next one.
-  void endProcess(const std::string& machine, TimePoint now) {
+  /// Ends the leaving records reported only by the process that ended; they do not apply to its successor.
+  void recordProcessEnd(const std::string& machine, TimePoint now) {
     for (LeavingRecord& record : leaving) {
-      if (record.machine == machine && record.of_process) record.ended = std::min(record.ended, now);
+      if (record.machine == machine && record.process_only) record.ended = std::min(record.ended, now);
     }
   }
 
-  std::deque<CallerRecord> callers;  ///< Addresses stay valid as it grows.
+  std::deque<CallerRecord> callers;  ///< A deque, as element addresses must stay valid.
   std::vector<ExecutionRecord> executions;
   std::vector<ArrivalRecord> arrivals;
   std::vector<LeavingRecord> leaving;
-  std::set<std::string> loading_weights;  ///< Engines that load weights now.
+  std::set<std::string> loading_weights;  ///< Engines currently loading weights.
   std::vector<AcceptedBundle> accepted_bundles;
-  std::vector<BundleUse> bundle_uses;
-  std::vector<OrderUse> orders;
+  std::vector<BundleActivation> bundle_uses;
+  std::vector<ExecutedOrder> orders;
   std::vector<RouterRefusal> refusals;
-  std::vector<DecisionUse> decisions;
+  std::vector<DecisionObservation> decisions;
   std::optional<TableOutage> table_outage;
-  std::uint64_t rolls_told_accepted = 0;  ///< Operators told that their roll was accepted.
+  std::uint64_t rolls_reported_accepted = 0;  ///< Number of rolls reported as accepted.
 };
 
 }  // namespace crankspur::sim
--- a/sim/world/router_claims.cc
+++ b/sim/world/router_claims.cc
@@ -1,4 +1,4 @@
-/// @file The claim group at a simulated router: drives ClaimGroupService over the simulated network.
+/// @file Claim group of a simulated router: drives ClaimGroupService over the simulated network.
 
 #include <algorithm>
 
@@ -10,9 +10,9 @@
 
 namespace {
 
-/// Routers that keep the group; the others leave the table alone.
-constexpr std::uint32_t kKeepers = 2;
-constexpr Duration kTick = std::chrono::milliseconds(100);
+/// Number of routers that maintain the group row; the others do not access it.
+constexpr std::uint32_t kGroupKeepers = 2;
+constexpr Duration kClaimGroupTickInterval = std::chrono::milliseconds(100);
 constexpr const char* kGroupName = "claim_group";
 
 }  // namespace
@@ -31,23 +31,23 @@
     names.push_back(member.name);
   }
   std::optional<std::uint32_t> rank;
-  for (std::uint32_t place = 0; place < kKeepers && !names.empty(); ++place) {
+  for (std::uint32_t position = 0; position < kGroupKeepers && !names.empty(); ++position) {
     const std::string first = ownerOf(kGroupName, names);
-    if (first == host_.name()) rank = place;
+    if (first == host_.name()) rank = position;
     std::erase(names, first);
   }
   process_->claim_group->setRouters(std::move(routers), rank);
   process_->claim_group->tick(now());
   pumpClaimGroup();
-  host_.post(kTick, [this] { tickClaimGroup(); });
+  host_.post(kClaimGroupTickInterval, [this] { tickClaimGroup(); });
 }
 
 void RouterNode::pumpClaimGroup() {
-  for (const ClaimGroupAction& action : process_->claim_group->takeActions()) performClaimGroup(action);
+  for (const ClaimGroupAction& action : process_->claim_group->takeActions()) executeClaimGroupAction(action);
   if (process_->claim_group->inForce() != process_->claims_by_group) publish();
 }
 
-void RouterNode::performClaimGroup(const ClaimGroupAction& action) {
+void RouterNode::executeClaimGroupAction(const ClaimGroupAction& action) {
   PlatformNode& platform = context_.directory.platform();
   if (const auto* message = std::get_if<SendClaimMessage>(&action)) {
     sendClaimMessage(*message);
@@ -59,9 +59,9 @@
   } else if (const auto* swap = std::get_if<SwapGroupRow>(&action)) {
     context_.trace.note(host_.name(), "swaps to claim epoch {}", swap->row.epoch);
     platform.writeRow(host_, kClaimGroupRowKey, swap->expected_version, encodeClaimGroupRow(swap->row),
-                      [this](const std::optional<WriteAnswer>& answer) {
+                      [this](const std::optional<WriteResponse>& response) {
                         process_->claim_group->onRowSwapped(
-                            answer ? std::optional(answer->committed) : std::nullopt, now());
+                            response ? std::optional(response->committed) : std::nullopt, now());
                         pumpClaimGroup();
                       });
   } else if (const auto* put = std::get_if<PutClaimRow>(&action)) {
@@ -83,17 +83,17 @@
 }
 
 void RouterNode::putClaimRow(const PutClaimRow& action) {
-  context_.directory.platform().writeRow(host_, "crankspur/claim/" + action.key, action.expected_version,
-                                         encodeClaimRow(action.row),
-                                         [this, key = action.key](const std::optional<WriteAnswer>& answer) {
-                                           std::optional<ClaimRow> present;
-                                           if (answer) present = decodeClaimRow(answer->row);
-                                           process_->claim_group->onClaimPut(key, present, now());
-                                           pumpClaimGroup();
-                                         });
+  context_.directory.platform().writeRow(
+      host_, "crankspur/claim/" + action.key, action.expected_version, encodeClaimRow(action.row),
+      [this, key = action.key](const std::optional<WriteResponse>& response) {
+        std::optional<ClaimRow> present;
+        if (response) present = decodeClaimRow(response->row);
+        process_->claim_group->onClaimPut(key, present, now());
+        pumpClaimGroup();
+      });
 }
 
-void RouterNode::noticeClaim(const GroupClaimNotice& action) {
+void RouterNode::applyClaimNotice(const GroupClaimNotice& action) {
   if (const auto* release = std::get_if<ClaimRelease>(&action.notice)) {
     process_->claim_group->release(release->key, release->token, now());
   } else {
--- a/sim/world/router_control.cc
+++ b/sim/world/router_control.cc
@@ -1,4 +1,4 @@
-/// @file Control work of a simulated router: machine list, polls, gossip, bundle.
+/// @file Control plane of a simulated router: machine list, engine polls, gossip and bundles.
 
 #include "base/hash.h"
 #include "router/zone_sharing.h"
@@ -12,9 +12,9 @@
 namespace {
 
 constexpr Duration kPollTimeout = std::chrono::milliseconds(600);
-constexpr Duration kShortestTimer = std::chrono::milliseconds(1);
+constexpr Duration kMinTimerDelay = std::chrono::milliseconds(1);
 
-/// Answer of one poll of an engine.
+/// Response to an engine poll.
 struct EnginePoll {
   standin::EngineInfo info;
   standin::EngineLoadReport load;
@@ -49,8 +49,8 @@
   return {change.sequence, change.stored, change.removed};
 }
 
-/// A repeated bundle comes this much later at most.
-constexpr double kLongestBundleRepeat = 12'000'000;
+/// Maximum delay of a duplicated bundle.
+constexpr double kMaxBundleRepeatDelayMicros = 12'000'000;
 
 }  // namespace
 
@@ -89,12 +89,12 @@
   const std::vector<EngineRecord> urgent = process_->engines->takeUrgentAnnouncements();
   for (const EngineRecord& record : urgent) process_->membership->announceEngineAtOnce(record, now());
   if (!urgent.empty()) pumpMembership();
-  noteBackendChanges();
+  traceBackendChanges();
   if (process_->engines->takeUrgent(now())) publish();
   armEngineTimer();
 }
 
-void RouterNode::noteBackendChanges() {
+void RouterNode::traceBackendChanges() {
   for (const BackendChange& change : process_->engines->takeChanges()) {
     context_.trace.note(host_.name(), "sees {} {}", change.name, engineStateName(change.state));
   }
@@ -105,7 +105,7 @@
   if (next == process_->engine_timer) return;
   process_->engine_timer = next;
   const std::uint64_t generation = ++process_->engine_timer_generation;
-  host_.postAt(std::max(next, now() + kShortestTimer), [this, generation] {
+  host_.postAt(std::max(next, now() + kMinTimerDelay), [this, generation] {
     if (generation != process_->engine_timer_generation) return;
     process_->engine_timer = TimePoint::max();
     pumpEngineTable();
@@ -116,8 +116,8 @@
   EngineNode* engine = context_.directory.engine(name);
   call<EnginePoll>(
       context_, host_, engine->host(), kPollTimeout,
-      [this, engine](const std::function<void(EnginePoll)>& answer) {
-        answer({engine->model().info(), engine->model().load(context_.queue.now())});
+      [this, engine](const std::function<void(EnginePoll)>& respond) {
+        respond({engine->model().info(), engine->model().load(context_.queue.now())});
       },
       [this, name, kind](std::optional<EnginePoll> poll) {
         if (!poll) {
@@ -135,11 +135,11 @@
   RunnerNode* runner = context_.directory.runner(name);
   call<BackendReport>(
       context_, host_, runner->host(), kPollTimeout,
-      [runner](const std::function<void(BackendReport)>& answer) {
+      [runner](const std::function<void(BackendReport)>& respond) {
         BackendReport report;
         report.incarnation = runner->incarnation();
         report.leaving = runner->leaving();
-        answer(report);
+        respond(report);
       },
       [this, name](std::optional<BackendReport> report) {
         if (report) {
@@ -160,42 +160,42 @@
 
 void RouterNode::fetchCacheEvents(const EngineView& view) {
   EngineNode* engine = context_.directory.engine(view.name);
-  const EngineKnowledge known = process_->engine_knowledge[view.name];
+  const CacheEventPosition position = process_->cache_positions[view.name];
   call<standin::CacheChanges>(
       context_, host_, engine->host(), kPollTimeout,
-      [this, engine, known](const std::function<void(standin::CacheChanges)>& answer) {
+      [this, engine, position](const std::function<void(standin::CacheChanges)>& respond) {
         const standin::EngineModel& model = engine->model();
-        const std::uint64_t after = model.incarnation() == known.incarnation ? known.sequence : 0;
-        answer(model.cacheChanges(after, context_.queue.now()));
+        const std::uint64_t after = model.incarnation() == position.incarnation ? position.sequence : 0;
+        respond(model.cacheChanges(after, context_.queue.now()));
       },
       [this, view](std::optional<standin::CacheChanges> changes) {
-        if (changes) takeCacheChanges(view, *changes);
+        if (changes) applyCacheChanges(view, *changes);
       });
 }
 
-void RouterNode::takeCacheChanges(const EngineView& view, const standin::CacheChanges& changes) {
-  EngineKnowledge& known = process_->engine_knowledge[view.name];
-  if (known.incarnation != changes.incarnation) known = {changes.incarnation, 0};
+void RouterNode::applyCacheChanges(const EngineView& view, const standin::CacheChanges& changes) {
+  CacheEventPosition& position = process_->cache_positions[view.name];
+  if (position.incarnation != changes.incarnation) position = {changes.incarnation, 0};
   bool complete = true;
   for (const standin::CacheChange& change : changes.events) {
     complete &= process_->requests->onCacheEvent(view.slot, changes.incarnation, toCacheEvent(change), now());
-    known.sequence = std::max(known.sequence, change.sequence);
+    position.sequence = std::max(position.sequence, change.sequence);
   }
   if (!complete) fetchDigest(view.name, view.slot);
 }
 
 void RouterNode::fetchDigest(const std::string& engine_name, EngineSlot slot) {
   EngineNode* engine = context_.directory.engine(engine_name);
-  if (!process_->digests_running.insert(engine_name).second) return;
+  if (!process_->digests_in_flight.insert(engine_name).second) return;
   call<standin::CacheDigest>(
       context_, host_, engine->host(), kPollTimeout,
-      [engine](const std::function<void(standin::CacheDigest)>& answer) { answer(engine->cacheDigest()); },
+      [engine](const std::function<void(standin::CacheDigest)>& respond) { respond(engine->cacheDigest()); },
       [this, engine_name, slot](std::optional<standin::CacheDigest> digest) {
-        process_->digests_running.erase(engine_name);
+        process_->digests_in_flight.erase(engine_name);
         if (!digest || digest->refused) return;
-        EngineKnowledge& known = process_->engine_knowledge[engine_name];
-        if (known.incarnation != digest->incarnation) return;
-        known.sequence = std::max(known.sequence, digest->sequence);
+        CacheEventPosition& position = process_->cache_positions[engine_name];
+        if (position.incarnation != digest->incarnation) return;
+        position.sequence = std::max(position.sequence, digest->sequence);
         process_->requests->onCacheDigest(slot, digest->incarnation, digest->sequence, digest->blocks, now());
       });
 }
@@ -270,17 +270,17 @@
 }
 
 void RouterNode::pullBundle() {
-  if (process_->bundle_pull_running || context_.without(Mechanism::BundleFromPeers)) return;
+  if (process_->bundle_pull_in_flight || context_.without(Mechanism::BundleFromPeers)) return;
   const MemberRecord newest = process_->membership->newestBundleHolder();
   if (newest.bundle_version <= bundleVersion()) return;
   RouterNode* peer = context_.directory.router(newest.name);
   if (peer == nullptr) return;
-  process_->bundle_pull_running = true;
+  process_->bundle_pull_in_flight = true;
   call<BundleBody>(
       context_, host_, peer->host(), kPollTimeout,
-      [peer](const std::function<void(BundleBody)>& answer) { answer(peer->bundleBody()); },
+      [peer](const std::function<void(BundleBody)>& respond) { respond(peer->bundleBody()); },
       [this](std::optional<BundleBody> body) {
-        process_->bundle_pull_running = false;
+        process_->bundle_pull_in_flight = false;
         if (body && body->version > 0) offerBundle(*body);
       });
 }
@@ -302,14 +302,15 @@
 }
 
 void RouterNode::offerBundle(const BundleBody& body) {
-  if (context_.repeated_bundle_share > 0 && context_.random.chance(context_.repeated_bundle_share)) {
-    const auto later = Duration(static_cast<std::int64_t>(context_.random.unit() * kLongestBundleRepeat));
-    host_.post(later, [this, body] { takeBundle(body); });
+  if (context_.duplicate_bundle_rate > 0 && context_.random.chance(context_.duplicate_bundle_rate)) {
+    const auto delay =
+        Duration(static_cast<std::int64_t>(context_.random.unit() * kMaxBundleRepeatDelayMicros));
+    host_.post(delay, [this, body] { applyBundle(body); });
   }
-  takeBundle(body);
+  applyBundle(body);
 }
 
-void RouterNode::takeBundle(const BundleBody& body) {
+void RouterNode::applyBundle(const BundleBody& body) {
   if (context_.without(Mechanism::BundleMonotonicity) && body.version != bundleVersion()) {
     process_->bundles = std::make_unique<BundleHolder>(keys_);
   }
--- a/sim/world/router_dispatch.cc
+++ b/sim/world/router_dispatch.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Duration kConnectTimeout = std::chrono::seconds(1);
-/// Silence of a back end after which an exchange fails.
+/// An exchange fails after this time without an event from the back end.
 constexpr Duration kIdleTimeout = std::chrono::seconds(6);
 
 standin::CompletionRequest toEngineRequest(const DispatchCompletion& action) {
@@ -50,7 +50,7 @@
         channel->onClosed(Side::Client, [this, dispatch] { backendEvent(dispatch, BackendLost{true}); });
         process_->requests->onDispatchSent(dispatch, now());
         send(channel);
-        watchIdle(dispatch, found->second.activity);
+        armIdleTimeout(dispatch, found->second.activity);
         pump();
       },
       [this, dispatch] { backendEvent(dispatch, BackendLost{false}); });
@@ -69,7 +69,7 @@
   entry.attempt = action.request.attempt;
   entry.engine = action.engine;
   entry.incarnation = action.expected_incarnation;
-  const SenderView view{host_.name(), action.expected_incarnation, action.expected_weights};
+  const DispatchExpectation view{host_.name(), action.expected_incarnation, action.expected_weights};
   const DispatchId dispatch = action.dispatch;
   openBackend(
       dispatch, engine->host(), [this, engine, action, view, dispatch](const ChannelPointer& channel) {
@@ -161,12 +161,12 @@
   process_->engines->onOutcome(outcome, now());
 }
 
-void RouterNode::watchIdle(DispatchId dispatch, std::uint64_t activity) {
+void RouterNode::armIdleTimeout(DispatchId dispatch, std::uint64_t activity) {
   host_.post(kIdleTimeout, [this, dispatch, activity] {
     const auto found = process_->dispatches.find(dispatch);
     if (found == process_->dispatches.end()) return;
     if (found->second.activity != activity) {
-      watchIdle(dispatch, found->second.activity);
+      armIdleTimeout(dispatch, found->second.activity);
       return;
     }
     backendEvent(dispatch, BackendLost{true});
--- a/sim/world/router_node.cc
+++ b/sim/world/router_node.cc
@@ -19,7 +19,7 @@
 constexpr Duration kOrderInterval = milliseconds(500);
 constexpr Duration kDrainCheckInterval = milliseconds(100);
 constexpr Duration kLeaseLifetime = seconds(4);
-constexpr Duration kSidecarSilence = seconds(4);
+constexpr Duration kSidecarSilenceTimeout = seconds(4);
 constexpr Duration kSidecarCheckInterval = seconds(1);
 
 }  // namespace
@@ -53,27 +53,29 @@
   process.bundles = std::make_unique<BundleHolder>(keys_);
   process.lease =
       makeLease(host_.name() + "#" + std::to_string(host_.epoch()), kLeaseLifetime, context_.random.bits());
-  // Without a draw from the run's random numbers, so that runs without a group stay as they are.
+  // Seeded by a hash rather than the run's random source, so that runs without a claim group keep their
+  // sequence of random numbers.
   process.claim_group = std::make_unique<ClaimGroupService>(
       ClaimGroupMember{host_.name(), host_.epoch()}, combineHashes(hashBytes(host_.name()), host_.epoch()));
-  every(kMachineListInterval, [this] { listMachines(); });
-  every(kCacheEventInterval, [this] { pollCacheEvents(); });
-  every(kBundleRowInterval, [this] { pollBundleRow(); });
-  every(kBundlePullInterval, [this] { pullBundle(); });
-  every(kPublishInterval, [this] { publishLoads(); });
-  every(kLeaseInterval, [this] { pumpLease(); });
-  every(kOrderInterval, [this] { sendOrders(); });
+  schedulePeriodic(kMachineListInterval, [this] { listMachines(); });
+  schedulePeriodic(kCacheEventInterval, [this] { pollCacheEvents(); });
+  schedulePeriodic(kBundleRowInterval, [this] { pollBundleRow(); });
+  schedulePeriodic(kBundlePullInterval, [this] { pullBundle(); });
+  schedulePeriodic(kPublishInterval, [this] { publishLoads(); });
+  schedulePeriodic(kLeaseInterval, [this] { pumpLease(); });
+  schedulePeriodic(kOrderInterval, [this] { sendOrders(); });
   tickClaimGroup();
   pumpMembership();
 }
 
-/// Runs `task` soon and then at the interval, jittered so that a herd does not act in step.
-void RouterNode::every(Duration interval, std::function<void()> task) {
+/// Runs `task` now and then at `interval` with jitter, which avoids a thundering herd of nodes in lockstep.
+void RouterNode::schedulePeriodic(Duration interval, std::function<void()> task) {
   const auto jittered = Duration(static_cast<std::int64_t>(static_cast<double>(interval.count()) *
                                                            (0.75 + 0.5 * context_.random.unit())));
   task();
-  host_.post(jittered,
-             [this, interval, task = std::move(task)]() mutable { every(interval, std::move(task)); });
+  host_.post(jittered, [this, interval, task = std::move(task)]() mutable {
+    schedulePeriodic(interval, std::move(task));
+  });
 }
 
 void RouterNode::crash(bool silent) {
@@ -88,7 +90,7 @@
   context_.trace.note(host_.name(), "planned stop with {} in flight", process_->requests->inFlight());
   process_->draining = true;
   if (context_.without(Mechanism::Drain)) {
-    endProcess();
+    terminateProcess();
     return;
   }
   process_->requests->drain(now());
@@ -100,16 +102,16 @@
 
 void RouterNode::awaitDrained() {
   if (process_->requests->inFlight() == 0) {
-    endProcess();
+    terminateProcess();
     return;
   }
   host_.post(kDrainCheckInterval, [this] { awaitDrained(); });
 }
 
-void RouterNode::endProcess() {
+void RouterNode::terminateProcess() {
   context_.trace.note(host_.name(), "ends with {} in flight", process_->requests->inFlight());
   context_.network.crash(host_, false);
-  // The process object may be in use further up the stack.
+  // Deferred, as the process object may be in use by a caller of this function.
   context_.queue.after(Duration(0), [this, epoch = host_.epoch()] {
     if (!host_.up() && host_.epoch() == epoch) process_.reset();
   });
@@ -131,7 +133,7 @@
   const SidecarId id = process_->next_sidecar++;
   process_->sidecars[id] = {channel, &sidecar, now()};
   process_->sidecar_ids[channel.get()] = id;
-  channel->onClosed(Side::Server, [this, id] { loseSidecar(id); });
+  channel->onClosed(Side::Server, [this, id] { removeSidecar(id); });
   Hello hello;
   hello.node_name = host_.name();
   hello.incarnation = host_.epoch();
@@ -140,23 +142,23 @@
   hello.bundle_version = bundleVersion();
   hello.address = host_.name();
   sendToSidecar(id, hello);
-  watchSidecar(id);
+  scheduleSidecarCheck(id);
 }
 
-void RouterNode::watchSidecar(SidecarId sidecar) {
+void RouterNode::scheduleSidecarCheck(SidecarId sidecar) {
   host_.post(kSidecarCheckInterval, [this, sidecar] {
     const auto found = process_->sidecars.find(sidecar);
     if (found == process_->sidecars.end()) return;
-    if (now() - found->second.heard <= kSidecarSilence) {
-      watchSidecar(sidecar);
+    if (now() - found->second.last_received_at <= kSidecarSilenceTimeout) {
+      scheduleSidecarCheck(sidecar);
       return;
     }
     found->second.channel->close(Side::Server);
-    loseSidecar(sidecar);
+    removeSidecar(sidecar);
   });
 }
 
-void RouterNode::loseSidecar(SidecarId sidecar) {
+void RouterNode::removeSidecar(SidecarId sidecar) {
   const auto found = process_->sidecars.find(sidecar);
   if (found == process_->sidecars.end()) return;
   process_->sidecar_ids.erase(found->second.channel.get());
@@ -178,7 +180,7 @@
   const auto id = process_->sidecar_ids.find(channel.get());
   if (id == process_->sidecar_ids.end()) return;
   const SidecarId sidecar = id->second;
-  process_->sidecars[sidecar].heard = now();
+  process_->sidecars[sidecar].last_received_at = now();
   if (const auto* request = std::get_if<SubmitRequest>(&message)) {
     submit(sidecar, *request);
   } else if (const auto* cancel = std::get_if<Cancel>(&message)) {
--- a/sim/world/router_node.h
+++ b/sim/world/router_node.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file A router of the simulation: drives RequestRouter, Membership, BundleHolder and Lease over the
-/// simulated network, as the router process does over the real one.
+/// @file Simulated router: drives RequestRouter, Membership, BundleHolder and Lease over the simulated
+/// network, as the router process does over a real network.
 
 #include <functional>
 #include <map>
@@ -22,38 +22,37 @@
 
 namespace crankspur::sim {
 
-/// One router.
 class RouterNode {
 public:
-  /// @param seeds names of routers from the settings.
+  /// @param seeds configured seed routers for membership.
   RouterNode(Context& context, Host& host, std::vector<MemberRecord> seeds, TrustedKeys keys);
   ~RouterNode();
 
-  /// Starts an empty process.
+  /// Starts a process without state.
   void start();
   void crash(bool silent);
-  /// Planned stop: drains, then ends the process.
+  /// Planned stop: drains, then terminates the process.
   void stop();
-  /// Freezes the process, with what it has not yet done.
+  /// Suspends the process; its pending work runs after wake().
   void pause();
   void wake();
   Host& host() { return host_; }
 
-  // Calls that run at this host.
+  // Called in the context of this host.
   void acceptSidecar(const ChannelPointer& channel, SidecarNode& sidecar);
   void onSidecarMessage(const ChannelPointer& channel, const Message& message);
   void onPing(const Ping& ping, const std::string& from);
   void onPingAck(const PingAck& ack);
   void onClaimMessage(const Message& message, const std::string& from);
-  /// @return the held bundle's signed form; version 0 when none.
+  /// @return the current bundle in signed form; version 0 if there is none.
   BundleBody bundleBody() const;
   std::uint64_t bundleVersion() const;
   /// @return whether this process holds the order lease now.
   bool holdsLease() const;
   std::size_t inFlight() const;
-  /// @return orders decided on but not yet sent.
+  /// @return number of orders decided but not yet sent.
   std::size_t unsentOrders() const;
-  /// @return the true time of the present process's start.
+  /// @return the start of the current process in true (simulation) time.
   TimePoint startedAt() const;
 
 private:
@@ -64,48 +63,49 @@
     std::uint32_t attempt = 0;
     std::optional<EngineSlot> engine;  ///< Completions only.
     std::uint64_t incarnation = 0;
-    std::uint64_t activity = 0;  ///< Grows with each event, for the idle time-out.
+    std::uint64_t activity = 0;  ///< Incremented by each event, for the idle time-out.
   };
-  /// One connection of a sidecar.
+  /// Connection from a sidecar.
   struct SidecarLink {
     ChannelPointer channel;
     SidecarNode* node = nullptr;
-    TimePoint heard{};
+    TimePoint last_received_at{};
   };
-  struct EngineKnowledge {
+  /// Last cache event received from an engine.
+  struct CacheEventPosition {
     std::uint64_t incarnation = 0;
     std::uint64_t sequence = 0;
   };
-  /// State of one process; gone at its end.
+  /// State of one process; destroyed when the process ends.
   struct Process;
 
-  // Life (router_node.cc).
+  // Process lifecycle and sidecar connections (router_node.cc).
   TimePoint now() const { return host_.now(); }
-  void every(Duration interval, std::function<void()> task);
-  void endProcess();
+  void schedulePeriodic(Duration interval, std::function<void()> task);
+  void terminateProcess();
   void awaitDrained();
   void sendToSidecar(SidecarId sidecar, Message message);
-  void loseSidecar(SidecarId sidecar);
-  void watchSidecar(SidecarId sidecar);
+  void removeSidecar(SidecarId sidecar);
+  void scheduleSidecarCheck(SidecarId sidecar);
 
-  // Decisions (router_requests.cc).
+  // Requests (router_requests.cc).
   void submit(SidecarId sidecar, SubmitRequest request);
   void pump();
   void armRequestTimer();
-  void perform(const RouterAction& action);
-  void performSend(const SendToSidecar& action);
-  void performClaim(const ClaimTableCall& action);
-  void claimAnswered(std::uint64_t claim, const ClaimAction& action, const std::optional<TableRow>& read,
-                     const std::optional<WriteAnswer>& written);
+  void executeAction(const RouterAction& action);
+  void executeSend(const SendToSidecar& action);
+  void executeClaimCall(const ClaimTableCall& action);
+  void onClaimResponse(std::uint64_t claim, const ClaimAction& action, const std::optional<TableRow>& read,
+                       const std::optional<WriteResponse>& written);
 
   // Claim group (router_claims.cc).
   void configureClaimGroup();
   void tickClaimGroup();
   void pumpClaimGroup();
-  void performClaimGroup(const ClaimGroupAction& action);
+  void executeClaimGroupAction(const ClaimGroupAction& action);
   void sendClaimMessage(const SendClaimMessage& action);
   void putClaimRow(const PutClaimRow& action);
-  void noticeClaim(const GroupClaimNotice& action);
+  void applyClaimNotice(const GroupClaimNotice& action);
 
   // Back ends (router_dispatch.cc).
   void dispatchCompletion(const DispatchCompletion& action);
@@ -116,19 +116,19 @@
   void onStreamEvent(DispatchId dispatch, const standin::StreamEvent& event);
   void backendEvent(DispatchId dispatch, const BackendEvent& event);
   void reportOutcome(const Dispatch& entry, const BackendEvent& event);
-  void watchIdle(DispatchId dispatch, std::uint64_t activity);
+  void armIdleTimeout(DispatchId dispatch, std::uint64_t activity);
   void recordDecision(const SubmitRequest& request);
 
   // Control (router_control.cc).
   void listMachines();
   void pumpEngineTable();
-  void noteBackendChanges();
+  void traceBackendChanges();
   void armEngineTimer();
   void pollEngine(const std::string& name, BackendPoll::Kind kind);
   void pollRunner(const std::string& name);
   void pollCacheEvents();
   void fetchCacheEvents(const EngineView& view);
-  void takeCacheChanges(const EngineView& view, const standin::CacheChanges& changes);
+  void applyCacheChanges(const EngineView& view, const standin::CacheChanges& changes);
   void fetchDigest(const std::string& engine, EngineSlot slot);
   void publish();
   void publishLoads();
@@ -137,12 +137,12 @@
   void pullBundle();
   void pollBundleRow();
   void offerBundle(const BundleBody& body);
-  void takeBundle(const BundleBody& body);
+  void applyBundle(const BundleBody& body);
 
   // Orders (router_orders.cc).
   void pumpLease();
-  void leaseAnswered(const LeaseAction& action, const std::optional<TableRow>& read,
-                     const std::optional<WriteAnswer>& written);
+  void onLeaseResponse(const LeaseAction& action, const std::optional<TableRow>& read,
+                       const std::optional<WriteResponse>& written);
   void sendOrders();
   void sendOrder(const FleetOrder& fleet_order, std::uint64_t token);
 
@@ -160,25 +160,25 @@
   std::unique_ptr<BundleHolder> bundles;
   std::unique_ptr<Lease> lease;
   std::unique_ptr<ClaimGroupService> claim_group;
-  bool claims_by_group = false;  ///< As last published.
+  bool claims_by_group = false;  ///< Value in the last published snapshot.
   std::unique_ptr<EngineTable> engines;
   std::shared_ptr<const RoutingSnapshot> snapshot;
   std::map<SidecarId, SidecarLink> sidecars;
   std::map<const Channel*, SidecarId> sidecar_ids;
   SidecarId next_sidecar = 1;
   std::map<DispatchId, Dispatch> dispatches;
-  std::map<std::string, EngineKnowledge> engine_knowledge;
-  std::set<std::string> digests_running;
+  std::map<std::string, CacheEventPosition> cache_positions;
+  std::set<std::string> digests_in_flight;
   FleetOrders orders;
   std::size_t unsent_orders = 0;
-  TimePoint started_at{};  ///< True time.
+  TimePoint started_at{};  ///< In true (simulation) time.
   TimePoint request_timer = TimePoint::max();
   std::uint64_t request_timer_generation = 0;
   TimePoint engine_timer = TimePoint::max();
   std::uint64_t engine_timer_generation = 0;
   TimePoint membership_timer = TimePoint::max();
   std::uint64_t membership_timer_generation = 0;
-  bool bundle_pull_running = false;
+  bool bundle_pull_in_flight = false;
   bool draining = false;
 };
 
--- a/sim/world/router_orders.cc
+++ b/sim/world/router_orders.cc
@@ -1,4 +1,4 @@
-/// @file The order lease of a simulated router, and the orders its holder gives to engines.
+/// @file Order lease of a simulated router, and the orders that the lease holder sends to engines.
 
 #include "sim/world/engine_node.h"
 #include "sim/world/router_node.h"
@@ -8,10 +8,10 @@
 
 namespace {
 constexpr Duration kOrderTimeout = std::chrono::seconds(1);
-/// Longest time between the decision for an order and its sending.
-constexpr double kOrderPreparation = 20'000;
-/// Engines that load at once where roll-outs know no waves.
-constexpr std::uint32_t kNoWaves = 1000;
+/// Maximum delay between the decision to send an order and its transmission.
+constexpr double kMaxOrderPreparationMicros = 20'000;
+/// Limit on parallel weight loads when WeightWaves is disabled; larger than any site.
+constexpr std::uint32_t kUnlimitedParallelLoads = 1000;
 
 }  // namespace
 
@@ -21,18 +21,18 @@
   PlatformNode& platform = context_.directory.platform();
   if (action->kind == LeaseAction::Kind::Read) {
     platform.readRow(host_, kOrderLeaseKey, [this, action = *action](const std::optional<TableRow>& row) {
-      leaseAnswered(action, row, std::nullopt);
+      onLeaseResponse(action, row, std::nullopt);
     });
     return;
   }
   platform.writeRow(host_, kOrderLeaseKey, action->expected_version, encodeLeaseRow(action->write),
-                    [this, action = *action](const std::optional<WriteAnswer>& answer) {
-                      leaseAnswered(action, std::nullopt, answer);
+                    [this, action = *action](const std::optional<WriteResponse>& response) {
+                      onLeaseResponse(action, std::nullopt, response);
                     });
 }
 
-void RouterNode::leaseAnswered(const LeaseAction&, const std::optional<TableRow>& read,
-                               const std::optional<WriteAnswer>& written) {
+void RouterNode::onLeaseResponse(const LeaseAction&, const std::optional<TableRow>& read,
+                                 const std::optional<WriteResponse>& written) {
   if (read) {
     process_->lease->onRead(decodeLeaseRow(*read), now());
   } else if (written) {
@@ -51,10 +51,11 @@
     return;
   }
   Bundle bundle = *current->bundle;
-  if (context_.without(Mechanism::WeightWaves)) bundle.knobs.parallel_weight_loads = kNoWaves;
+  if (context_.without(Mechanism::WeightWaves)) bundle.knobs.parallel_weight_loads = kUnlimitedParallelLoads;
   for (const FleetOrder& order : process_->orders.due(bundle, process_->snapshot->engines, now())) {
-    // A process may be stopped between its decision and its sending.
-    const auto preparation = Duration(static_cast<std::int64_t>(context_.random.unit() * kOrderPreparation));
+    // The delay lets a fault suspend the process between decision and transmission.
+    const auto preparation =
+        Duration(static_cast<std::int64_t>(context_.random.unit() * kMaxOrderPreparationMicros));
     ++process_->unsent_orders;
     host_.post(preparation, [this, order, token = *token] {
       --process_->unsent_orders;
@@ -77,7 +78,7 @@
   order.expect_incarnation = fleet_order.incarnation;
   call<ErrorCode>(
       context_, host_, engine->host(), kOrderTimeout,
-      [engine, order](const std::function<void(ErrorCode)>& answer) { answer(engine->order(order)); },
+      [engine, order](const std::function<void(ErrorCode)>& respond) { respond(engine->order(order)); },
       [this, fleet_order](std::optional<ErrorCode> code) {
         if (!code || *code != ErrorCode::Ok) process_->orders.onFailed(fleet_order);
       });
--- a/sim/world/router_requests.cc
+++ b/sim/world/router_requests.cc
@@ -1,4 +1,4 @@
-/// @file Requests at a simulated router: what RequestRouter is told and what it wants done.
+/// @file Requests at a simulated router: feeds events to RequestRouter and executes its actions.
 
 #include "sim/world/router_node.h"
 #include "sim/world/sidecar_node.h"
@@ -21,7 +21,7 @@
   while (true) {
     const std::vector<RouterAction> actions = process_->requests->takeActions();
     if (actions.empty()) break;
-    for (const RouterAction& action : actions) perform(action);
+    for (const RouterAction& action : actions) executeAction(action);
   }
   armRequestTimer();
 }
@@ -39,20 +39,20 @@
   });
 }
 
-void RouterNode::perform(const RouterAction& action) {
-  if (const auto* send = std::get_if<SendToSidecar>(&action)) performSend(*send);
+void RouterNode::executeAction(const RouterAction& action) {
+  if (const auto* send = std::get_if<SendToSidecar>(&action)) executeSend(*send);
   if (const auto* completion = std::get_if<DispatchCompletion>(&action)) dispatchCompletion(*completion);
   if (const auto* operation = std::get_if<DispatchOperation>(&action)) dispatchOperation(*operation);
   if (const auto* cancel = std::get_if<CancelDispatch>(&action)) cancelDispatch(cancel->dispatch);
-  if (const auto* claim = std::get_if<ClaimTableCall>(&action)) performClaim(*claim);
+  if (const auto* claim = std::get_if<ClaimTableCall>(&action)) executeClaimCall(*claim);
   if (const auto* call = std::get_if<GroupClaimCall>(&action)) {
     process_->claim_group->begin(call->request, now());
     pumpClaimGroup();
   }
-  if (const auto* notice = std::get_if<GroupClaimNotice>(&action)) noticeClaim(*notice);
+  if (const auto* notice = std::get_if<GroupClaimNotice>(&action)) applyClaimNotice(*notice);
 }
 
-void RouterNode::performSend(const SendToSidecar& action) {
+void RouterNode::executeSend(const SendToSidecar& action) {
   Message message = action.message;
   if (auto* refusal = std::get_if<Refusal>(&message)) {
     context_.trace.note(host_.name(), "refuses {} attempt {}: {} run_state {} {}", refusal->request_id,
@@ -65,12 +65,12 @@
   sendToSidecar(action.sidecar, std::move(message));
 }
 
-void RouterNode::performClaim(const ClaimTableCall& action) {
+void RouterNode::executeClaimCall(const ClaimTableCall& action) {
   const std::uint64_t claim = action.claim;
-  const ClaimAction wanted = action.action;
+  const ClaimAction claim_action = action.action;
   if (context_.without(Mechanism::Claim)) {
-    host_.post(Duration(1), [this, claim, wanted] {
-      if (wanted.kind == ClaimAction::Kind::Read) {
+    host_.post(Duration(1), [this, claim, claim_action] {
+      if (claim_action.kind == ClaimAction::Kind::Read) {
         process_->requests->onClaimRead(claim, ClaimRow{}, now());
       } else {
         process_->requests->onClaimWritten(claim, true, now(), 1);
@@ -80,24 +80,24 @@
     return;
   }
   PlatformNode& platform = context_.directory.platform();
-  const std::string key = "crankspur/claim/" + wanted.key;
-  if (wanted.kind == ClaimAction::Kind::Read) {
-    platform.readRow(host_, key, [this, claim, wanted](const std::optional<TableRow>& row) {
-      claimAnswered(claim, wanted, row, std::nullopt);
+  const std::string key = "crankspur/claim/" + claim_action.key;
+  if (claim_action.kind == ClaimAction::Kind::Read) {
+    platform.readRow(host_, key, [this, claim, claim_action](const std::optional<TableRow>& row) {
+      onClaimResponse(claim, claim_action, row, std::nullopt);
     });
     return;
   }
   platform.writeRow(
-      host_, key, wanted.expected_version, encodeClaimRow(wanted.write),
-      [this, claim, wanted](const std::optional<WriteAnswer>& answer) {
-        claimAnswered(claim, wanted, std::nullopt, answer);
+      host_, key, claim_action.expected_version, encodeClaimRow(claim_action.write),
+      [this, claim, claim_action](const std::optional<WriteResponse>& response) {
+        onClaimResponse(claim, claim_action, std::nullopt, response);
       },
       action.only_without_group ? kClaimGroupRowKey : "");
 }
 
-void RouterNode::claimAnswered(std::uint64_t claim, const ClaimAction& action,
-                               const std::optional<TableRow>& read,
-                               const std::optional<WriteAnswer>& written) {
+void RouterNode::onClaimResponse(std::uint64_t claim, const ClaimAction& action,
+                                 const std::optional<TableRow>& read,
+                                 const std::optional<WriteResponse>& written) {
   if (read) {
     process_->requests->onClaimRead(claim, decodeClaimRow(*read), now());
   } else if (written && written->fenced) {
--- a/sim/world/run_result.h
+++ b/sim/world/run_result.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file What a seeded run is made of and what came of it.
+/// @file Options and result of a seeded run.
 
 #include <cstdint>
 #include <string>
@@ -9,23 +9,23 @@
 
 namespace crankspur::sim {
 
-/// One thing that must not be.
+/// A violated invariant, as reported by a checker.
 struct Violation {
-  std::string checker;  ///< Stable name, as in docs/PROOFS.md.
+  std::string checker;  ///< Stable name, as listed in docs/PROOFS.md.
   std::string what;
 };
 
 using Violations = std::vector<Violation>;
 
-/// What a run is made of.
+/// Options of a run.
 struct RunOptions {
   std::uint64_t seed = 1;
-  std::string scenario;  ///< Empty: by the seed.
+  std::string scenario;  ///< Empty: chosen by the seed.
   RemovedMechanisms removed;
   bool keep_trace_lines = false;
 };
 
-/// What came of it.
+/// Result of a run.
 struct RunResult {
   std::uint64_t seed = 0;
   std::string scenario;
--- a/sim/world/runner_node.cc
+++ b/sim/world/runner_node.cc
@@ -5,8 +5,8 @@
 namespace crankspur::sim {
 
 namespace {
-constexpr Duration kShortestService = std::chrono::milliseconds(5);
-constexpr double kMeanExtraServiceMicroseconds = 40'000;
+constexpr Duration kMinServiceTime = std::chrono::milliseconds(5);
+constexpr double kMeanExtraServiceMicros = 40'000;
 }  // namespace
 
 void RunnerNode::execute(const SubmitRequest& request, std::function<void(std::string result)> done) {
@@ -14,15 +14,15 @@
   context_.records.executions.push_back({request.request_id, request.tenant, request.idempotency_key,
                                          request.operation, host_.name(), context_.queue.now()});
   const auto extra =
-      Duration(static_cast<std::int64_t>(context_.random.exponential(kMeanExtraServiceMicroseconds)));
+      Duration(static_cast<std::int64_t>(context_.random.exponential(kMeanExtraServiceMicros)));
   const std::string result = fmt::format("done:{}:{}", request.tenant, request.prompt);
-  host_.post(kShortestService + extra, [done = std::move(done), result] { done(result); });
+  host_.post(kMinServiceTime + extra, [done = std::move(done), result] { done(result); });
 }
 
 void RunnerNode::crash(bool silent) {
   context_.trace.note(host_.name(), "crash");
   context_.network.crash(host_, silent);
-  context_.records.endProcess(host_.name(), context_.queue.now());
+  context_.records.recordProcessEnd(host_.name(), context_.queue.now());
   leaving_ = false;
 }
 
--- a/sim/world/runner_node.h
+++ b/sim/world/runner_node.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file An application runner of the simulation: each call is one execution, without any deduplication.
+/// @file Simulated application runner: every call is executed; calls are not deduplicated.
 
 #include <functional>
 #include <string>
@@ -8,12 +8,11 @@
 
 namespace crankspur::sim {
 
-/// One application runner.
 class RunnerNode {
 public:
   RunnerNode(Context& context, Host& host) : context_(context), host_(host) { host_.start(); }
 
-  /// Executes at this host; `done` gets the result there.
+  /// Executes the request at this host, where `done` runs with the result.
   void execute(const SubmitRequest& request, std::function<void(std::string result)> done);
   bool leaving() const { return leaving_; }
   std::uint64_t incarnation() const { return host_.epoch(); }
--- a/sim/world/sidecar_node.cc
+++ b/sim/world/sidecar_node.cc
@@ -10,13 +10,13 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Duration kUpkeepInterval = milliseconds(100);
+constexpr Duration kMaintenanceInterval = milliseconds(100);
 constexpr Duration kPingInterval = seconds(1);
-constexpr Duration kSilenceLimit = seconds(3);
+constexpr Duration kRouterSilenceTimeout = seconds(3);
 constexpr Duration kConnectTimeout = seconds(1);
 
-/// A repeated bundle comes this much later at most.
-constexpr double kLongestBundleRepeat = 12'000'000;
+/// Maximum delay of a duplicated bundle.
+constexpr double kMaxBundleRepeatDelayMicros = 12'000'000;
 
 }  // namespace
 
@@ -36,25 +36,25 @@
   for (const std::string& seed : seeds_) process_->directory->addSeed(seed);
   process_->selector = std::make_unique<RendezvousRouterSelector>(place.zone, place.region);
   process_->bundles = std::make_unique<BundleHolder>(keys_);
-  upkeep();
+  maintainConnections();
 }
 
 void SidecarNode::crash(bool silent) {
   if (!host_.up()) return;
   context_.trace.note(host_.name(), "crash");
-  for (auto& [id, open] : process_->open) open.record->abandoned = true;
+  for (auto& [id, open] : process_->open_requests) open.record->abandoned = true;
   context_.network.crash(host_, silent);
   process_.reset();
 }
 
-void SidecarNode::upkeep() {
+void SidecarNode::maintainConnections() {
   for (const std::string& address : process_->directory->wanted(now())) {
-    if (!process_->links.contains(address)) open(address);
+    if (!process_->links.contains(address)) connectRouter(address);
   }
   std::vector<ChannelPointer> silent;
   for (auto& [address, link] : process_->links) {
     if (!link.channel || link.name.empty()) continue;
-    if (now() - link.last_heard > kSilenceLimit) {
+    if (now() - link.last_received_at > kRouterSilenceTimeout) {
       silent.push_back(link.channel);
     } else if (now() - link.last_ping >= kPingInterval) {
       link.last_ping = now();
@@ -67,24 +67,24 @@
     }
   }
   for (const ChannelPointer& channel : silent) {
-    // The channel stays half open, so that late answers on it must be recognized by what they say.
-    linkClosed(channel);
+    // The channel stays half open, so late responses on it must be matched by their contents.
+    onLinkClosed(channel);
   }
-  host_.post(kUpkeepInterval, [this] { upkeep(); });
+  host_.post(kMaintenanceInterval, [this] { maintainConnections(); });
 }
 
-void SidecarNode::open(const std::string& address) {
+void SidecarNode::connectRouter(const std::string& address) {
   process_->links[address].address = address;
   RouterNode* router = context_.directory.router(address);
   context_.network.connect(
       host_, router->host(), kConnectTimeout,
       [this, router](const ChannelPointer& channel) { router->acceptSidecar(channel, *this); },
       [this, address](const ChannelPointer& channel) {
-        Link& link = process_->links[address];
+        RouterLink& link = process_->links[address];
         link.address = address;
         link.channel = channel;
-        link.last_heard = now();
-        channel->onClosed(Side::Client, [this, channel] { linkClosed(channel); });
+        link.last_received_at = now();
+        channel->onClosed(Side::Client, [this, channel] { onLinkClosed(channel); });
       },
       [this, address] {
         process_->links.erase(address);
@@ -92,32 +92,32 @@
       });
 }
 
-SidecarNode::Link* SidecarNode::findLink(const ChannelPointer& channel) {
+SidecarNode::RouterLink* SidecarNode::findLink(const ChannelPointer& channel) {
   for (auto& [address, link] : process_->links) {
     if (link.channel == channel) return &link;
   }
   return nullptr;
 }
 
-void SidecarNode::linkClosed(const ChannelPointer& channel) {
-  const Link* link = findLink(channel);
+void SidecarNode::onLinkClosed(const ChannelPointer& channel) {
+  const RouterLink* link = findLink(channel);
   if (link == nullptr) return;
   const std::string name = link->name;
   const std::string address = link->address;
   process_->links.erase(address);
   process_->directory->onClosed(address, now());
   routersChanged();
-  if (!name.empty()) lose(name);
+  if (!name.empty()) failRequestsAt(name);
 }
 
-void SidecarNode::lose(const std::string& router) {
+void SidecarNode::failRequestsAt(const std::string& router) {
   std::vector<std::string> ids;
-  for (const auto& [id, open] : process_->open) {
+  for (const auto& [id, open] : process_->open_requests) {
     if (open.router == router) ids.push_back(id);
   }
   for (const std::string& id : ids) {
-    const auto found = process_->open.find(id);
-    if (found == process_->open.end()) continue;
+    const auto found = process_->open_requests.find(id);
+    if (found == process_->open_requests.end()) continue;
     found->second.request->onRouterLost(router, true, now());
     pump(id);
   }
@@ -142,9 +142,9 @@
 }
 
 void SidecarNode::onRouterMessage(const ChannelPointer& channel, const Message& message) {
-  Link* link = findLink(channel);
+  RouterLink* link = findLink(channel);
   if (link != nullptr) {
-    link->last_heard = now();
+    link->last_received_at = now();
     if (const auto* hello = std::get_if<Hello>(&message)) return onHello(*link, *hello);
     if (const auto* ack = std::get_if<PingAck>(&message)) return onPingAck(*link, *ack);
     if (std::holds_alternative<BundleRequest>(message)) {
@@ -154,41 +154,43 @@
     }
     if (const auto* body = std::get_if<BundleBody>(&message)) return offerBundle(*body);
   }
-  if (const auto* accepted = std::get_if<Accepted>(&message)) return onAnswer(accepted->request_id, message);
-  if (const auto* piece = std::get_if<StreamPiece>(&message)) return onAnswer(piece->request_id, message);
-  if (const auto* end = std::get_if<StreamEnd>(&message)) return onAnswer(end->request_id, message);
-  if (const auto* refusal = std::get_if<Refusal>(&message)) return onAnswer(refusal->request_id, message);
+  if (const auto* accepted = std::get_if<Accepted>(&message))
+    return onResponse(accepted->request_id, message);
+  if (const auto* piece = std::get_if<StreamPiece>(&message)) return onResponse(piece->request_id, message);
+  if (const auto* end = std::get_if<StreamEnd>(&message)) return onResponse(end->request_id, message);
+  if (const auto* refusal = std::get_if<Refusal>(&message)) return onResponse(refusal->request_id, message);
 }
 
-void SidecarNode::onHello(Link& link, const Hello& hello) {
+void SidecarNode::onHello(RouterLink& link, const Hello& hello) {
   if (!process_->directory->onHello(link.address, hello)) return;
   link.name = hello.node_name;
   routersChanged();
-  compareBundle(link, hello.bundle_version);
+  syncBundle(link, hello.bundle_version);
 }
 
-void SidecarNode::onPingAck(Link& link, const PingAck& ack) {
+void SidecarNode::onPingAck(RouterLink& link, const PingAck& ack) {
   for (const MemberRecord& member : ack.members) process_->directory->learn(member);
   routersChanged();
-  compareBundle(link, ack.bundle_version);
+  syncBundle(link, ack.bundle_version);
 }
 
-/// Gives the bundle to a router that is behind and takes it from one that is ahead.
-void SidecarNode::compareBundle(Link& link, std::uint64_t version) {
+/// Sends the bundle to a router with an older version and requests it from a router with a newer one.
+void SidecarNode::syncBundle(RouterLink& link, std::uint64_t version) {
   const auto current = process_->bundles->current();
   if (current && version < bundleVersion()) sendOn(link.channel, current->body);
   if (version > bundleVersion()) sendOn(link.channel, BundleRequest{bundleVersion()});
 }
 
 void SidecarNode::offerBundle(const BundleBody& body) {
-  if (context_.repeated_bundle_share > 0 && context_.random.chance(context_.repeated_bundle_share)) {
-    const auto later = Duration(static_cast<std::int64_t>(context_.random.unit() * kLongestBundleRepeat));
-    host_.post(later, [this, body] { takeBundle(body); });
+  if (context_.duplicate_bundle_rate > 0 && context_.random.chance(context_.duplicate_bundle_rate)) {
+    const auto delay =
+        Duration(static_cast<std::int64_t>(context_.random.unit() * kMaxBundleRepeatDelayMicros));
+    host_.post(delay, [this, body] { applyBundle(body); });
   }
-  takeBundle(body);
+  applyBundle(body);
 }
 
-void SidecarNode::takeBundle(const BundleBody& body) {
+void SidecarNode::applyBundle(const BundleBody& body) {
   if (context_.without(Mechanism::BundleMonotonicity) && body.version != bundleVersion()) {
     process_->bundles = std::make_unique<BundleHolder>(keys_);
   }
--- a/sim/world/sidecar_node.h
+++ b/sim/world/sidecar_node.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file A sidecar of the simulation: drives CallerRequest, RouterDirectory and BundleHolder over the
-/// simulated network and records what its callers get.
+/// @file Simulated sidecar: drives CallerRequest, RouterDirectory and BundleHolder over the simulated network
+/// and records the responses to its callers.
 
 #include <map>
 #include <memory>
@@ -15,7 +15,6 @@
 
 namespace crankspur::sim {
 
-/// One sidecar.
 class SidecarNode {
 public:
   SidecarNode(Context& context, Host& host, std::vector<std::string> seeds, TrustedKeys keys);
@@ -24,28 +23,28 @@
   void start();
   void crash(bool silent);
   Host& host() { return host_; }
-  /// A caller sends a request; the record is filled as the answer comes.
+  /// Submits the request of a caller; `record` is updated as the response arrives.
   void submit(CallerRecord& record);
-  /// Calls at this host.
+  /// Called in the context of this host.
   void onRouterMessage(const ChannelPointer& channel, const Message& message);
   std::uint64_t bundleVersion() const;
-  /// Loses a share of the pieces that routers send, as a faulty peer would.
-  void setLostPieces(double share) { lost_piece_share_ = share; }
-  /// Makes a share of the routers' answers come a second time, late.
-  void setRepeatedAnswers(double share) { repeated_answer_share_ = share; }
-  /// Takes a bundle, as if it had been held since before the run.
+  /// Drops this fraction of stream pieces from routers, as a faulty peer would.
+  void setPieceLossRate(double rate) { piece_loss_rate_ = rate; }
+  /// Delivers this fraction of the routers' responses a second time after a delay.
+  void setDuplicateResponseRate(double rate) { duplicate_response_rate_ = rate; }
+  /// Offers a bundle to the process; with `duplicate_bundle_rate`, possibly a second time after a delay.
   void offerBundle(const BundleBody& body);
 
 private:
-  struct Link {
+  struct RouterLink {
     std::string address;
     std::string name;
     ChannelPointer channel;
-    TimePoint last_heard{};
+    TimePoint last_received_at{};
     TimePoint last_ping{};
     std::uint64_t ping_sequence = 0;
   };
-  struct Open {
+  struct OpenRequest {
     CallerRecord* record = nullptr;
     std::unique_ptr<CallerRequest> request;
     std::string router;
@@ -57,24 +56,24 @@
   struct Process;
 
   TimePoint now() const { return host_.now(); }
-  void takeBundle(const BundleBody& body);
-  void upkeep();
-  void open(const std::string& address);
-  void linkClosed(const ChannelPointer& channel);
-  void lose(const std::string& router);
+  void applyBundle(const BundleBody& body);
+  void maintainConnections();
+  void connectRouter(const std::string& address);
+  void onLinkClosed(const ChannelPointer& channel);
+  void failRequestsAt(const std::string& router);
   void routersChanged();
   bool send(const std::string& router, const Message& message);
   void sendOn(const ChannelPointer& channel, const Message& message);
-  Link* findLink(const ChannelPointer& channel);
-  void onHello(Link& link, const Hello& hello);
-  void onPingAck(Link& link, const PingAck& ack);
-  void compareBundle(Link& link, std::uint64_t version);
-  void onAnswer(const std::string& request_id, Message message);
-  void takeAnswer(const std::string& request_id, Message message);
-  void tamper(Open& open, Message& message);
+  RouterLink* findLink(const ChannelPointer& channel);
+  void onHello(RouterLink& link, const Hello& hello);
+  void onPingAck(RouterLink& link, const PingAck& ack);
+  void syncBundle(RouterLink& link, std::uint64_t version);
+  void onResponse(const std::string& request_id, Message message);
+  void handleResponse(const std::string& request_id, Message message);
+  void bypassRemovedChecks(OpenRequest& open, Message& message);
   void pump(const std::string& request_id);
-  void perform(Open& open, const CallerAction& action);
-  void armTimer(const std::string& request_id, Open& open);
+  void executeAction(OpenRequest& open, const CallerAction& action);
+  void armTimer(const std::string& request_id, OpenRequest& open);
   void deliverText(CallerRecord& record, std::uint64_t offset, std::uint32_t count, const std::string& text);
   void deliverFinal(CallerRecord& record);
 
@@ -82,8 +81,8 @@
   Host& host_;
   std::vector<std::string> seeds_;
   TrustedKeys keys_;
-  double repeated_answer_share_ = 0;
-  double lost_piece_share_ = 0;
+  double duplicate_response_rate_ = 0;
+  double piece_loss_rate_ = 0;
   std::unique_ptr<Process> process_;
 };
 
@@ -92,9 +91,9 @@
   std::unique_ptr<RouterDirectory> directory;
   std::unique_ptr<RendezvousRouterSelector> selector;
   std::unique_ptr<BundleHolder> bundles;
-  std::map<std::string, Link> links;  ///< By address, open or opening.
-  std::map<std::string, Open> open;   ///< By request.
-  std::string newest_request;
+  std::map<std::string, RouterLink> links;           ///< By address; connected or connecting.
+  std::map<std::string, OpenRequest> open_requests;  ///< By request ID.
+  std::string latest_request;
 };
 
 }  // namespace crankspur::sim
--- a/sim/world/sidecar_requests.cc
+++ b/sim/world/sidecar_requests.cc
@@ -1,13 +1,13 @@
-/// @file Requests at a simulated sidecar: what CallerRequest is told and what the caller gets.
+/// @file Requests at a simulated sidecar: feeds messages to CallerRequest and records responses to callers.
 
 #include "sim/world/sidecar_node.h"
 
 namespace crankspur::sim {
 
 namespace {
-constexpr std::uint32_t kMaximumAttempts = 4;
-/// A repeated answer comes this much later at most.
-constexpr double kLongestRepeat = 1'500'000;
+constexpr std::uint32_t kMaxAttempts = 4;
+/// Maximum delay of a duplicated response.
+constexpr double kMaxRepeatDelayMicros = 1'500'000;
 }  // namespace
 
 void SidecarNode::submit(CallerRecord& record) {
@@ -17,36 +17,36 @@
   const std::string id = record.request.request_id;
   context_.trace.note(host_.name(), "caller sends {} {} key {}", id, record.request.operation,
                       record.request.idempotency_key);
-  Open& open = process_->open[id];
+  OpenRequest& open = process_->open_requests[id];
   open.record = &record;
   open.request =
-      makeCallerRequest(record.request, *process_->selector, kMaximumAttempts, context_.random.bits(), now());
-  process_->newest_request = id;
+      makeCallerRequest(record.request, *process_->selector, kMaxAttempts, context_.random.bits(), now());
+  process_->latest_request = id;
   pump(id);
 }
 
-void SidecarNode::onAnswer(const std::string& request_id, Message message) {
+void SidecarNode::onResponse(const std::string& request_id, Message message) {
   const bool piece = std::holds_alternative<StreamPiece>(message);
-  if (piece && lost_piece_share_ > 0 && context_.random.chance(lost_piece_share_)) {
+  if (piece && piece_loss_rate_ > 0 && context_.random.chance(piece_loss_rate_)) {
     context_.trace.note(host_.name(), "a piece of {} is lost", request_id);
     return;
   }
-  if (repeated_answer_share_ > 0 && context_.random.chance(repeated_answer_share_)) {
-    const auto later = Duration(static_cast<std::int64_t>(context_.random.unit() * kLongestRepeat));
-    host_.post(later, [this, request_id, message] { takeAnswer(request_id, message); });
+  if (duplicate_response_rate_ > 0 && context_.random.chance(duplicate_response_rate_)) {
+    const auto delay = Duration(static_cast<std::int64_t>(context_.random.unit() * kMaxRepeatDelayMicros));
+    host_.post(delay, [this, request_id, message] { handleResponse(request_id, message); });
   }
-  takeAnswer(request_id, std::move(message));
+  handleResponse(request_id, std::move(message));
 }
 
-void SidecarNode::takeAnswer(const std::string& request_id, Message message) {
-  auto found = process_->open.find(request_id);
+void SidecarNode::handleResponse(const std::string& request_id, Message message) {
+  auto found = process_->open_requests.find(request_id);
   if (context_.without(Mechanism::RequestCheck)) {
-    found = process_->open.find(process_->newest_request);
+    found = process_->open_requests.find(process_->latest_request);
   }
-  if (found == process_->open.end()) return;
-  Open& open = found->second;
+  if (found == process_->open_requests.end()) return;
+  OpenRequest& open = found->second;
   const std::string id = found->first;
-  tamper(open, message);
+  bypassRemovedChecks(open, message);
   if (const auto* accepted = std::get_if<Accepted>(&message)) open.request->onAccepted(*accepted, now());
   if (const auto* piece = std::get_if<StreamPiece>(&message)) {
     if (context_.without(Mechanism::ContiguousDelivery)) {
@@ -58,7 +58,7 @@
     if (context_.without(Mechanism::EndCheck)) {
       open.record->end = *end;
       deliverFinal(*open.record);
-      process_->open.erase(id);
+      process_->open_requests.erase(id);
       return;
     }
     open.request->onEnd(*end, now());
@@ -67,8 +67,8 @@
   pump(id);
 }
 
-/// Takes checks away by making messages look as if they had passed them.
-void SidecarNode::tamper(Open& open, Message& message) {
+/// Disables checks of CallerRequest by altering messages so that they pass.
+void SidecarNode::bypassRemovedChecks(OpenRequest& open, Message& message) {
   const auto adapt = [this, &open](auto& typed) {
     if (context_.without(Mechanism::RequestCheck)) typed.request_id = open.record->request.request_id;
     const bool any_attempt =
@@ -82,13 +82,13 @@
 }
 
 void SidecarNode::pump(const std::string& request_id) {
-  auto found = process_->open.find(request_id);
-  // A failed submit feeds the request again from inside an action; the outer call goes on with it.
-  if (found == process_->open.end() || found->second.pumping) return;
-  Open& open = found->second;
+  auto found = process_->open_requests.find(request_id);
+  // A failed submit adds events from within an action; the outer call processes the resulting actions.
+  if (found == process_->open_requests.end() || found->second.pumping) return;
+  OpenRequest& open = found->second;
   open.pumping = true;
   for (auto actions = open.request->takeActions(); !actions.empty(); actions = open.request->takeActions()) {
-    for (const CallerAction& action : actions) perform(open, action);
+    for (const CallerAction& action : actions) executeAction(open, action);
   }
   open.pumping = false;
   if (!open.request->finished()) {
@@ -96,10 +96,10 @@
     return;
   }
   if (!open.router.empty()) process_->selector->noteFinished(open.router);
-  process_->open.erase(found);
+  process_->open_requests.erase(found);
 }
 
-void SidecarNode::perform(Open& open, const CallerAction& action) {
+void SidecarNode::executeAction(OpenRequest& open, const CallerAction& action) {
   CallerRecord& record = *open.record;
   if (const auto* submit = std::get_if<SubmitToRouter>(&action)) {
     if (!open.router.empty()) process_->selector->noteFinished(open.router);
@@ -127,7 +127,7 @@
 void SidecarNode::deliverText(CallerRecord& record, std::uint64_t offset, std::uint32_t count,
                               const std::string& text) {
   if (offset != record.tokens) record.out_of_order = true;
-  if (record.finals > 0) record.late_text = true;
+  if (record.finals > 0) record.text_after_final = true;
   record.text += text;
   record.tokens += count;
 }
@@ -145,14 +145,14 @@
   }
 }
 
-void SidecarNode::armTimer(const std::string& request_id, Open& open) {
+void SidecarNode::armTimer(const std::string& request_id, OpenRequest& open) {
   const std::optional<TimePoint> next = open.request->nextTimer();
   if (!next || *next == open.timer) return;
   open.timer = *next;
   const std::uint64_t generation = ++open.timer_generation;
   host_.postAt(std::max(*next, now() + Duration(1)), [this, request_id, generation] {
-    const auto found = process_->open.find(request_id);
-    if (found == process_->open.end() || found->second.timer_generation != generation) return;
+    const auto found = process_->open_requests.find(request_id);
+    if (found == process_->open_requests.end() || found->second.timer_generation != generation) return;
     found->second.timer = TimePoint::max();
     found->second.request->onTimer(now());
     pump(request_id);
--- a/sim/world/site.cc
+++ b/sim/world/site.cc
@@ -11,8 +11,8 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-/// How many of each kind a site has.
-struct Counts {
+/// Number of machines of each kind, and of tenants.
+struct MachineCounts {
   std::size_t routers = 0;
   std::size_t sidecars = 0;
   std::size_t engines = 0;
@@ -20,8 +20,8 @@
   std::size_t tenants = 0;
 };
 
-std::vector<SiteMachine> spread(const Site& site, const std::string& kind, const std::string& pool,
-                                std::size_t count) {
+std::vector<SiteMachine> spreadOverZones(const Site& site, const std::string& kind, const std::string& pool,
+                                         std::size_t count) {
   std::vector<SiteMachine> machines;
   for (std::size_t index = 0; index < count; ++index) {
     machines.push_back({fmt::format("{}-{:02}", kind, index), site.zones[index % site.zones.size()], pool});
@@ -29,11 +29,11 @@
   return machines;
 }
 
-void fill(Site& site, const Counts& counts) {
-  site.routers = spread(site, "router", "", counts.routers);
-  site.sidecars = spread(site, "sidecar", "", counts.sidecars);
-  site.engines = spread(site, "engine", "language", counts.engines);
-  site.runners = spread(site, "runner", "application", counts.runners);
+void populate(Site& site, const MachineCounts& counts) {
+  site.routers = spreadOverZones(site, "router", "", counts.routers);
+  site.sidecars = spreadOverZones(site, "sidecar", "", counts.sidecars);
+  site.engines = spreadOverZones(site, "engine", "language", counts.engines);
+  site.runners = spreadOverZones(site, "runner", "application", counts.runners);
   for (std::size_t index = 0; index < counts.tenants; ++index) {
     site.tenants.push_back(fmt::format("tenant-{}", index));
   }
@@ -44,7 +44,7 @@
   site.name = "parts_desk";
   for (const char* zone : {"recife", "natal", "fortaleza"}) site.zones.push_back({zone, "coast"});
   site.delays.other_zone = microseconds(1200);
-  fill(site, {6, 6, 20, 3, 8});
+  populate(site, {6, 6, 20, 3, 8});
   return site;
 }
 
@@ -54,18 +54,18 @@
   for (const char* zone : {"pumphouse", "annex", "dam-office"}) site.zones.push_back({zone, "county"});
   site.delays.other_zone = microseconds(700);
   site.operation_share = 0.5;
-  fill(site, {3, 6, 12, 3, 8});
+  populate(site, {3, 6, 12, 3, 8});
   return site;
 }
 
-/// Two small regions over a long time with few requests.
+/// Two small regions with sparse traffic over a long period.
 Site makeTwoRegions() {
   Site site;
   site.name = "two_regions";
   site.zones = {{"north-a", "north"}, {"south-a", "south"}, {"north-b", "north"}, {"south-b", "south"}};
   site.requests_per_second = 0.05;
   site.load = minutes(61);
-  fill(site, {4, 4, 4, 2, 4});
+  populate(site, {4, 4, 4, 2, 4});
   return site;
 }
 
@@ -79,7 +79,7 @@
   }
   site.requests_per_second = 100;
   site.load = seconds(8);
-  fill(site, {40, 22, 200, 11, 24});
+  populate(site, {40, 22, 200, 11, 24});
   return site;
 }
 
--- a/sim/world/site.h
+++ b/sim/world/site.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Sizes and places of the simulated sites.
+/// @file Size, topology and traffic of the simulated sites.
 
 #include <string>
 #include <string_view>
@@ -10,14 +10,14 @@
 
 namespace crankspur::sim {
 
-/// One machine of a site.
+/// A machine of a site.
 struct SiteMachine {
   std::string name;
   Place place;
   std::string pool;  ///< Engines and runners only.
 };
 
-/// What stands at a site and how callers use it.
+/// Machines, network and traffic of a site.
 struct Site {
   std::string name;
   std::vector<Place> zones;
@@ -27,16 +27,16 @@
   std::vector<SiteMachine> runners;
   std::vector<std::string> tenants;
   NetworkDelays delays;
-  double requests_per_second = 12;             ///< Over the whole site.
-  double retry_budget = 10;                    ///< Of each tenant, in retries for each first attempt.
-  double operation_share = 0.3;                ///< Share of requests that are operations.
-  Duration load = std::chrono::seconds(24);    ///< How long callers send.
-  Duration settle = std::chrono::seconds(16);  ///< Time after the load for last answers.
-  std::uint32_t claim_group_size = 0;          ///< Routers that decide on claims by majority.
+  double requests_per_second = 12;                  ///< Total for the site.
+  double retry_budget = 10;                         ///< Per tenant: retries per first attempt.
+  double operation_share = 0.3;                     ///< Fraction of requests that are operations.
+  Duration load = std::chrono::seconds(24);         ///< Duration of the caller traffic.
+  Duration settle_time = std::chrono::seconds(16);  ///< Time after the traffic for outstanding responses.
+  std::uint32_t claim_group_size = 0;  ///< Routers that decide claims by majority; 0: no claim group.
   Duration claim_lifetime = std::chrono::hours(24);
 };
 
-/// @return the site "parts_desk", "tallow_creek", "two_regions" or "large".
+/// @return the site "tallow_creek", "two_regions" or "large"; "parts_desk" for any other name.
 Site makeSite(std::string_view name);
 
 }  // namespace crankspur::sim
--- a/sim/world/table_rows.cc
+++ b/sim/world/table_rows.cc
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// Separates the fields of a value; no field contains it.
+/// Field separator within a value; must not occur in a field.
 constexpr char kSeparator = '\x1f';
 
-std::vector<std::string> split(const std::string& text) {
+std::vector<std::string> splitFields(const std::string& text) {
   std::vector<std::string> fields(1);
   for (const char character : text) {
     if (character == kSeparator) {
@@ -34,7 +34,7 @@
   ClaimRow claim;
   claim.row_version = row.version;
   if (row.version == 0) return claim;
-  const std::vector<std::string> fields = split(row.value);
+  const std::vector<std::string> fields = splitFields(row.value);
   claim.phase = static_cast<ClaimRow::Phase>(std::stoi(fields[0]));
   claim.token = fields[1];
   claim.body_hash = fields[2];
@@ -54,7 +54,7 @@
   ClaimGroupRow group;
   group.row_version = row.version;
   if (row.version == 0) return group;
-  const std::vector<std::string> fields = split(row.value);
+  const std::vector<std::string> fields = splitFields(row.value);
   group.epoch = std::stoull(fields[0]);
   group.installer = fields[1];
   for (std::size_t index = 2; index + 1 < fields.size(); index += 2) {
@@ -71,7 +71,7 @@
   LeaseRow lease;
   lease.row_version = row.version;
   if (row.version == 0) return lease;
-  const std::vector<std::string> fields = split(row.value);
+  const std::vector<std::string> fields = splitFields(row.value);
   lease.holder = fields[0];
   lease.token = std::stoull(fields[1]);
   lease.renewal = std::stoull(fields[2]);
@@ -84,7 +84,7 @@
 
 BundleRow decodeBundleRow(const TableRow& row) {
   if (row.version == 0) return {};
-  const std::vector<std::string> fields = split(row.value);
+  const std::vector<std::string> fields = splitFields(row.value);
   return {std::stoull(fields[0]), fields[1]};
 }
 
@@ -98,7 +98,7 @@
 }
 
 BundleBody decodeBundleBody(const std::string& text) {
-  const std::vector<std::string> fields = split(text);
+  const std::vector<std::string> fields = splitFields(text);
   BundleBody body;
   body.version = std::stoull(fields[0]);
   body.author_signature = fields[1];
--- a/sim/world/table_rows.h
+++ b/sim/world/table_rows.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Values of the rows that the simulated processes keep in the table.
+/// @file Encoding of the table rows that simulated processes store.
 
 #include <string>
 
@@ -16,7 +16,7 @@
 std::string encodeLeaseRow(const LeaseRow& row);
 LeaseRow decodeLeaseRow(const TableRow& row);
 
-/// What the bundle row says.
+/// Contents of the bundle row.
 struct BundleRow {
   std::uint64_t version = 0;
   std::string digest;
@@ -26,7 +26,7 @@
 
 std::string encodeBundleRow(const BundleRow& row);
 BundleRow decodeBundleRow(const TableRow& row);
-/// @return the key of the object that holds a bundle's signed form.
+/// @return the object key of the bundle in signed form.
 std::string bundleObjectKey(const BundleRow& row);
 std::string encodeBundleBody(const BundleBody& body);
 BundleBody decodeBundleBody(const std::string& text);
--- a/sim/world/workload.cc
+++ b/sim/world/workload.cc
@@ -14,12 +14,12 @@
 
 constexpr std::size_t kCatalogueEntries = 24;
 constexpr std::size_t kRuleEntries = 8;
-constexpr std::uint64_t kShortestAnswer = 8;
-constexpr std::uint64_t kLongestAnswer = 96;
+constexpr std::uint64_t kMinCompletionTokens = 8;
+constexpr std::uint64_t kMaxCompletionTokens = 96;
 constexpr Duration kDeadline = seconds(10);
-constexpr std::uint32_t kOrderTries = 3;
-/// Share of callers that try an order again before its answer came.
-constexpr double kImpatientShare = 0.3;
+constexpr std::uint32_t kMaxOrderTries = 3;
+/// Fraction of orders that are retried before their response.
+constexpr double kEarlyRetryShare = 0.3;
 constexpr double kOrderShare = 0.7;
 constexpr double kAdapterShare = 0.2;
 
@@ -28,23 +28,23 @@
 Workload::Workload(World& world, std::uint64_t seed) : world_(world), random_(seed) {}
 
 void Workload::start() {
-  ends_ = world_.context().queue.now() + world_.site().load;
-  next();
+  load_ends_at_ = world_.context().queue.now() + world_.site().load;
+  scheduleNext();
 }
 
-void Workload::next() {
+void Workload::scheduleNext() {
   const double mean = 1e6 / world_.site().requests_per_second;
-  const auto wait = Duration(static_cast<std::int64_t>(random_.exponential(mean)));
-  world_.context().queue.after(wait, [this] {
-    if (world_.context().queue.now() >= ends_) return;
+  const auto delay = Duration(static_cast<std::int64_t>(random_.exponential(mean)));
+  world_.context().queue.after(delay, [this] {
+    if (world_.context().queue.now() >= load_ends_at_) return;
     send();
-    next();
+    scheduleNext();
   });
 }
 
 void Workload::send() {
   const std::vector<std::string>& tenants = world_.site().tenants;
-  // A few tenants are large.
+  // The product of two uniform variates skews traffic towards the first tenants.
   const auto index =
       static_cast<std::size_t>(random_.unit() * random_.unit() * static_cast<double>(tenants.size()));
   const bool operation = random_.chance(world_.site().operation_share);
@@ -52,11 +52,11 @@
   request.request_id = fmt::format("request-{}", next_request_++);
   request.tenant = tenants[index];
   request.deadline = kDeadline;
-  if (same_prompts_ && !operation) {
-    SubmitRequest same = request;
-    same.request_id = fmt::format("request-{}", next_request_++);
-    same.tenant = tenants[(index + 1) % tenants.size()];
-    sendAt(random_.uniform(0, world_.sidecarCount() - 1), std::move(same), 1);
+  if (duplicate_prompts_ && !operation) {
+    SubmitRequest duplicate = request;
+    duplicate.request_id = fmt::format("request-{}", next_request_++);
+    duplicate.tenant = tenants[(index + 1) % tenants.size()];
+    sendAt(random_.uniform(0, world_.sidecarCount() - 1), std::move(duplicate), 1);
   }
   sendAt(random_.uniform(0, world_.sidecarCount() - 1), std::move(request), 1);
 }
@@ -75,7 +75,7 @@
   request.kind = RequestKind::Completion;
   request.model = kModel;
   if (random_.chance(kAdapterShare)) request.adapter = "reviews";
-  // The catalogue is the same text for all tenants, so that only the scope of an entry tells them apart.
+  // All tenants send an identical catalogue, so that cache entries differ in their scope only.
   request.prompt = catalogue();
   if (random_.chance(0.7)) {
     for (std::size_t entry = 0; entry < kRuleEntries; ++entry) {
@@ -83,7 +83,8 @@
     }
   }
   request.prompt += fmt::format("question {}: which part?", next_request_);
-  request.max_tokens = static_cast<std::uint32_t>(random_.uniform(kShortestAnswer, kLongestAnswer));
+  request.max_tokens =
+      static_cast<std::uint32_t>(random_.uniform(kMinCompletionTokens, kMaxCompletionTokens));
   return request;
 }
 
@@ -99,7 +100,7 @@
 
 void Workload::sendAt(std::size_t sidecar, SubmitRequest request, std::uint32_t tries) {
   SidecarNode& node = world_.sidecarAt(sidecar);
-  // A caller whose sidecar is down uses another.
+  // Falls back to the first running sidecar.
   if (!node.host().up()) {
     for (std::size_t other = 0; other < world_.sidecarCount(); ++other) {
       if (world_.sidecarAt(other).host().up()) return sendAt(other, std::move(request), tries);
@@ -110,20 +111,20 @@
   record.request = std::move(request);
   const bool order = !record.request.idempotency_key.empty();
   node.host().run(node.host().epoch(), [&node, &record] { node.submit(record); });
-  if (order && tries < kOrderTries) watchOrder(record, tries);
+  if (order && tries < kMaxOrderTries) scheduleOrderRetry(record, tries);
 }
 
-void Workload::watchOrder(const CallerRecord& record, std::uint32_t tries) {
-  const bool impatient = random_.chance(kImpatientShare);
-  const Duration patience =
-      impatient ? milliseconds(random_.uniform(1, 1500)) : kDeadline + milliseconds(200);
-  world_.context().queue.after(patience, [this, &record, tries, impatient] {
-    const bool served = record.end.has_value();
-    // A caller that got its answer may still repeat the order by accident.
-    if (served && !(impatient && random_.chance(0.3))) return;
-    SubmitRequest again = record.request;
-    again.request_id = fmt::format("request-{}", next_request_++);
-    sendAt(random_.uniform(0, world_.sidecarCount() - 1), std::move(again), tries + 1);
+void Workload::scheduleOrderRetry(const CallerRecord& record, std::uint32_t tries) {
+  const bool early_retry = random_.chance(kEarlyRetryShare);
+  const Duration retry_delay =
+      early_retry ? milliseconds(random_.uniform(1, 1500)) : kDeadline + milliseconds(200);
+  world_.context().queue.after(retry_delay, [this, &record, tries, early_retry] {
+    const bool answered = record.end.has_value();
+    // An early retry may also repeat an order that has already been answered.
+    if (answered && !(early_retry && random_.chance(0.3))) return;
+    SubmitRequest retry = record.request;
+    retry.request_id = fmt::format("request-{}", next_request_++);
+    sendAt(random_.uniform(0, world_.sidecarCount() - 1), std::move(retry), tries + 1);
   });
 }
 
--- a/sim/world/workload.h
+++ b/sim/world/workload.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Callers of the simulation: completions with long shared prefixes, and operations of which orders may
-/// run at most once and are tried again with the same key.
+/// @file Simulated callers: completions with long shared prefixes, and operations. Orders are operations that
+/// must run at most once; callers retry them with the same idempotency key.
 
 #include <cstdint>
 #include <string>
@@ -10,34 +10,34 @@
 
 namespace crankspur::sim {
 
-/// The callers of one run.
+/// Generates the traffic of one run.
 class Workload {
 public:
   Workload(World& world, std::uint64_t seed);
-  /// Sends requests from now until the site's load time is over.
+  /// Sends requests for the duration `Site::load`.
   void start();
-  /// Exchanges the hot prefixes, as when a new catalogue goes out.
+  /// Replaces the shared prefix of completions, as the release of a new catalogue does.
   void shiftPrefixes() { ++catalogue_; }
-  /// From now on each completion is sent by two tenants at once, word for word.
-  void sendSamePrompts() { same_prompts_ = true; }
+  /// Sends each later completion from two tenants at the same time, with identical prompts.
+  void sendDuplicatePrompts() { duplicate_prompts_ = true; }
 
 private:
-  void next();
+  void scheduleNext();
   void send();
   SubmitRequest makeCompletion(const std::string& tenant);
   SubmitRequest makeOperation(const std::string& tenant);
   std::string catalogue() const;
   void sendAt(std::size_t sidecar, SubmitRequest request, std::uint32_t tries);
-  /// Tries an order again with the same key when its outcome is not known, sometimes too early.
-  void watchOrder(const CallerRecord& record, std::uint32_t tries);
+  /// Retries an order with the same key if its outcome is unknown; sometimes before the response is due.
+  void scheduleOrderRetry(const CallerRecord& record, std::uint32_t tries);
 
   World& world_;
   RandomSource random_;
-  TimePoint ends_{};
+  TimePoint load_ends_at_{};
   std::uint64_t catalogue_ = 0;
   std::uint64_t next_request_ = 0;
   std::uint64_t next_key_ = 0;
-  bool same_prompts_ = false;
+  bool duplicate_prompts_ = false;
 };
 
 }  // namespace crankspur::sim
--- a/sim/world/world.cc
+++ b/sim/world/world.cc
@@ -13,7 +13,7 @@
 
 constexpr Duration kWarmUp = seconds(4);
 constexpr std::size_t kOperators = 2;
-/// Tokens a request gains in one step; more makes fewer events.
+/// Tokens generated per request and step; a larger value reduces the number of events.
 constexpr std::uint32_t kTokensPerStep = 6;
 constexpr std::uint32_t kCacheBlocks = 4000;
 constexpr std::size_t kSeedRouters = 3;
@@ -27,7 +27,7 @@
 }
 
 template <typename Node>
-Node* findIn(const std::map<std::string, Node*>& nodes, const std::string& name) {
+Node* findNode(const std::map<std::string, Node*>& nodes, const std::string& name) {
   const auto found = nodes.find(name);
   return found == nodes.end() ? nullptr : found->second;
 }
@@ -132,16 +132,16 @@
 }
 
 RouterNode* World::router(const std::string& name) {
-  return findIn(routers_by_name_, name);
+  return findNode(routers_by_name_, name);
 }
 SidecarNode* World::sidecar(const std::string& name) {
-  return findIn(sidecars_by_name_, name);
+  return findNode(sidecars_by_name_, name);
 }
 EngineNode* World::engine(const std::string& name) {
-  return findIn(engines_by_name_, name);
+  return findNode(engines_by_name_, name);
 }
 RunnerNode* World::runner(const std::string& name) {
-  return findIn(runners_by_name_, name);
+  return findNode(runners_by_name_, name);
 }
 
 }  // namespace crankspur::sim
--- a/sim/world/world.h
+++ b/sim/world/world.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file One simulated site with all its processes.
+/// @file A simulated site with all its processes.
 
 #include <map>
 #include <memory>
@@ -17,7 +17,7 @@
 
 namespace crankspur::sim {
 
-/// How a world is built.
+/// Options for building a world.
 struct WorldOptions {
   Site site;
   std::uint64_t seed = 1;
@@ -25,13 +25,13 @@
   bool keep_trace_lines = false;
 };
 
-/// A whole site.
-class World : public Directory {
+/// Owns all hosts and nodes of a site.
+class World : public NodeDirectory {
 public:
   explicit World(WorldOptions options);
   ~World() override;
 
-  /// Starts every process and lets the fleet find itself before callers come.
+  /// Starts every process and runs a warm-up period for discovery before any traffic.
   void start();
 
   RouterNode* router(const std::string& name) override;
@@ -53,7 +53,7 @@
   Context& context() { return *context_; }
   const Site& site() const { return options_.site; }
   Trace& trace() { return trace_; }
-  /// @return every host, for clock skew and cuts.
+  /// @return all hosts, for clock skew and network partitions.
   const std::vector<std::unique_ptr<Host>>& hosts() const { return hosts_; }
 
 private:
