--- a/sim/world/records.h
+++ b/sim/world/records.h
@@ -61,7 +61,7 @@
   std::string machine;
   TimePoint at{};                      ///< Earliest time at which the state is readable by others.
   bool process_only = false;           ///< Reported by the process only; its next start is not leaving.
-  TimePoint ended = TimePoint::max();  ///< End of the leaving process; never for a leaving machine.
+  TimePoint ended = TimePoint::max();  ///< End of the leaving process; TimePoint::max() for a machine.
 };
 
 /// A bundle whose acceptance was committed in the table.
