--- a/sim/check/checkers.h
+++ b/sim/check/checkers.h
@@ -1,5 +1,6 @@
 #pragma once
-/// @file Checkers of what must always hold, one for each line. They judge by what was seen from outside.
+/// @file Checkers of the invariants. Requirement numbers are those of the column "Line" in docs/PROOFS.md.
+/// Checkers use only behaviour that is observable from outside the components.
 
 #include <set>
 #include <string>
@@ -11,35 +12,36 @@
 
 namespace crankspur::sim {
 
-/// What checkers are given of a run.
+/// Input of the checkers: one completed run.
 struct CheckInput {
   World& world;
   const std::set<FaultKind>& faults;
-  TimePoint load_begins;
-  TimePoint faults_end;  ///< From here on nothing is wrong any more.
+  TimePoint load_start;
+  TimePoint faults_end;  ///< All faults have ended by this time.
 };
 
-/// Each checker adds what it finds.
-void checkCacheUse(const CheckInput& input, Violations& violations);      ///< Line 1.
-void checkStreams(const CheckInput& input, Violations& violations);       ///< Lines 2 and 4.
-void checkRestarts(const CheckInput& input, Violations& violations);      ///< Line 3.
-void checkHerd(const CheckInput& input, Violations& violations);          ///< Line 3.
-void checkNotRun(const CheckInput& input, Violations& violations);        ///< Line 5.
-void checkAtMostOnce(const CheckInput& input, Violations& violations);    ///< Line 6.
-void checkTableOutage(const CheckInput& input, Violations& violations);   ///< Line 6.
-void checkLeaving(const CheckInput& input, Violations& violations);       ///< Line 7.
-void checkPlannedStops(const CheckInput& input, Violations& violations);  ///< Line 8.
-void checkBundles(const CheckInput& input, Violations& violations);       ///< Line 9.
+/// Each checker appends the violations that it finds.
+void checkCacheUse(const CheckInput& input, Violations& violations);         ///< Requirement 1.
+void checkStreams(const CheckInput& input, Violations& violations);          ///< Requirements 2 and 4.
+void checkRestarts(const CheckInput& input, Violations& violations);         ///< Requirement 3.
+void checkThunderingHerd(const CheckInput& input, Violations& violations);   ///< Requirement 3.
+void checkNotRun(const CheckInput& input, Violations& violations);           ///< Requirement 5.
+void checkAtMostOnce(const CheckInput& input, Violations& violations);       ///< Requirement 6.
+void checkTableOutage(const CheckInput& input, Violations& violations);      ///< Requirement 6.
+void checkLeavingBackends(const CheckInput& input, Violations& violations);  ///< Requirement 7.
+void checkPlannedStops(const CheckInput& input, Violations& violations);     ///< Requirement 8.
+void checkBundles(const CheckInput& input, Violations& violations);          ///< Requirement 9.
 void checkFencing(const CheckInput& input, Violations& violations);
-/// Few engines load weights at once.
-void checkWaves(const CheckInput& input, Violations& violations);
-/// Nobody is told that a deadline passed before it did, whatever clocks show.
+/// The number of engines that load weights concurrently stays within Knobs::parallel_weight_loads.
+void checkParallelWeightLoads(const CheckInput& input, Violations& violations);
+/// No caller is told that its deadline passed before it did, whatever the skew of the clocks.
 void checkDeadlines(const CheckInput& input, Violations& violations);
-/// Lost engines do not multiply the load on the rest.
+/// The loss of engines does not multiply the load on the remaining ones.
 void checkRetryStorm(const CheckInput& input, Violations& violations);
+/// Every request gets a final response in time; without faults, no request fails.
 void checkLiveness(const CheckInput& input, Violations& violations);
 
-/// Runs every checker.
+/// Runs all checkers.
 Violations checkAll(const CheckInput& input);
 
 }  // namespace crankspur::sim
--- a/sim/check/checkers_fleet.cc
+++ b/sim/check/checkers_fleet.cc
@@ -1,4 +1,4 @@
-/// @file Checkers of the fleet: restarts, leaving back ends, planned stops, bundles, fencing.
+/// @file Checkers of fleet-wide behaviour: restarts, leaving back ends, planned stops, bundles, fencing.
 
 #include <fmt/format.h>
 
@@ -14,41 +14,41 @@
 
 using std::chrono::seconds;
 
-/// Time after which a restarted router must serve.
-constexpr Duration kServesWithin = seconds(1);
-/// Time after which a leaving back end gets nothing new.
-constexpr Duration kLeavingWithin = seconds(5);
-/// Time after which an accepted bundle is in force.
-constexpr Duration kInForceWithin = seconds(13);
+/// Time within which a restarted router must serve requests.
+constexpr Duration kMaxStartupTime = seconds(1);
+/// Time within which routers must stop sending new work to a leaving back end.
+constexpr Duration kMaxLeavingDelay = seconds(5);
+/// Time within which an accepted bundle must be in force at all nodes.
+constexpr Duration kMaxBundleDelay = seconds(13);
 
-bool onlyFaults(const CheckInput& input, const std::set<FaultKind>& allowed) {
+bool hasOnlyFaults(const CheckInput& input, const std::set<FaultKind>& allowed) {
   return std::includes(allowed.begin(), allowed.end(), input.faults.begin(), input.faults.end());
 }
 
-bool hasAny(const CheckInput& input, const std::set<FaultKind>& kinds) {
+bool hasAnyFault(const CheckInput& input, const std::set<FaultKind>& kinds) {
   return std::any_of(kinds.begin(), kinds.end(),
                      [&input](FaultKind kind) { return input.faults.contains(kind); });
 }
 
-/// Faults that keep a router from hearing of anything, so that its ignorance proves nothing.
-const std::set<FaultKind> kDeafness = {FaultKind::Partition,      FaultKind::RouterPause,
-                                       FaultKind::Disturbance,    FaultKind::ConnectionCuts,
-                                       FaultKind::CrossedAnswers, FaultKind::StalledOrders};
+/// Faults that keep updates from reaching a router, so that its stale state is no violation.
+const std::set<FaultKind> kIsolatingFaults = {FaultKind::Partition,      FaultKind::RouterPause,
+                                              FaultKind::Disturbance,    FaultKind::ConnectionCuts,
+                                              FaultKind::CrossedAnswers, FaultKind::StalledOrders};
 
 }  // namespace
 
 void checkRestarts(const CheckInput& input, Violations& violations) {
-  if (hasAny(input, kDeafness)) return;
+  if (hasAnyFault(input, kIsolatingFaults)) return;
   for (const RouterRefusal& refusal : input.world.context().records.refusals) {
-    const bool unready = refusal.code == ErrorCode::NotReady ||
-                         refusal.code == ErrorCode::EngineUnavailable ||
-                         refusal.code == ErrorCode::UnknownModel;
+    const bool not_ready = refusal.code == ErrorCode::NotReady ||
+                           refusal.code == ErrorCode::EngineUnavailable ||
+                           refusal.code == ErrorCode::UnknownModel;
     const bool restarted = refusal.epoch > 1;
-    if (unready && restarted && refusal.at - refusal.router_started_at > kServesWithin &&
-        refusal.at - refusal.router_started_at < kInForceWithin &&
-        onlyFaults(input, {FaultKind::RouterRestart, FaultKind::HerdRestart, FaultKind::StoreDown,
-                           FaultKind::StoreSlow, FaultKind::LostAnswers, FaultKind::PlannedStops,
-                           FaultKind::ZoneStop, FaultKind::PrefixShift, FaultKind::HerdRateLimits})) {
+    if (not_ready && restarted && refusal.at - refusal.router_started_at > kMaxStartupTime &&
+        refusal.at - refusal.router_started_at < kMaxBundleDelay &&
+        hasOnlyFaults(input, {FaultKind::RouterRestart, FaultKind::HerdRestart, FaultKind::StoreDown,
+                              FaultKind::StoreSlow, FaultKind::LostAnswers, FaultKind::PlannedStops,
+                              FaultKind::ZoneStop, FaultKind::PrefixShift, FaultKind::HerdRateLimits})) {
       violations.push_back({"restart", fmt::format("{} refused with {} {:.3f} s after its start",
                                                    refusal.router, errorName(refusal.code),
                                                    toSeconds(refusal.at - refusal.router_started_at))});
@@ -56,19 +56,20 @@
   }
 }
 
-/// After a herd restart with nothing else wrong, callers are served at once, whatever the store does.
-void checkHerd(const CheckInput& input, Violations& violations) {
-  const bool herd = input.faults == std::set<FaultKind>{FaultKind::HerdRestart} ||
-                    input.faults == std::set<FaultKind>{FaultKind::HerdRateLimits};
-  if (!herd) return;
+/// When all routers restart at once and no other fault is active, callers are served immediately, even while
+/// the store is unavailable.
+void checkThunderingHerd(const CheckInput& input, Violations& violations) {
+  const bool herd_only = input.faults == std::set<FaultKind>{FaultKind::HerdRestart} ||
+                         input.faults == std::set<FaultKind>{FaultKind::HerdRateLimits};
+  if (!herd_only) return;
   TimePoint last_start{};
   for (std::size_t index = 0; index < input.world.routerCount(); ++index) {
     last_start = std::max(last_start, input.world.routerAt(index).startedAt());
   }
-  const std::set<ErrorCode> excused = {ErrorCode::ClaimUnavailable, ErrorCode::DuplicateRequest};
+  const std::set<ErrorCode> allowed_errors = {ErrorCode::ClaimUnavailable, ErrorCode::DuplicateRequest};
   for (const CallerRecord& caller : input.world.context().records.callers) {
-    if (!caller.error || caller.submitted_at < last_start + kServesWithin) continue;
-    if (excused.contains(caller.error->code)) continue;
+    if (!caller.error || caller.submitted_at < last_start + kMaxStartupTime) continue;
+    if (allowed_errors.contains(caller.error->code)) continue;
     violations.push_back(
         {"restart", fmt::format("{} failed {:.1f} s after a herd restart: {} {}", caller.request.request_id,
                                 toSeconds(caller.submitted_at - last_start), errorName(caller.error->code),
@@ -76,11 +77,11 @@
   }
 }
 
-void checkLeaving(const CheckInput& input, Violations& violations) {
-  if (hasAny(input, kDeafness)) return;
+void checkLeavingBackends(const CheckInput& input, Violations& violations) {
+  if (hasAnyFault(input, kIsolatingFaults)) return;
   const Records& records = input.world.context().records;
   for (const LeavingRecord& leaving : records.leaving) {
-    const TimePoint limit = leaving.at + kLeavingWithin;
+    const TimePoint limit = leaving.at + kMaxLeavingDelay;
     for (const ArrivalRecord& arrival : records.arrivals) {
       if (arrival.engine != leaving.machine || arrival.at <= limit || arrival.at >= leaving.ended) continue;
       violations.push_back(
@@ -99,17 +100,18 @@
 
 void checkPlannedStops(const CheckInput& input, Violations& violations) {
   const bool planned_only =
-      !input.faults.empty() && onlyFaults(input, {FaultKind::PlannedStops, FaultKind::ZoneStop,
-                                                  FaultKind::LeavingEngine, FaultKind::PrefixShift});
+      !input.faults.empty() && hasOnlyFaults(input, {FaultKind::PlannedStops, FaultKind::ZoneStop,
+                                                     FaultKind::LeavingEngine, FaultKind::PrefixShift});
   if (!planned_only) return;
   const std::deque<CallerRecord>& callers = input.world.context().records.callers;
-  std::map<std::string, std::uint32_t> uses_of_key;
-  for (const CallerRecord& caller : callers) ++uses_of_key[caller.request.idempotency_key];
+  std::map<std::string, std::uint32_t> key_uses;
+  for (const CallerRecord& caller : callers) ++key_uses[caller.request.idempotency_key];
   for (const CallerRecord& caller : callers) {
     if (!caller.error) continue;
-    // A caller that repeats an order before its answer came may be told so.
+    // A caller that repeats a request with the same idempotency key before the first response may get this
+    // error.
     const bool repeated =
-        !caller.request.idempotency_key.empty() && uses_of_key[caller.request.idempotency_key] > 1;
+        !caller.request.idempotency_key.empty() && key_uses[caller.request.idempotency_key] > 1;
     if (repeated && caller.error->code == ErrorCode::DuplicateRequest) continue;
     violations.push_back({"planned_stop", fmt::format("{} failed though every stop was planned: {} {}",
                                                       caller.request.request_id,
@@ -122,8 +124,8 @@
 void checkBundleUses(const Records& records, Violations& violations) {
   std::map<std::uint64_t, std::string> accepted;
   for (const AcceptedBundle& bundle : records.accepted_bundles) {
-    const auto [place, fresh] = accepted.emplace(bundle.version, bundle.digest);
-    if (!fresh) {
+    const auto [entry, inserted] = accepted.emplace(bundle.version, bundle.digest);
+    if (!inserted) {
       violations.push_back({"bundle", fmt::format("version {} was accepted twice", bundle.version)});
     }
   }
@@ -135,29 +137,29 @@
           {"bundle", fmt::format("{} went from bundle {} back to {}", use.node, version, use.version)});
     }
     version = use.version;
-    const auto known = accepted.find(use.version);
-    if (known == accepted.end() || known->second != use.digest) {
+    const auto found = accepted.find(use.version);
+    if (found == accepted.end() || found->second != use.digest) {
       violations.push_back(
           {"bundle", fmt::format("{} used a bundle {} that was not accepted", use.node, use.version)});
     }
   }
 }
 
-void checkDecisions(const Records& records, Violations& violations) {
-  std::map<std::string, std::uint64_t> named;
+void checkDecisionVersions(const Records& records, Violations& violations) {
+  std::map<std::string, std::uint64_t> caller_versions;
   for (const CallerRecord& caller : records.callers) {
-    named[caller.request.request_id] = caller.request.bundle_version;
+    caller_versions[caller.request.request_id] = caller.request.bundle_version;
   }
   for (const DecisionUse& decision : records.decisions) {
-    if (decision.version >= named[decision.request_id]) continue;
+    if (decision.version >= caller_versions[decision.request_id]) continue;
     violations.push_back(
         {"bundle", fmt::format("{} decided {} under bundle {} though its caller had {}", decision.router,
-                               decision.request_id, decision.version, named[decision.request_id])});
+                               decision.request_id, decision.version, caller_versions[decision.request_id])});
   }
 }
 
 template <typename Node>
-void checkHeld(Node& node, const AcceptedBundle& newest, Violations& violations) {
+void checkNodeBundle(Node& node, const AcceptedBundle& newest, Violations& violations) {
   if (!node.host().up() || node.host().paused() || node.bundleVersion() >= newest.version) return;
   violations.push_back({"bundle", fmt::format("{} holds bundle {} though {} is in force", node.host().name(),
                                               node.bundleVersion(), newest.version)});
@@ -168,16 +170,16 @@
 void checkBundles(const CheckInput& input, Violations& violations) {
   const Records& records = input.world.context().records;
   checkBundleUses(records, violations);
-  checkDecisions(records, violations);
+  checkDecisionVersions(records, violations);
   if (records.accepted_bundles.empty()) return;
   const AcceptedBundle& newest = records.accepted_bundles.back();
-  const TimePoint due = std::max(newest.at, input.faults_end) + kInForceWithin;
-  if (input.world.context().queue.now() < due) return;
+  const TimePoint deadline = std::max(newest.at, input.faults_end) + kMaxBundleDelay;
+  if (input.world.context().queue.now() < deadline) return;
   for (std::size_t index = 0; index < input.world.routerCount(); ++index) {
-    checkHeld(input.world.routerAt(index), newest, violations);
+    checkNodeBundle(input.world.routerAt(index), newest, violations);
   }
   for (std::size_t index = 0; index < input.world.sidecarCount(); ++index) {
-    checkHeld(input.world.sidecarAt(index), newest, violations);
+    checkNodeBundle(input.world.sidecarAt(index), newest, violations);
   }
 }
 
@@ -193,10 +195,11 @@
   }
 }
 
-void checkWaves(const CheckInput& input, Violations& violations) {
-  // A new holder of the lease does not know of its predecessor's orders: judged only where none is lost.
-  if (!onlyFaults(input, {FaultKind::WeightsWaves, FaultKind::WeightsRoll, FaultKind::Rollback,
-                          FaultKind::PrefixShift, FaultKind::SamePrompts})) {
+void checkParallelWeightLoads(const CheckInput& input, Violations& violations) {
+  // A new lease holder does not know the orders of its predecessor: checked only where no fault replaces the
+  // holder.
+  if (!hasOnlyFaults(input, {FaultKind::WeightsWaves, FaultKind::WeightsRoll, FaultKind::Rollback,
+                             FaultKind::PrefixShift, FaultKind::SamePrompts})) {
     return;
   }
   const std::size_t limit = Knobs().parallel_weight_loads;
@@ -212,15 +215,15 @@
   checkCacheUse(input, violations);
   checkStreams(input, violations);
   checkRestarts(input, violations);
-  checkHerd(input, violations);
+  checkThunderingHerd(input, violations);
   checkNotRun(input, violations);
   checkAtMostOnce(input, violations);
   checkTableOutage(input, violations);
-  checkLeaving(input, violations);
+  checkLeavingBackends(input, violations);
   checkPlannedStops(input, violations);
   checkBundles(input, violations);
   checkFencing(input, violations);
-  checkWaves(input, violations);
+  checkParallelWeightLoads(input, violations);
   checkDeadlines(input, violations);
   checkRetryStorm(input, violations);
   checkLiveness(input, violations);
--- a/sim/check/checkers_outage.cc
+++ b/sim/check/checkers_outage.cc
@@ -1,4 +1,4 @@
-/// @file Checker of orders while the table service is down for long.
+/// @file Checker of requests with an idempotency key during a long outage of the table service.
 
 #include <fmt/format.h>
 
@@ -8,16 +8,17 @@
 
 namespace {
 
-/// Time in which routers find out that the table is down or up again.
-constexpr Duration kNoticeTime = std::chrono::seconds(10);
+/// Time within which routers detect that the table became unavailable.
+constexpr Duration kOutageDetectionTime = std::chrono::seconds(10);
 
-void checkProgress(const Records& records, Violations& violations) {
+void checkOutageProgress(const Records& records, Violations& violations) {
   const Span& outage = records.table_outage->span;
   std::size_t answered = 0;
   for (const CallerRecord& caller : records.callers) {
-    const bool order = !caller.request.idempotency_key.empty();
-    const bool within = caller.submitted_at >= outage.from + kNoticeTime && caller.submitted_at < outage.to;
-    if (!order || !within) continue;
+    const bool is_operation = !caller.request.idempotency_key.empty();
+    const bool during_outage =
+        caller.submitted_at >= outage.from + kOutageDetectionTime && caller.submitted_at < outage.to;
+    if (!is_operation || !during_outage) continue;
     if (caller.end) ++answered;
     if (!caller.error || caller.error->code != ErrorCode::ClaimUnavailable) continue;
     violations.push_back(
@@ -35,7 +36,7 @@
 void checkTableOutage(const CheckInput& input, Violations& violations) {
   const Records& records = input.world.context().records;
   if (!records.table_outage || !records.table_outage->majority_lives) return;
-  checkProgress(records, violations);
+  checkOutageProgress(records, violations);
 }
 
 }  // namespace crankspur::sim
--- a/sim/check/checkers_requests.cc
+++ b/sim/check/checkers_requests.cc
@@ -1,4 +1,5 @@
-/// @file Checkers of requests: cache use, streams, "not run", at most once, liveness.
+/// @file Checkers of requests: cache use, streams, "not run" reports, at-most-once execution, deadlines,
+/// retry storms, liveness.
 
 #include <fmt/format.h>
 
@@ -14,18 +15,18 @@
 
 namespace {
 
-constexpr std::uint64_t kWeightsTried = 12;
-/// Time beyond a request's deadline until its final answer must be there.
-constexpr Duration kAnswerSlack = std::chrono::seconds(2);
-/// Part of a time span that has passed when the fastest clock shows all of it, with some slack.
-constexpr double kFastestClock = 0.9;
-/// A tenth of a tenant's requests may be retries, besides those that it saved up at each router.
+constexpr std::uint64_t kMaxWeightsVersion = 12;
+/// Time after a request's deadline by which the caller must have a final response.
+constexpr Duration kResponseSlack = std::chrono::seconds(2);
+/// Minimum share of a deadline that has elapsed when the fastest clock shows that it passed, with some slack.
+constexpr double kMinElapsedShare = 0.9;
+/// The retry budget: a tenth of a tenant's requests may be retries, plus a burst per tenant and router.
 constexpr std::size_t kRequestsPerRetry = 10;
-constexpr std::size_t kRetriesSavedUp = 10;
+constexpr std::size_t kRetryBurst = 10;
 
-/// Names the run of one dispatch: engine and stream. A request may be dispatched to one engine several times,
-/// and only some of them run.
-using RunName = std::pair<std::string, standin::StreamId>;
+/// Identifies the run of one dispatch by engine and stream. A request may be dispatched to the same engine
+/// several times, and not every dispatch runs.
+using RunKey = std::pair<std::string, standin::StreamId>;
 
 void checkUsedBlocks(const std::string& engine, const standin::RequestRecord& record,
                      Violations& violations) {
@@ -48,7 +49,7 @@
   }
 }
 
-bool agrees(const CallerRecord& caller, const std::string& weights) {
+bool matchesExpectedText(const CallerRecord& caller, const std::string& weights) {
   const SubmitRequest& request = caller.request;
   const standin::ExpectedAnswer expected =
       standin::expectedAnswer(request.model, weights, request.adapter, request.prompt, request.max_tokens);
@@ -59,21 +60,21 @@
   return expected.text.compare(0, caller.text.size(), caller.text) == 0;
 }
 
-bool agreesWithAnyWeights(const CallerRecord& caller) {
-  for (std::uint64_t number = 1; number <= kWeightsTried; ++number) {
-    if (agrees(caller, fmt::format("w{}", number))) return true;
+bool matchesAnyWeights(const CallerRecord& caller) {
+  for (std::uint64_t number = 1; number <= kMaxWeightsVersion; ++number) {
+    if (matchesExpectedText(caller, fmt::format("w{}", number))) return true;
   }
   return false;
 }
 
-bool rightResult(const CallerRecord& caller) {
+bool isExpectedResult(const CallerRecord& caller) {
   return caller.text == fmt::format("done:{}:{}", caller.request.tenant, caller.request.prompt);
 }
 
 }  // namespace
 
 void checkCacheUse(const CheckInput& input, Violations& violations) {
-  std::map<RunName, const standin::RequestRecord*> runs;
+  std::map<RunKey, const standin::RequestRecord*> runs;
   for (std::size_t index = 0; index < input.world.engineCount(); ++index) {
     EngineNode& engine = input.world.engineAt(index);
     for (const standin::RequestRecord& record : engine.model().records()) {
@@ -104,8 +105,8 @@
     if (caller.late_text) violations.push_back({"stream_order", id + " got text after its end"});
     if (caller.finals > 1) violations.push_back({"stream_order", id + " got more than one final answer"});
     const bool completion = caller.request.kind == RequestKind::Completion;
-    const bool right = completion ? agreesWithAnyWeights(caller) : !caller.end || rightResult(caller);
-    if (!right) {
+    const bool is_correct = completion ? matchesAnyWeights(caller) : !caller.end || isExpectedResult(caller);
+    if (!is_correct) {
       violations.push_back(
           {"whole_answer", fmt::format("{} got {} tokens that are not {} its answer", id, caller.tokens,
                                        caller.end ? "" : "the beginning of")});
@@ -114,18 +115,19 @@
 }
 
 void checkNotRun(const CheckInput& input, Violations& violations) {
-  std::set<std::string> ran;
+  std::set<std::string> executed_requests;
   for (std::size_t index = 0; index < input.world.engineCount(); ++index) {
     for (const standin::RequestRecord& record : input.world.engineAt(index).model().records()) {
-      if (record.started != TimePoint{} || record.answer_tokens > 0) ran.insert(record.request_id);
+      if (record.started != TimePoint{} || record.answer_tokens > 0)
+        executed_requests.insert(record.request_id);
     }
   }
   for (const ExecutionRecord& execution : input.world.context().records.executions) {
-    ran.insert(execution.request_id);
+    executed_requests.insert(execution.request_id);
   }
   for (const CallerRecord& caller : input.world.context().records.callers) {
-    const bool told_not_run = caller.error && caller.error->run_state == RunState::NotRun;
-    if (told_not_run && ran.contains(caller.request.request_id)) {
+    const bool reported_not_run = caller.error && caller.error->run_state == RunState::NotRun;
+    if (reported_not_run && executed_requests.contains(caller.request.request_id)) {
       violations.push_back(
           {"not_run", fmt::format("{} was told \"not run\" ({}) but it ran", caller.request.request_id,
                                   errorName(caller.error->code))});
@@ -151,7 +153,7 @@
   for (const CallerRecord& caller : input.world.context().records.callers) {
     if (!caller.error || caller.error->code != ErrorCode::DeadlineExceeded) continue;
     const Duration waited = caller.finished_at - caller.submitted_at;
-    if (toSeconds(waited) >= kFastestClock * toSeconds(caller.request.deadline)) continue;
+    if (toSeconds(waited) >= kMinElapsedShare * toSeconds(caller.request.deadline)) continue;
     violations.push_back({"deadline", fmt::format("{} was told after {:.3f} s that its {:.0f} s had passed",
                                                   caller.request.request_id, toSeconds(waited),
                                                   toSeconds(caller.request.deadline))});
@@ -169,8 +171,8 @@
     }
   }
   const Site& site = input.world.site();
-  const std::size_t saved_up = kRetriesSavedUp * site.tenants.size() * site.routers.size();
-  const std::size_t allowed = requests.size() + requests.size() / kRequestsPerRetry + saved_up;
+  const std::size_t retry_burst = kRetryBurst * site.tenants.size() * site.routers.size();
+  const std::size_t allowed = requests.size() + requests.size() / kRequestsPerRetry + retry_burst;
   if (runs <= allowed) return;
   violations.push_back({"retry_storm", fmt::format("{} requests ran {} times, {} are allowed",
                                                    requests.size(), runs, allowed)});
@@ -180,11 +182,11 @@
   const TimePoint now = input.world.context().queue.now();
   for (const CallerRecord& caller : input.world.context().records.callers) {
     const std::string& id = caller.request.request_id;
-    const TimePoint due = caller.submitted_at + caller.request.deadline + kAnswerSlack;
-    const bool late = caller.finished() ? !caller.abandoned && caller.finished_at > due : now > due;
+    const TimePoint deadline = caller.submitted_at + caller.request.deadline + kResponseSlack;
+    const bool late = caller.finished() ? !caller.abandoned && caller.finished_at > deadline : now > deadline;
     if (late) violations.push_back({"liveness", id + " had no final answer in time"});
-    const bool quiet = input.faults.empty();
-    if (quiet && caller.error && caller.error->code != ErrorCode::DuplicateRequest) {
+    const bool without_faults = input.faults.empty();
+    if (without_faults && caller.error && caller.error->code != ErrorCode::DuplicateRequest) {
       violations.push_back({"liveness", fmt::format("{} failed in a quiet fleet: {} {}", id,
                                                     errorName(caller.error->code), caller.error->message)});
     }
--- a/sim/check/command.cc
+++ b/sim/check/command.cc
@@ -15,8 +15,9 @@
 ABSL_DECLARE_FLAG(std::uint64_t, first_seed);
 ABSL_DECLARE_FLAG(std::uint32_t, seeds);
 ABSL_DECLARE_FLAG(std::uint32_t, threads);
-ABSL_FLAG(std::string, scenario, "", "check: one scenario for all seeds; empty: by the seed");
-ABSL_FLAG(std::string, without, "", "check: a mechanism to take away, to see the checkers fail");
+ABSL_FLAG(std::string, scenario, "", "check: scenario of all seeds; empty: selected by the seed");
+ABSL_FLAG(std::string, without, "",
+          "check: mechanism to disable, to verify that the checkers detect its absence");
 ABSL_FLAG(bool, trace, false, "check: print the trace of each run");
 
 namespace crankspur::sim {
@@ -24,11 +25,11 @@
 namespace {
 
 constexpr int kUsageError = 2;
-/// Violations printed in full; the rest is counted.
+/// Limits on the runs and violations that are printed; the others are only counted.
 constexpr std::size_t kPrintedRuns = 20;
 constexpr std::size_t kPrintedPerRun = 5;
 
-int fail(const std::string& message) {
+int reportUsageError(const std::string& message) {
   fmt::print(stderr, "crankspur_sim check: {}\n", message);
   return kUsageError;
 }
@@ -48,12 +49,12 @@
   return join(scenarioNames(), [](const std::string& name) { return name; });
 }
 
-/// Runs all seeds on the threads. @return results by seed.
+/// Runs all seeds on `thread_count` threads. @return results in the order of the seeds.
 std::vector<RunResult> runAll(const RunOptions& common, std::uint64_t first, std::uint32_t count,
                               std::uint32_t thread_count) {
   std::vector<RunResult> results(count);
   std::atomic<std::uint32_t> next{0};
-  const auto work = [&] {
+  const auto worker = [&] {
     for (std::uint32_t index = next++; index < count; index = next++) {
       RunOptions options = common;
       options.seed = first + index;
@@ -61,8 +62,8 @@
     }
   };
   std::vector<std::thread> threads;
-  for (std::uint32_t index = 1; index < thread_count; ++index) threads.emplace_back(work);
-  work();
+  for (std::uint32_t index = 1; index < thread_count; ++index) threads.emplace_back(worker);
+  worker();
   for (std::thread& thread : threads) thread.join();
   return results;
 }
@@ -90,9 +91,9 @@
     std::set<std::string> checkers;
     for (const Violation& violation : result.violations) checkers.insert(violation.checker);
     for (const std::string& checker : checkers) ++by_checker[checker];
-    const bool failing = !result.violations.empty() && printed < kPrintedRuns;
-    if (failing) ++printed;
-    if (failing || print_all) printRun(result);
+    const bool print_violations = !result.violations.empty() && printed < kPrintedRuns;
+    if (print_violations) ++printed;
+    if (print_violations || print_all) printRun(result);
   }
   for (const auto& [checker, runs] : by_checker) fmt::print("runs that violate {}: {}\n", checker, runs);
   fmt::print("requests: {}, answered whole: {}\n", requests, answered);
@@ -103,22 +104,23 @@
 }  // namespace
 
 int runCheckCommand(const std::vector<std::string>& arguments) {
-  if (!arguments.empty()) return fail("unexpected argument " + arguments.front());
+  if (!arguments.empty()) return reportUsageError("unexpected argument " + arguments.front());
   RunOptions options;
   options.scenario = absl::GetFlag(FLAGS_scenario);
   options.keep_trace_lines = absl::GetFlag(FLAGS_trace);
   const std::vector<std::string> scenarios = scenarioNames();
   const bool known = std::find(scenarios.begin(), scenarios.end(), options.scenario) != scenarios.end();
-  if (!options.scenario.empty() && !known) return fail("--scenario takes one of " + scenarioList());
+  if (!options.scenario.empty() && !known)
+    return reportUsageError("--scenario takes one of " + scenarioList());
   const std::string without = absl::GetFlag(FLAGS_without);
   if (!without.empty()) {
     const auto mechanism = findMechanism(without);
-    if (!mechanism) return fail("--without takes one of " + mechanismList());
+    if (!mechanism) return reportUsageError("--without takes one of " + mechanismList());
     options.removed.insert(*mechanism);
   }
   const std::uint32_t seeds = absl::GetFlag(FLAGS_seeds);
   const std::uint32_t threads = absl::GetFlag(FLAGS_threads);
-  if (seeds == 0 || threads == 0) return fail("--seeds and --threads must be above 0");
+  if (seeds == 0 || threads == 0) return reportUsageError("--seeds and --threads must be above 0");
   return report(runAll(options, absl::GetFlag(FLAGS_first_seed), seeds, threads), options.keep_trace_lines);
 }
 
--- a/sim/check/command.h
+++ b/sim/check/command.h
@@ -6,10 +6,10 @@
 
 namespace crankspur::sim {
 
-/// Runs the seeds that the flags describe, prints violations and a summary; the last line is
+/// Runs the seeds selected by the flags and prints violations and a summary, whose last line is
 /// "violations: V in M runs".
-/// @param arguments words after the subcommand's name, flags excluded.
-/// @return 0, or 1 when a run had a violation, or 2 for wrong usage.
+/// @param arguments positional arguments after the subcommand's name.
+/// @return 0 without violations, 1 with violations, 2 on a usage error.
 int runCheckCommand(const std::vector<std::string>& arguments);
 
 }  // namespace crankspur::sim
--- a/sim/check/fault_fleet.cc
+++ b/sim/check/fault_fleet.cc
@@ -1,5 +1,5 @@
-/// @file Faults that concern the whole fleet or its callers: same prompts, skewed clocks, the loss of a rack,
-/// rate limits, roll-outs that overlap, a long partition.
+/// @file Faults that affect the whole fleet or its callers: identical prompts, the loss of a rack, rate
+/// limits, overlapping roll-outs, a long partition.
 
 #include "sim/check/fault.h"
 
@@ -11,86 +11,87 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-/// How long engines die again and again, and how often each.
-constexpr Duration kDyingTime = seconds(9);
-constexpr Duration kShortestLife = milliseconds(150);
-constexpr Duration kLongestLife = milliseconds(700);
-constexpr Duration kShortestDeath = milliseconds(20);
-constexpr Duration kLongestDeath = milliseconds(120);
-/// Calls a second that the platform allows while it is short of them.
-constexpr RateLimit kScarceCalls{2.0, 2.0};
-constexpr Duration kScarceTime = seconds(10);
-constexpr Duration kPartLasts = minutes(60);
-constexpr std::uint64_t kRollsWhileParted = 3;
-constexpr Duration kAroundHealing = seconds(4);
+/// How long engines crash repeatedly, and the bounds of their uptimes and downtimes.
+constexpr Duration kCrashLoopTime = seconds(9);
+constexpr Duration kMinUptime = milliseconds(150);
+constexpr Duration kMaxUptime = milliseconds(700);
+constexpr Duration kMinDowntime = milliseconds(20);
+constexpr Duration kMaxDowntime = milliseconds(120);
+/// Rate limit of platform calls, per second, during FaultKind::HerdRateLimits.
+constexpr RateLimit kReducedRateLimit{2.0, 2.0};
+constexpr Duration kReducedRateTime = seconds(10);
+constexpr Duration kPartitionTime = minutes(60);
+constexpr std::uint64_t kRollsDuringPartition = 3;
+constexpr Duration kMaxRollOffsetFromHealing = seconds(4);
 
 }  // namespace
 
-void FaultDriver::planFleet(FaultKind kind) {
+void FaultDriver::scheduleFleetFaults(FaultKind kind) {
   if (kind == FaultKind::SamePrompts) {
     workload_.sendSamePrompts();
   } else if (kind == FaultKind::RackLoss) {
-    loseRack();
+    scheduleRackLoss();
   } else if (kind == FaultKind::HerdRateLimits) {
-    herdWithRateLimits();
+    scheduleHerdWithRateLimits();
   } else if (kind == FaultKind::WeightsWaves) {
-    Duration when = beginning();
+    Duration when = randomStart();
     for (std::uint64_t count = random_.uniform(2, 3); count > 0; --count) {
-      roll(0, when);
-      when += between(seconds(1), seconds(4));
+      scheduleRoll(0, when);
+      when += randomBetween(seconds(1), seconds(4));
     }
   } else if (kind == FaultKind::Rollback) {
     world_.context().repeated_bundle_share = 0.3;
-    const Duration when = beginning();
-    roll(0, when);
-    rollBack(random_.uniform(0, 1), when + between(milliseconds(200), seconds(8)));
+    const Duration when = randomStart();
+    scheduleRoll(0, when);
+    scheduleRollback(random_.uniform(0, 1), when + randomBetween(milliseconds(200), seconds(8)));
   } else if (kind == FaultKind::HourPartition) {
-    partForAnHour();
+    scheduleHourPartition();
   }
 }
 
-void FaultDriver::loseRack() {
-  const std::string zone = world_.site().zones[pick(world_.site().zones.size())].zone;
-  const Duration from = between(seconds(3), seconds(6));
+void FaultDriver::scheduleRackLoss() {
+  const std::string zone = world_.site().zones[randomIndex(world_.site().zones.size())].zone;
+  const Duration from = randomBetween(seconds(3), seconds(6));
   for (std::size_t index = 0; index < world_.engineCount(); ++index) {
     if (world_.engineAt(index).host().place().zone == zone) {
-      at(from, [this, index] { world_.engineAt(index).crash(true); });
-      at(from + kDyingTime, [this, index] { world_.engineAt(index).restart(); });
+      runAfter(from, [this, index] { world_.engineAt(index).crash(true); });
+      runAfter(from + kCrashLoopTime, [this, index] { world_.engineAt(index).restart(); });
       continue;
     }
     Duration when = from;
-    while (when < from + kDyingTime) {
-      when += between(kShortestLife, kLongestLife);
-      at(when, [this, index] { world_.engineAt(index).crash(false); });
-      when += between(kShortestDeath, kLongestDeath);
-      at(when, [this, index] { world_.engineAt(index).restart(); });
+    while (when < from + kCrashLoopTime) {
+      when += randomBetween(kMinUptime, kMaxUptime);
+      runAfter(when, [this, index] { world_.engineAt(index).crash(false); });
+      when += randomBetween(kMinDowntime, kMaxDowntime);
+      runAfter(when, [this, index] { world_.engineAt(index).restart(); });
     }
   }
 }
 
-void FaultDriver::herdWithRateLimits() {
-  const Duration when = beginning();
-  at(when, [this] { world_.platform().setStoreRateLimit(kScarceCalls); });
-  at(when + kScarceTime, [this] { world_.platform().setStoreRateLimit(PlatformNode::kUsualStoreCalls); });
-  herdRestart(when + milliseconds(200));
+void FaultDriver::scheduleHerdWithRateLimits() {
+  const Duration when = randomStart();
+  runAfter(when, [this] { world_.platform().setStoreRateLimit(kReducedRateLimit); });
+  runAfter(when + kReducedRateTime,
+           [this] { world_.platform().setStoreRateLimit(PlatformNode::kUsualStoreCalls); });
+  scheduleHerdRestart(when + milliseconds(200));
 }
 
-void FaultDriver::partForAnHour() {
+void FaultDriver::scheduleHourPartition() {
   world_.context().repeated_bundle_share = 0.3;
-  const Duration from = between(seconds(2), seconds(20));
-  const Duration to = from + kPartLasts;
-  partition(from, to);
-  for (std::uint64_t count = 0; count < kRollsWhileParted; ++count) {
-    roll(count % 2, from + between(seconds(0), kPartLasts));
+  const Duration from = randomBetween(seconds(2), seconds(20));
+  const Duration to = from + kPartitionTime;
+  schedulePartition(from, to);
+  for (std::uint64_t count = 0; count < kRollsDuringPartition; ++count) {
+    scheduleRoll(count % 2, from + randomBetween(seconds(0), kPartitionTime));
   }
-  // The region comes back between two rolls that follow each other closely.
-  roll(0, to - between(Duration(0), kAroundHealing));
-  roll(1, to + between(Duration(0), kAroundHealing));
+  // The partition heals between two roll-outs in quick succession.
+  scheduleRoll(0, to - randomBetween(Duration(0), kMaxRollOffsetFromHealing));
+  scheduleRoll(1, to + randomBetween(Duration(0), kMaxRollOffsetFromHealing));
   for (int count = 0; count < 2; ++count) {
-    const std::size_t index = pick(world_.routerCount());
-    const Duration when = from + between(seconds(0), kPartLasts);
-    at(when, [this, index] { world_.routerAt(index).crash(false); });
-    at(when + seconds(2), [this, index] { world_.routerAt(index).start(); });
+    const std::size_t index = randomIndex(world_.routerCount());
+    const Duration when = from + randomBetween(seconds(0), kPartitionTime);
+    runAfter(when, [this, index] { world_.routerAt(index).crash(false); });
+    runAfter(when + seconds(2), [this, index] { world_.routerAt(index).start(); });
   }
 }
 
--- a/sim/check/run.h
+++ b/sim/check/run.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file One seeded run: site, faults, callers, checkers.
+/// @file One seeded simulation run: site, faults, callers, checkers.
 
 #include <string>
 #include <vector>
@@ -8,11 +8,11 @@
 
 namespace crankspur::sim {
 
-/// @return names of all scenarios: "quiet", each fault, "pair" and "wider_pair" (two faults by the
-/// seed, see kFirstWiderKind), "large", and those that only --scenario names: an hour's outage of the table
-/// and a fleet of gateways.
+/// @return names of all scenarios: "quiet", each fault, "pair" and "wider_pair" (two faults selected by the
+/// seed, see kFirstWiderPairKind), "large", and those that run only with --scenario: an hour-long table
+/// outage and the gateway fleets.
 std::vector<std::string> scenarioNames();
-/// Runs one seed.
+/// Runs the scenario of one seed and checks the result.
 RunResult run(const RunOptions& options);
 
 }  // namespace crankspur::sim
--- a/sim/check/table_outage.cc
+++ b/sim/check/table_outage.cc
@@ -1,4 +1,4 @@
-/// @file The scenario of a table service that is down for an hour while routers are replaced.
+/// @file The scenario in which the table service is down for an hour while routers are replaced.
 
 #include <set>
 
@@ -12,105 +12,116 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Share of runs in which nothing takes a majority of the claim group away.
-constexpr double kMajorityLivesShare = 0.5;
-constexpr Duration kLostAnswersBefore = seconds(12);
-constexpr Duration kLostAnswersAfter = seconds(10);
-constexpr std::uint64_t kMostOpenings = 20;
-constexpr Duration kLongestOpening = seconds(20);
-constexpr Duration kLongestFreeze = seconds(9);
+/// Share of runs in which a majority of the claim group stays live throughout.
+constexpr double kLiveMajorityShare = 0.5;
+constexpr Duration kMaxResponseLossBefore = seconds(12);
+constexpr Duration kMaxResponseLossAfter = seconds(10);
+constexpr std::uint64_t kMaxRecoveries = 20;
+constexpr Duration kMaxRecoveryTime = seconds(20);
+constexpr Duration kMaxPause = seconds(9);
 
 }  // namespace
 
-void FaultDriver::planTableOutage() {
-  const Duration end = kBeforeOutage + kTableOutage;
+void FaultDriver::scheduleTableOutage() {
+  const Duration end = kTimeBeforeOutage + kTableOutageTime;
   TableOutage outage;
-  outage.majority_lives = random_.chance(kMajorityLivesShare);
-  outage.span = {world_.context().queue.now() + kBeforeOutage, world_.context().queue.now() + end};
+  outage.majority_lives = random_.chance(kLiveMajorityShare);
+  outage.span = {world_.context().queue.now() + kTimeBeforeOutage, world_.context().queue.now() + end};
   world_.context().records.table_outage = outage;
-  const standin::ServiceBehaviour losing{standin::ServiceMode::LoseAnswers, Duration(0), 0,
-                                         0.2 + 0.6 * random_.unit()};
-  setStore(kBeforeOutage - between(Duration(0), kLostAnswersBefore), kBeforeOutage, losing);
-  setStore(kBeforeOutage, end, {standin::ServiceMode::Down});
-  if (random_.chance(0.5)) setStore(end, end + between(seconds(1), kLostAnswersAfter), losing);
+  const standin::ServiceBehaviour losing_responses{standin::ServiceMode::LoseAnswers, Duration(0), 0,
+                                                   0.2 + 0.6 * random_.unit()};
+  scheduleStoreBehaviour(kTimeBeforeOutage - randomBetween(Duration(0), kMaxResponseLossBefore),
+                         kTimeBeforeOutage, losing_responses);
+  scheduleStoreBehaviour(kTimeBeforeOutage, end, {standin::ServiceMode::Down});
+  if (random_.chance(0.5))
+    scheduleStoreBehaviour(end, end + randomBetween(seconds(1), kMaxResponseLossAfter), losing_responses);
   const std::uint64_t replacements = random_.uniform(6, 20);
-  replaceRouters(kBeforeOutage + seconds(1), end, replacements, outage.majority_lives);
+  scheduleRouterReplacements(kTimeBeforeOutage + seconds(1), end, replacements, outage.majority_lives);
   for (std::uint64_t count = random_.uniform(2, 8); count > 0; --count) {
-    const std::size_t index = pick(world_.runnerCount());
-    const Duration when = between(kBeforeOutage, end);
-    at(when, [this, index] { world_.runnerAt(index).crash(false); });
-    at(when + between(milliseconds(50), seconds(3)), [this, index] { world_.runnerAt(index).restart(); });
+    const std::size_t index = randomIndex(world_.runnerCount());
+    const Duration when = randomBetween(kTimeBeforeOutage, end);
+    runAfter(when, [this, index] { world_.runnerAt(index).crash(false); });
+    runAfter(when + randomBetween(milliseconds(50), seconds(3)),
+             [this, index] { world_.runnerAt(index).restart(); });
   }
   if (outage.majority_lives) return;
-  openTableAtTimes(kBeforeOutage + seconds(60), end - seconds(60));
-  disturbOutage(kBeforeOutage - seconds(20), end + seconds(30));
-  // While claims made without the table are still on their way into it.
-  replaceRouters(end - seconds(5), end + seconds(20), random_.uniform(0, 6), false);
+  scheduleBriefTableRecoveries(kTimeBeforeOutage + seconds(60), end - seconds(60));
+  scheduleOutageDisturbances(kTimeBeforeOutage - seconds(20), end + seconds(30));
+  // While claims granted without the table are still being written to it.
+  scheduleRouterReplacements(end - seconds(5), end + seconds(20), random_.uniform(0, 6), false);
 }
 
-/// The table comes back for moments, long enough for a new epoch, with a router lost shortly before.
-void FaultDriver::openTableAtTimes(Duration from, Duration to) {
-  for (std::uint64_t count = random_.uniform(4, kMostOpenings); count > 0; --count) {
-    const Duration when = between(from, to);
-    replaceRouter(pick(world_.routerCount()), when - between(Duration(0), seconds(8)));
-    at(when, [this] { world_.platform().setStoreBehaviour({}); });
-    at(when + between(seconds(4), kLongestOpening),
-       [this] { world_.platform().setStoreBehaviour({standin::ServiceMode::Down}); });
+/// Brings the table back for short periods, long enough for a new epoch, each shortly after the loss of a
+/// router.
+void FaultDriver::scheduleBriefTableRecoveries(Duration from, Duration to) {
+  for (std::uint64_t count = random_.uniform(4, kMaxRecoveries); count > 0; --count) {
+    const Duration when = randomBetween(from, to);
+    scheduleRouterReplacement(randomIndex(world_.routerCount()),
+                              when - randomBetween(Duration(0), seconds(8)));
+    runAfter(when, [this] { world_.platform().setStoreBehaviour({}); });
+    runAfter(when + randomBetween(seconds(4), kMaxRecoveryTime),
+             [this] { world_.platform().setStoreBehaviour({standin::ServiceMode::Down}); });
   }
 }
 
-void FaultDriver::replaceRouter(std::size_t index, Duration when) {
+void FaultDriver::scheduleRouterReplacement(std::size_t index, Duration when) {
   const bool silent = random_.chance(0.5);
-  const Duration down = between(milliseconds(50), seconds(8));
-  at(when, [this, index, silent] { world_.routerAt(index).crash(silent); });
-  at(when + down, [this, index] { world_.routerAt(index).start(); });
+  const Duration down = randomBetween(milliseconds(50), seconds(8));
+  runAfter(when, [this, index, silent] { world_.routerAt(index).crash(silent); });
+  runAfter(when + down, [this, index] { world_.routerAt(index).start(); });
 }
 
-void FaultDriver::replaceRouters(Duration from, Duration to, std::uint64_t times, bool minority_only) {
+void FaultDriver::scheduleRouterReplacements(Duration from, Duration to, std::uint64_t times,
+                                             bool minority_only) {
   for (std::uint64_t count = 0; count < times; ++count) {
-    const Duration when = between(from, to);
+    const Duration when = randomBetween(from, to);
     if (!minority_only) {
-      replaceRouter(pick(world_.routerCount()), when);
+      scheduleRouterReplacement(randomIndex(world_.routerCount()), when);
       continue;
     }
-    const std::size_t wanted = pick(world_.routerCount());
-    at(when, [this, wanted] {
-      // The first member and those outside the group; a new epoch cannot begin meanwhile.
+    const std::size_t target = randomIndex(world_.routerCount());
+    runAfter(when, [this, target] {
+      // Replaces only the first member and routers outside the group; no new epoch can begin while the table
+      // is down.
       const ClaimGroupRow group = decodeClaimGroupRow(world_.platform().row(kClaimGroupRowKey));
-      std::set<std::string> spared;
-      for (std::size_t place = 1; place < group.members.size(); ++place) {
-        spared.insert(group.members[place].address);
+      std::set<std::string> protected_members;
+      for (std::size_t member = 1; member < group.members.size(); ++member) {
+        protected_members.insert(group.members[member].address);
       }
-      if (!spared.contains(world_.routerAt(wanted).host().name())) replaceRouter(wanted, Duration(0));
+      if (!protected_members.contains(world_.routerAt(target).host().name()))
+        scheduleRouterReplacement(target, Duration(0));
     });
   }
 }
 
-void FaultDriver::disturbOutage(Duration from, Duration to) {
+void FaultDriver::scheduleOutageDisturbances(Duration from, Duration to) {
   Network& network = world_.context().network;
   for (std::uint64_t count = random_.uniform(4, 16); count > 0; --count) {
-    const std::size_t index = pick(world_.routerCount());
-    const Duration when = between(from, to);
-    at(when, [this, index] { world_.routerAt(index).pause(); });
-    at(when + between(milliseconds(300), kLongestFreeze), [this, index] { world_.routerAt(index).wake(); });
+    const std::size_t index = randomIndex(world_.routerCount());
+    const Duration when = randomBetween(from, to);
+    runAfter(when, [this, index] { world_.routerAt(index).pause(); });
+    runAfter(when + randomBetween(milliseconds(300), kMaxPause),
+             [this, index] { world_.routerAt(index).wake(); });
   }
   for (std::uint64_t count = random_.uniform(2, 8); count > 0; --count) {
-    const Duration when = between(from, to);
-    partition(when, when + between(milliseconds(500), seconds(20)));
+    const Duration when = randomBetween(from, to);
+    schedulePartition(when, when + randomBetween(milliseconds(500), seconds(20)));
   }
   for (std::uint64_t count = random_.uniform(2, 8); count > 0; --count) {
-    const Duration when = between(from, to);
-    const Duration extra = between(milliseconds(50), milliseconds(2500));
+    const Duration when = randomBetween(from, to);
+    const Duration extra_delay = randomBetween(milliseconds(50), milliseconds(2500));
     const double share = 0.05 + 0.3 * random_.unit();
-    at(when, [&network, extra, share] { network.setDisturbance(extra, share); });
-    at(when + between(seconds(2), seconds(20)), [&network] { network.setDisturbance(Duration(0), 0); });
-    at(between(from, to), [&network] { network.resetSome(0.3); });
+    runAfter(when, [&network, extra_delay, share] { network.setDisturbance(extra_delay, share); });
+    runAfter(when + randomBetween(seconds(2), seconds(20)),
+             [&network] { network.setDisturbance(Duration(0), 0); });
+    runAfter(randomBetween(from, to), [&network] { network.resetSome(0.3); });
   }
   for (std::uint64_t count = random_.uniform(1, 4); count > 0; --count) {
-    const std::size_t index = pick(world_.sidecarCount());
-    const Duration when = between(from, to);
-    at(when, [this, index] { world_.sidecarAt(index).crash(false); });
-    at(when + between(milliseconds(100), seconds(2)), [this, index] { world_.sidecarAt(index).start(); });
+    const std::size_t index = randomIndex(world_.sidecarCount());
+    const Duration when = randomBetween(from, to);
+    runAfter(when, [this, index] { world_.sidecarAt(index).crash(false); });
+    runAfter(when + randomBetween(milliseconds(100), seconds(2)),
+             [this, index] { world_.sidecarAt(index).start(); });
   }
 }
 
--- a/sim/experiment/yardsticks.cc
+++ b/sim/experiment/baseline_policies.cc
@@ -1,26 +1,26 @@
-#include "sim/experiment/yardsticks.h"
+#include "sim/experiment/baseline_policies.h"
 
 #include <optional>
 
 namespace crankspur::experiment {
 namespace {
 
-/// Wait for a place in a full batch, per request above its limit.
+/// Estimated wait for a slot in a full batch, per request above the limit.
 constexpr Duration kFullBatchWait = std::chrono::milliseconds(100);
 
 class ClairvoyantPlacement : public PlacementPolicy {
 public:
-  ClairvoyantPlacement(Fleet& fleet, bool imports) : fleet_(fleet), imports_(imports) {}
-  std::string name() const override { return imports_ ? "clairvoyant_import" : "clairvoyant"; }
+  ClairvoyantPlacement(Fleet& fleet, bool use_imports) : fleet_(fleet), use_imports_(use_imports) {}
+  std::string name() const override { return use_imports_ ? "clairvoyant_import" : "clairvoyant"; }
 
   PlacementDecision choose(const PlacementRequest& request, const RoutingSnapshot&, const PrefixIndex&,
                            const OutstandingWork&, RandomSource&, TimePoint now) override {
     const Source source = findSource(request);
-    std::optional<Choice> best;
+    std::optional<Candidate> best;
     for (const auto& engine : fleet_.engines()) {
       if (!engine->up() || engine->frozen() || isExcluded(request, engine->slot())) continue;
-      const Choice choice = estimateExactly(*engine, request, source, now);
-      if (!best || choice.estimate.cost < best->estimate.cost) best = choice;
+      const Candidate candidate = estimateEngine(*engine, request, source, now);
+      if (!best || candidate.estimate.cost < best->estimate.cost) best = candidate;
     }
     PlacementDecision decision;
     if (!best) return decision;
@@ -41,19 +41,19 @@
     return std::find(request.excluded.begin(), request.excluded.end(), slot) != request.excluded.end();
   }
 
-  /// The engine that holds the longest prefix now.
+  /// The engine that currently holds the longest prefix.
   struct Source {
     EngineHost* engine = nullptr;
     std::uint32_t blocks = 0;
   };
-  struct Choice {
+  struct Candidate {
     CandidateEstimate estimate;
     std::uint32_t import_blocks = 0;
   };
 
   Source findSource(const PlacementRequest& request) {
     Source source;
-    if (!imports_) return source;
+    if (!use_imports_) return source;
     for (const auto& engine : fleet_.engines()) {
       if (!engine->up() || engine->frozen()) continue;
       const std::uint32_t held = engine->model().heldPrefix(request.blocks);
@@ -69,12 +69,12 @@
            timings.prefill_chunk_base * chunks;
   }
 
-  Choice estimateExactly(EngineHost& engine, const PlacementRequest& request, const Source& source,
-                         TimePoint now) {
+  Candidate estimateEngine(EngineHost& engine, const PlacementRequest& request, const Source& source,
+                           TimePoint now) {
     const standin::EngineTimings& timings = fleet_.site().timings;
     const WorkLedger& ledger = fleet_.ledger(engine.slot());
-    Choice choice;
-    CandidateEstimate& estimate = choice.estimate;
+    Candidate candidate;
+    CandidateEstimate& estimate = candidate.estimate;
     estimate.engine = engine.slot();
     estimate.cached_blocks = ledger.plannedPrefix(request.blocks, engine.model().heldPrefix(request.blocks));
     const auto cached = static_cast<std::uint32_t>(estimate.cached_blocks * kTokensPerBlock);
@@ -86,11 +86,11 @@
       const Duration import =
           timings.import_latency + 2 * fleet_.delay(engine.zone(), source.engine->zone()) +
           Duration(static_cast<std::int64_t>(imported / timings.import_tokens_per_second * 1e6));
-      const Duration rest = prefillTime(std::max(uncached, imported + 1) - imported);
-      if (import + rest < estimate.prefill) {
+      const Duration remaining_prefill = prefillTime(std::max(uncached, imported + 1) - imported);
+      if (import + remaining_prefill < estimate.prefill) {
         estimate.import = import;
-        estimate.prefill = rest;
-        choice.import_blocks = source.blocks;
+        estimate.prefill = remaining_prefill;
+        candidate.import_blocks = source.blocks;
       }
     }
     estimate.queue = ledger.backlog(now);
@@ -99,17 +99,17 @@
       estimate.queue += kFullBatchWait * static_cast<std::int64_t>(in_flight + 1 - timings.batch_limit);
     }
     estimate.cost = toSeconds(estimate.queue + estimate.import + estimate.prefill);
-    return choice;
+    return candidate;
   }
 
   Fleet& fleet_;
-  bool imports_;
+  bool use_imports_;
 };
 
 }  // namespace
 
-std::unique_ptr<PlacementPolicy> makeClairvoyantPlacement(Fleet& fleet, bool imports) {
-  return std::make_unique<ClairvoyantPlacement>(fleet, imports);
+std::unique_ptr<PlacementPolicy> makeClairvoyantPlacement(Fleet& fleet, bool use_imports) {
+  return std::make_unique<ClairvoyantPlacement>(fleet, use_imports);
 }
 
 std::unique_ptr<PlacementPolicy> makePolicy(const std::string& name, Fleet& fleet) {
--- a/sim/experiment/command.h
+++ b/sim/experiment/command.h
@@ -6,9 +6,9 @@
 
 namespace crankspur::experiment {
 
-/// Runs the experiment that the arguments and flags describe and prints its table.
-/// @param arguments words after the subcommand's name, flags excluded.
-/// @return the process's exit status.
+/// Runs the experiment selected by the flags and prints its result table.
+/// @param arguments positional arguments after the subcommand's name.
+/// @return the exit status of the process.
 int runExperimentCommand(const std::vector<std::string>& arguments);
 
 }  // namespace crankspur::experiment
--- a/sim/experiment/engine_host.cc
+++ b/sim/experiment/engine_host.cc
@@ -3,7 +3,7 @@
 namespace crankspur::experiment {
 namespace {
 
-/// @return whether nothing follows the event on its stream.
+/// @return whether the event is the last one on its stream.
 bool endsStream(const standin::StreamEvent& event) {
   return std::holds_alternative<standin::StreamRefused>(event) ||
          std::holds_alternative<standin::StreamFinished>(event) ||
@@ -29,55 +29,55 @@
   const standin::StreamId stream = next_stream_++;
   handlers_.emplace(stream, handler);
   model_.submit(stream, request, queue_.now());
-  pump();
+  deliverOutputs();
 }
 
 void EngineHost::importAnswered(const std::string& request_id, std::uint32_t attempt, std::uint32_t held,
                                 std::uint64_t source_incarnation) {
   model_.importAnswered(request_id, attempt, held, source_incarnation, queue_.now());
-  pump();
+  deliverOutputs();
 }
 
 void EngineHost::crash(Duration down) {
   model_.crash(queue_.now());
   down_until_ = queue_.now() + down;
-  pump();
+  deliverOutputs();
 }
 
 void EngineHost::freeze(Duration length) {
   model_.freeze(queue_.now());
   queue_.after(length, [this] {
     model_.thaw(queue_.now());
-    pump();
+    deliverOutputs();
   });
 }
 
-void EngineHost::pump() {
+void EngineHost::deliverOutputs() {
   for (standin::EngineOutput& output : model_.takeOutputs()) {
     if (const auto* query = std::get_if<standin::ImportQuery>(&output)) {
-      if (resolve_import_) resolve_import_(*query);
+      if (import_resolver_) import_resolver_(*query);
       continue;
     }
-    const auto* sent = std::get_if<standin::StreamOutput>(&output);
-    if (sent == nullptr) continue;
-    const auto place = handlers_.find(sent->stream);
-    if (place == handlers_.end()) continue;
-    const StreamHandler handler = place->second;
-    if (endsStream(sent->event)) handlers_.erase(place);
-    handler(sent->event);
+    const auto* stream_output = std::get_if<standin::StreamOutput>(&output);
+    if (stream_output == nullptr) continue;
+    const auto entry = handlers_.find(stream_output->stream);
+    if (entry == handlers_.end()) continue;
+    const StreamHandler handler = entry->second;
+    if (endsStream(stream_output->event)) handlers_.erase(entry);
+    handler(stream_output->event);
   }
-  arm();
+  armTimer();
 }
 
-void EngineHost::arm() {
+void EngineHost::armTimer() {
   const std::optional<TimePoint> next = model_.nextTimer();
-  if (!next || *next >= armed_for_) return;
-  armed_for_ = *next;
+  if (!next || *next >= timer_due_) return;
+  timer_due_ = *next;
   queue_.at(*next, [this, due = *next] {
-    if (armed_for_ != due) return;
-    armed_for_ = TimePoint::max();
+    if (timer_due_ != due) return;
+    timer_due_ = TimePoint::max();
     model_.onTimer(queue_.now());
-    pump();
+    deliverOutputs();
   });
 }
 
--- a/sim/experiment/engine_host.h
+++ b/sim/experiment/engine_host.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file One engine of an experiment: the engine model driven by virtual time.
+/// @file One engine of an experiment: the engine model driven by a virtual clock.
 
 #include <absl/container/flat_hash_map.h>
 
@@ -12,25 +12,26 @@
 
 namespace crankspur::experiment {
 
-/// Receives what an engine sends on one stream, at the engine's time.
+/// Receives the events that an engine sends on one stream, without network delay.
 using StreamHandler = std::function<void(const standin::StreamEvent&)>;
-/// Carries an import query to its source and the answer back.
+/// Delivers an import query to the source engine and its response back to the querying engine.
 using ImportResolver = std::function<void(const standin::ImportQuery&)>;
 
-/// An engine in its zone.
+/// An engine located in a zone.
 class EngineHost {
 public:
   EngineHost(sim::EventQueue& queue, const standin::EngineOptions& options,
              const standin::EngineTimings& timings, std::uint64_t seed, EngineSlot slot, std::uint32_t zone);
 
-  void setImportResolver(ImportResolver resolver) { resolve_import_ = std::move(resolver); }
-  /// Submits a request. A down engine cuts the stream without an event before it.
+  void setImportResolver(ImportResolver resolver) { import_resolver_ = std::move(resolver); }
+  /// Submits a request. If the engine is down, the stream is cut immediately.
   void submit(const standin::CompletionRequest& request, const StreamHandler& handler);
+  /// Receives the response to an import query.
   void importAnswered(const std::string& request_id, std::uint32_t attempt, std::uint32_t held,
                       std::uint64_t source_incarnation);
-  /// Cuts every stream, loses the cache and stays down for `down`.
+  /// Cuts all streams, clears the cache and keeps the engine down for `down`.
   void crash(Duration down);
-  /// Stops all progress for `length`; streams stay open.
+  /// Suspends the engine for `length`; streams stay open.
   void freeze(Duration length);
 
   bool up() const { return queue_.now() >= down_until_; }
@@ -42,19 +43,19 @@
   standin::EngineModel& model() { return model_; }
 
 private:
-  /// Delivers outputs and arms the next timer.
-  void pump();
-  void arm();
+  /// Delivers pending outputs and arms the next timer.
+  void deliverOutputs();
+  void armTimer();
 
   sim::EventQueue& queue_;
   standin::EngineModel model_;
   EngineSlot slot_;
   std::uint32_t zone_;
   std::string address_;
-  ImportResolver resolve_import_;
+  ImportResolver import_resolver_;
   absl::flat_hash_map<standin::StreamId, StreamHandler> handlers_;
   standin::StreamId next_stream_ = 1;
-  TimePoint armed_for_ = TimePoint::max();
+  TimePoint timer_due_ = TimePoint::max();
   TimePoint down_until_ = TimePoint::min();
 };
 
--- a/sim/experiment/experiment_router.cc
+++ b/sim/experiment/experiment_router.cc
@@ -13,19 +13,19 @@
 }  // namespace
 
 ExperimentRouter::ExperimentRouter(sim::EventQueue& queue, Fleet& fleet, std::shared_ptr<const Bundle> bundle,
-                                   std::uint32_t number, std::uint32_t router_count,
+                                   std::uint32_t router_index, std::uint32_t router_count,
                                    std::unique_ptr<PlacementPolicy> policy, std::uint64_t seed)
     : queue_(queue),
       fleet_(fleet),
-      number_(number),
+      router_index_(router_index),
       router_count_(router_count),
-      zone_(number % fleet.site().zones),
-      random_(combineHashes(seed, number)),
+      zone_(router_index % fleet.site().zones),
+      random_(combineHashes(seed, router_index)),
       policy_(std::move(policy)),
       index_(makePrefixIndex(kIndexEntries)),
       admission_(makeAdmission()),
-      event_sequence_(fleet.engines().size()),
-      digest_wanted_(fleet.engines().size()) {
+      event_sequences_(fleet.engines().size()),
+      digest_needed_(fleet.engines().size()) {
   admission_->configure(bundle, router_count, queue.now());
   snapshot_.bundle = std::move(bundle);
   snapshot_.own_zone = std::to_string(zone_);
@@ -77,7 +77,7 @@
   if (view.incarnation != report.incarnation) {
     view.incarnation = report.incarnation;
     index_->setIncarnation(slot, report.incarnation);
-    event_sequence_[slot] = 0;
+    event_sequences_[slot] = 0;
   }
   view.state = EngineState::Live;
   view.load.measured_at = queue_.now() - report.age;
@@ -88,11 +88,11 @@
   view.load.cache_blocks_total = report.cache_blocks_total;
   view.load.cache_blocks_used = report.cache_blocks_used;
   view.load.prefill_tokens_per_second = report.prefill_tokens_per_second;
-  sent_.onSnapshot(snapshot_);
+  outstanding_.onSnapshot(snapshot_);
 }
 
-bool ExperimentRouter::owns(EngineSlot slot) const {
-  return slot % router_count_ == number_;
+bool ExperimentRouter::ownsEvents(EngineSlot slot) const {
+  return slot % router_count_ == router_index_;
 }
 
 void ExperimentRouter::pollEvents(EngineSlot slot) {
@@ -101,16 +101,16 @@
   queue_.after(jittered, [this, slot] {
     EngineHost& engine = fleet_.engine(slot);
     const Duration one_way = fleet_.delay(zone_, engine.zone());
-    const Duration arrives = owns(slot) ? one_way : one_way + kSharingDelay;
+    const Duration delivery_delay = ownsEvents(slot) ? one_way : one_way + kIndexSharingDelay;
     if (engine.up() && !engine.frozen() &&
         engine.model().incarnation() == snapshot_.engines[slot].incarnation) {
-      standin::CacheChanges changes = engine.model().cacheChanges(event_sequence_[slot], queue_.now());
-      event_sequence_[slot] = std::max(event_sequence_[slot], changes.last_sequence);
+      standin::CacheChanges changes = engine.model().cacheChanges(event_sequences_[slot], queue_.now());
+      event_sequences_[slot] = std::max(event_sequences_[slot], changes.last_sequence);
       if (!changes.events.empty()) {
-        queue_.after(arrives, [this, slot, changes = std::move(changes)] { onEvents(slot, changes); });
+        queue_.after(delivery_delay, [this, slot, changes = std::move(changes)] { onEvents(slot, changes); });
       }
     }
-    if (digest_wanted_[slot]) fetchDigest(slot);
+    if (digest_needed_[slot]) fetchDigest(slot);
     pollEvents(slot);
   });
 }
@@ -118,7 +118,7 @@
 void ExperimentRouter::onEvents(EngineSlot slot, const standin::CacheChanges& changes) {
   for (const standin::CacheChange& change : changes.events) {
     const CacheEvent event{change.sequence, change.stored, change.removed};
-    if (!index_->applyEvent(slot, changes.incarnation, event, queue_.now())) digest_wanted_[slot] = true;
+    if (!index_->applyEvent(slot, changes.incarnation, event, queue_.now())) digest_needed_[slot] = true;
   }
 }
 
@@ -127,7 +127,7 @@
   if (!engine.up() || engine.frozen()) return;
   const standin::CacheDigest digest = engine.model().cacheDigest(queue_.now());
   if (digest.refused) return;
-  digest_wanted_[slot] = false;
+  digest_needed_[slot] = false;
   const Duration one_way = fleet_.delay(zone_, engine.zone());
   queue_.after(one_way, [this, slot, digest] {
     index_->applyDigest(slot, digest.incarnation, digest.sequence, digest.blocks, queue_.now());
@@ -135,20 +135,20 @@
 }
 
 void ExperimentRouter::submit(const std::shared_ptr<ActiveRequest>& request) {
-  place(request);
+  placeRequest(request);
 }
 
-void ExperimentRouter::place(const Request& request) {
+void ExperimentRouter::placeRequest(const Request& request) {
   const std::uint32_t limit = snapshot_.bundle->knobs.max_attempts;
   if (request->attempt >= limit) {
-    end(request, true);
+    finish(request, true);
     return;
   }
   ++request->attempt;
   const PlacementDecision decision =
-      policy_->choose(request->placement, snapshot_, *index_, sent_, random_, queue_.now());
+      policy_->choose(request->placement, snapshot_, *index_, outstanding_, random_, queue_.now());
   if (!decision.found || !admit(request, decision)) {
-    end(request, true);
+    finish(request, true);
     return;
   }
   dispatch(request, decision);
@@ -184,7 +184,7 @@
 }
 
 void ExperimentRouter::dispatch(const Request& request, const PlacementDecision& decision) {
-  request->dispatch = next_dispatch_++ * 64 + number_;
+  request->dispatch = next_dispatch_++ * 64 + router_index_;
   request->engine = decision.engine;
   request->incarnation = decision.incarnation;
   request->dispatched = queue_.now();
@@ -196,15 +196,15 @@
   const std::uint32_t uncached =
       request->placement.prompt_tokens - std::min(cached, request->placement.prompt_tokens);
   index_->recordPlacement(decision.engine, decision.incarnation, request->blocks, queue_.now());
-  sent_.add(decision.engine, request->dispatch, uncached, queue_.now());
+  outstanding_.add(decision.engine, request->dispatch, uncached, queue_.now());
   WorkLedger& ledger = fleet_.ledger(decision.engine);
   const std::uint32_t planned = ledger.plannedPrefix(
       request->blocks, fleet_.engine(decision.engine).model().heldPrefix(request->blocks));
   const std::uint32_t reused = std::max(planned, decision.import_blocks);
-  const std::uint32_t left =
+  const std::uint32_t exact_uncached =
       request->placement.prompt_tokens -
       std::min<std::uint32_t>(reused * kTokensPerBlock, request->placement.prompt_tokens - 1);
-  ledger.add(request->dispatch, request->blocks, left, fleet_.site().timings, queue_.now());
+  ledger.add(request->dispatch, request->blocks, exact_uncached, fleet_.site().timings, queue_.now());
 
   standin::CompletionRequest completion;
   completion.request_id = request->id;
@@ -227,14 +227,14 @@
 
 void ExperimentRouter::arriveAtEngine(const Request& request, const standin::CompletionRequest& completion) {
   EngineHost& engine = fleet_.engine(request->engine);
-  request->best_elsewhere_tokens =
+  request->best_held_tokens =
       static_cast<std::uint32_t>(fleet_.longestHeldPrefix(request->blocks) * kTokensPerBlock);
   const Duration one_way = fleet_.delay(zone_, engine.zone());
   const std::uint64_t dispatch = request->dispatch;
   engine.submit(completion, [this, request, one_way, dispatch](const standin::StreamEvent& event) {
     if (request->dispatch != dispatch) return;
-    const bool first = std::holds_alternative<standin::StreamTokens>(event);
-    if (first) fleet_.ledger(request->engine).remove(dispatch);
+    const bool is_tokens = std::holds_alternative<standin::StreamTokens>(event);
+    if (is_tokens) fleet_.ledger(request->engine).remove(dispatch);
     if (std::holds_alternative<standin::StreamFinished>(event)) recordRun(request);
     queue_.after(one_way, [this, request, dispatch, event] { onStream(request, dispatch, event); });
   });
@@ -250,7 +250,7 @@
     outcome.imported_tokens += record->imported_tokens;
     outcome.recomputed_tokens += record->recomputed_tokens;
     const std::uint32_t reused = record->cached_tokens + record->imported_tokens;
-    const std::uint32_t missed = std::max(request->best_elsewhere_tokens, reused) - reused;
+    const std::uint32_t missed = std::max(request->best_held_tokens, reused) - reused;
     outcome.wasted_tokens += std::min(missed, record->recomputed_tokens);
     return;
   }
@@ -263,14 +263,14 @@
     return onAccepted(request, *accepted);
   if (const auto* tokens = std::get_if<standin::StreamTokens>(&event)) return onTokens(request, *tokens);
   if (std::holds_alternative<standin::StreamFinished>(event)) return onFinished(request);
-  onLost(request, std::holds_alternative<standin::StreamRefused>(event));
+  onAttemptLost(request, std::holds_alternative<standin::StreamRefused>(event));
 }
 
 void ExperimentRouter::onAccepted(const Request& request, const standin::StreamAccepted& accepted) {
   request->cached_tokens = accepted.cached_tokens;
   const std::uint32_t reused = std::max(accepted.cached_tokens, request->import_tokens);
-  sent_.correct(request->engine, request->dispatch,
-                accepted.prompt_tokens - std::min(accepted.prompt_tokens, reused));
+  outstanding_.correct(request->engine, request->dispatch,
+                       accepted.prompt_tokens - std::min(accepted.prompt_tokens, reused));
   const std::size_t held =
       std::min<std::size_t>(accepted.cached_tokens / kTokensPerBlock, request->blocks.size());
   index_->correct(request->engine, accepted.incarnation, std::span(request->blocks).first(held),
@@ -283,7 +283,7 @@
                       request->expected_first_token, queue_.now() - request->dispatched},
                      queue_.now());
   }
-  sent_.prefillDone(request->engine, request->dispatch, queue_.now());
+  outstanding_.prefillDone(request->engine, request->dispatch, queue_.now());
   if (!request->prefill_done) {
     index_->correct(request->engine, request->incarnation, request->blocks, 0, queue_.now());
   }
@@ -295,28 +295,28 @@
 }
 
 void ExperimentRouter::onFinished(const Request& request) {
-  leaveEngine(request);
+  releaseEngine(request);
   request->outcome->finished = true;
-  end(request, false);
+  finish(request, false);
 }
 
-void ExperimentRouter::leaveEngine(const Request& request) {
-  sent_.remove(request->engine, request->dispatch);
+void ExperimentRouter::releaseEngine(const Request& request) {
+  outstanding_.remove(request->engine, request->dispatch);
   fleet_.ledger(request->engine).remove(request->dispatch);
 }
 
-void ExperimentRouter::onLost(const Request& request, bool engine_alive) {
-  leaveEngine(request);
-  if (!engine_alive) {
+void ExperimentRouter::onAttemptLost(const Request& request, bool engine_live) {
+  releaseEngine(request);
+  if (!engine_live) {
     snapshot_.engines[request->engine].state = EngineState::Dead;
     index_->forgetEngine(request->engine);
     snapshot_.engines[request->engine].incarnation = 0;
   }
   request->placement.excluded.push_back(request->engine);
-  place(request);
+  placeRequest(request);
 }
 
-void ExperimentRouter::end(const Request& request, bool refused) {
+void ExperimentRouter::finish(const Request& request, bool refused) {
   request->outcome->refused = refused;
   request->outcome->attempts = request->attempt;
   if (request->admitted) {
--- a/sim/experiment/experiment_router.h
+++ b/sim/experiment/experiment_router.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file One router of an experiment: the product's index, placement and admission over this router's own
-/// stale view of the engines.
+/// @file One router of an experiment: the production prefix index, placement and admission, running on the
+/// router's own stale view of the engines.
 
 #include <functional>
 #include <memory>
@@ -13,22 +13,22 @@
 
 namespace crankspur::experiment {
 
-/// How a request came out at its router.
+/// Result of a request.
 struct RequestOutcome {
   Duration at{0};  ///< Arrival since the start of the run.
   std::uint32_t tenant = 0;
   bool refused = false;
   bool finished = false;
-  Duration first_token{0};          ///< From the client and back to it; 0 when none came.
+  Duration first_token{0};          ///< Measured at the client, round trip included; 0 without a token.
   std::uint32_t prompt_tokens = 0;  ///< Over all runs of the request.
   std::uint32_t cached_tokens = 0;  ///< Found in the engine's own cache.
   std::uint32_t imported_tokens = 0;
   std::uint32_t recomputed_tokens = 0;
-  std::uint32_t wasted_tokens = 0;  ///< Recomputed although an engine that was up held them.
+  std::uint32_t wasted_tokens = 0;  ///< Recomputed although a live engine held them in its cache.
   std::uint32_t attempts = 0;
 };
 
-/// One request on its way through a router.
+/// A request in progress at a router.
 struct ActiveRequest {
   Arrival arrival;
   std::string prompt;
@@ -40,35 +40,35 @@
   AdmissionRequest admission;
   bool admitted = false;
   std::uint32_t priority = 1;
-  std::string delivered;  ///< Answer text so far.
+  std::string delivered;  ///< Generated text received so far.
   std::uint32_t attempt = 0;
   std::uint64_t dispatch = 0;
   EngineSlot engine = 0;
   std::uint64_t incarnation = 0;
   TimePoint dispatched{};
-  bool prefill_done = false;        ///< A token of this dispatch came.
-  std::uint32_t import_tokens = 0;  ///< Leading tokens that an import leaves the engine with; 0: none.
+  bool prefill_done = false;        ///< A token of this dispatch was received.
+  std::uint32_t import_tokens = 0;  ///< Leading tokens in the cache after the import; 0: no import.
   Duration expected_first_token{0};
-  std::uint32_t cached_tokens = 0;  ///< As the engine said on accepting.
+  std::uint32_t cached_tokens = 0;  ///< Reported by the engine when it accepted the request.
   bool has_first_token = false;
-  std::uint32_t best_elsewhere_tokens = 0;
+  std::uint32_t best_held_tokens = 0;  ///< Longest prefix that any live engine held on arrival.
   RequestOutcome* outcome = nullptr;
-  std::function<void()> on_done;  ///< Tells the sidecar.
+  std::function<void()> on_done;  ///< Notifies the sidecar.
 };
 
-/// How a router learns of caches it does not own the event stream of.
-inline constexpr Duration kSharingDelay = std::chrono::milliseconds(500);
+/// Delay until a router receives cache events of engines whose event stream another router owns.
+inline constexpr Duration kIndexSharingDelay = std::chrono::milliseconds(500);
 
-/// A router in its zone.
+/// A router located in a zone.
 class ExperimentRouter {
 public:
   ExperimentRouter(sim::EventQueue& queue, Fleet& fleet, std::shared_ptr<const Bundle> bundle,
-                   std::uint32_t number, std::uint32_t router_count, std::unique_ptr<PlacementPolicy> policy,
-                   std::uint64_t seed);
+                   std::uint32_t router_index, std::uint32_t router_count,
+                   std::unique_ptr<PlacementPolicy> policy, std::uint64_t seed);
 
-  /// Begins polling engines for load and cache events.
+  /// Starts polling the engines for load and cache events.
   void start();
-  /// Decides and dispatches; the request's outcome is filled in as it goes on.
+  /// Places and dispatches the request; its outcome is updated as it progresses.
   void submit(const std::shared_ptr<ActiveRequest>& request);
   std::uint32_t zone() const { return zone_; }
   const PrefixIndex& index() const { return *index_; }
@@ -82,9 +82,9 @@
   void pollEvents(EngineSlot slot);
   void onEvents(EngineSlot slot, const standin::CacheChanges& changes);
   void fetchDigest(EngineSlot slot);
-  bool owns(EngineSlot slot) const;
+  bool ownsEvents(EngineSlot slot) const;
 
-  void place(const Request& request);
+  void placeRequest(const Request& request);
   bool admit(const Request& request, const PlacementDecision& decision);
   void dispatch(const Request& request, const PlacementDecision& decision);
   void arriveAtEngine(const Request& request, const standin::CompletionRequest& completion);
@@ -92,26 +92,26 @@
   void onAccepted(const Request& request, const standin::StreamAccepted& accepted);
   void onTokens(const Request& request, const standin::StreamTokens& tokens);
   void onFinished(const Request& request);
-  void onLost(const Request& request, bool engine_alive);
+  void onAttemptLost(const Request& request, bool engine_live);
   void recordRun(const Request& request);
-  void leaveEngine(const Request& request);
-  void end(const Request& request, bool refused);
-  /// @return requests held by live engines over their batch limits, as reported.
+  void releaseEngine(const Request& request);
+  void finish(const Request& request, bool refused);
+  /// @return ratio of the running and queued requests of live engines to their batch limits, as reported.
   double batchUtilization() const;
 
   sim::EventQueue& queue_;
   Fleet& fleet_;
-  std::uint32_t number_;
+  std::uint32_t router_index_;
   std::uint32_t router_count_;
   std::uint32_t zone_;
   RandomSource random_;
   std::unique_ptr<PlacementPolicy> policy_;
   std::unique_ptr<PrefixIndex> index_;
   std::unique_ptr<Admission> admission_;
-  OutstandingLedger sent_;
+  OutstandingLedger outstanding_;
   RoutingSnapshot snapshot_;
-  std::vector<std::uint64_t> event_sequence_;
-  std::vector<bool> digest_wanted_;
+  std::vector<std::uint64_t> event_sequences_;
+  std::vector<bool> digest_needed_;
   std::uint64_t next_dispatch_ = 1;
 };
 
--- a/sim/experiment/fleet.cc
+++ b/sim/experiment/fleet.cc
@@ -13,18 +13,18 @@
   const Duration prefill(
       static_cast<std::int64_t>(uncached_tokens / timings.prefill_tokens_per_second * 1e6));
   idle_at_ = std::max(idle_at_, now) + prefill + timings.prefill_chunk_base * chunks;
-  for (const BlockHash block : blocks) ++planned_[block];
+  for (const BlockHash block : blocks) ++planned_blocks_[block];
   dispatches_.emplace(dispatch, std::vector<BlockHash>(blocks.begin(), blocks.end()));
 }
 
 void WorkLedger::remove(std::uint64_t dispatch) {
-  const auto place = dispatches_.find(dispatch);
-  if (place == dispatches_.end()) return;
-  for (const BlockHash block : place->second) {
-    const auto planned = planned_.find(block);
-    if (--planned->second == 0) planned_.erase(planned);
+  const auto entry = dispatches_.find(dispatch);
+  if (entry == dispatches_.end()) return;
+  for (const BlockHash block : entry->second) {
+    const auto planned = planned_blocks_.find(block);
+    if (--planned->second == 0) planned_blocks_.erase(planned);
   }
-  dispatches_.erase(place);
+  dispatches_.erase(entry);
   if (dispatches_.empty()) idle_at_ = TimePoint{};
 }
 
@@ -33,7 +33,7 @@
 }
 
 std::uint32_t WorkLedger::plannedPrefix(std::span<const BlockHash> blocks, std::uint32_t cached) const {
-  while (cached < blocks.size() && planned_.contains(blocks[cached])) ++cached;
+  while (cached < blocks.size() && planned_blocks_.contains(blocks[cached])) ++cached;
   return cached;
 }
 
--- a/sim/experiment/fleet.h
+++ b/sim/experiment/fleet.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file The engines of a run and the exact knowledge of them that only the clairvoyant yardstick and the
+/// @file The engines of a run and their exact state, which only the clairvoyant baseline policy and the
 /// measurements may use.
 
 #include <absl/container/flat_hash_map.h>
@@ -13,27 +13,28 @@
 
 namespace crankspur::experiment {
 
-/// Name of the one model that experiments serve, and its weights version.
+/// The only model that experiments serve, and its weights version.
 inline constexpr const char* kModel = "large";
 inline constexpr const char* kWeights = "w1";
 
-/// What is on its way to or waiting at an engine, exactly.
+/// Exact record of the work in transit to or queued at an engine.
 class WorkLedger {
 public:
-  /// Notes a dispatched request.
+  /// Adds a dispatched request.
   void add(std::uint64_t dispatch, std::span<const BlockHash> blocks, std::uint32_t uncached_tokens,
            const standin::EngineTimings& timings, TimePoint now);
-  /// The first token came out, or the request ended before.
+  /// Removes a dispatch after its first token, or when it ended without one.
   void remove(std::uint64_t dispatch);
   void clear();
-  /// @return how many leading blocks will be cached once the work here is done, given `cached` now.
+  /// @return the number of leading blocks that will be cached once this work is done.
+  /// @param cached leading blocks that are cached now.
   std::uint32_t plannedPrefix(std::span<const BlockHash> blocks, std::uint32_t cached) const;
-  /// @return time until the prefill of all work here is done.
+  /// @return time until the prefill of all recorded work is done.
   Duration backlog(TimePoint now) const { return std::max(Duration(0), idle_at_ - now); }
 
 private:
   absl::flat_hash_map<std::uint64_t, std::vector<BlockHash>> dispatches_;
-  absl::flat_hash_map<BlockHash, std::uint32_t> planned_;
+  absl::flat_hash_map<BlockHash, std::uint32_t> planned_blocks_;
   TimePoint idle_at_{};
 };
 
@@ -47,9 +48,9 @@
   EngineHost& engine(EngineSlot slot) { return *engines_[slot]; }
   WorkLedger& ledger(EngineSlot slot) { return ledgers_[slot]; }
   const Site& site() const { return site_; }
-  /// @return one way between two zones.
+  /// @return the one-way network delay between two zones.
   Duration delay(std::uint32_t from_zone, std::uint32_t to_zone) const;
-  /// @return the most leading blocks that any engine that is up holds.
+  /// @return the length in blocks of the longest prefix that any live engine holds.
   std::uint32_t longestHeldPrefix(std::span<const BlockHash> blocks) const;
   void crash(EngineSlot slot, Duration down);
 
--- a/sim/experiment/measures.cc
+++ b/sim/experiment/measures.cc
@@ -6,17 +6,17 @@
 namespace crankspur::experiment {
 namespace {
 
-/// Window over which recovery after a shift is judged.
+/// Window over which the reuse rate after a shift is measured.
 constexpr double kRecoveryWindowSeconds = 2.0;
-/// Recovered: reuse within this share of the steady state before the shift.
+/// A run has recovered when its reuse rate is within this share of the steady state before the shift.
 constexpr double kRecoveryTolerance = 0.05;
 
 double firstTokenMilliseconds(const RequestOutcome& outcome, Duration deadline) {
-  const bool none = outcome.refused || outcome.first_token.count() == 0;
-  return toMilliseconds(none ? 2 * deadline : outcome.first_token);
+  const bool no_first_token = outcome.refused || outcome.first_token.count() == 0;
+  return toMilliseconds(no_first_token ? 2 * deadline : outcome.first_token);
 }
 
-/// @return reuse rate of the requests that arrived in [from, to), seconds; negative when there are none.
+/// @return reuse rate of the requests that arrived in [from, to), in seconds; negative without requests.
 double reuseBetween(const std::vector<RequestOutcome>& outcomes, double from, double to) {
   double reused = 0;
   double prompt = 0;
@@ -31,21 +31,21 @@
 
 std::optional<double> recoveryTime(const RunOptions& options, const std::vector<RequestOutcome>& outcomes) {
   const double shift = toSeconds(shiftTime(options));
-  const double steady = reuseBetween(outcomes, toSeconds(options.warm_up), shift);
+  const double steady_reuse = reuseBetween(outcomes, toSeconds(options.warm_up), shift);
   const double end = toSeconds(options.length);
   for (double from = shift; from + kRecoveryWindowSeconds <= end; from += 0.5) {
     const double reuse = reuseBetween(outcomes, from, from + kRecoveryWindowSeconds);
-    if (reuse >= steady * (1 - kRecoveryTolerance)) return from - shift;
+    if (reuse >= steady_reuse * (1 - kRecoveryTolerance)) return from - shift;
   }
   return std::nullopt;
 }
 
-void measureTenants(const RunOptions& options, const std::vector<const RequestOutcome*>& counted,
+void measureTenants(const RunOptions& options, const std::vector<const RequestOutcome*>& measured,
                     Measures& measures) {
   const std::uint32_t tenants = options.site.shape.tenants;
   std::vector<std::vector<double>> first_tokens(tenants);
   std::vector<double> refused(tenants);
-  for (const RequestOutcome* outcome : counted) {
+  for (const RequestOutcome* outcome : measured) {
     if (outcome->tenant >= tenants) continue;
     first_tokens[outcome->tenant].push_back(firstTokenMilliseconds(*outcome, options.site.deadline));
     refused[outcome->tenant] += outcome->refused ? 1 : 0;
@@ -68,29 +68,30 @@
 }
 
 Measures measure(const RunOptions& options, const std::vector<RequestOutcome>& outcomes) {
-  std::vector<const RequestOutcome*> counted;
+  std::vector<const RequestOutcome*> measured;
   for (const RequestOutcome& outcome : outcomes) {
-    if (outcome.at >= options.warm_up) counted.push_back(&outcome);
+    if (outcome.at >= options.warm_up) measured.push_back(&outcome);
   }
   Measures measures;
-  measures.requests = counted.size();
-  if (counted.empty()) return measures;
+  measures.requests = measured.size();
+  if (measured.empty()) return measures;
   double prompt = 0;
   double cached = 0;
   double imported = 0;
   std::vector<double> first_tokens;
-  for (const RequestOutcome* outcome : counted) {
+  for (const RequestOutcome* outcome : measured) {
     prompt += outcome->prompt_tokens;
     cached += outcome->cached_tokens;
     imported += outcome->imported_tokens;
     measures.wasted_per_request += outcome->wasted_tokens;
     measures.recomputed_per_request += outcome->recomputed_tokens;
     measures.refused_share += outcome->refused || !outcome->finished ? 1 : 0;
-    const bool late = outcome->first_token > options.site.deadline || outcome->first_token.count() == 0;
-    measures.missed_share += outcome->refused || late ? 1 : 0;
+    const bool missed_deadline =
+        outcome->first_token > options.site.deadline || outcome->first_token.count() == 0;
+    measures.missed_share += outcome->refused || missed_deadline ? 1 : 0;
     first_tokens.push_back(firstTokenMilliseconds(*outcome, options.site.deadline));
   }
-  const auto requests = static_cast<double>(counted.size());
+  const auto requests = static_cast<double>(measured.size());
   measures.hit_rate = prompt == 0 ? 0 : cached / prompt;
   measures.reuse_rate = prompt == 0 ? 0 : (cached + imported) / prompt;
   measures.wasted_per_request /= requests;
@@ -100,7 +101,7 @@
   measures.p50_ms = quantileOf(first_tokens, 0.50);
   measures.p95_ms = quantileOf(first_tokens, 0.95);
   measures.p99_ms = quantileOf(first_tokens, 0.99);
-  measureTenants(options, counted, measures);
+  measureTenants(options, measured, measures);
   if (options.faults.shift) measures.recovery_seconds = recoveryTime(options, outcomes);
   return measures;
 }
--- a/sim/experiment/previous_placement.cc
+++ b/sim/experiment/previous_placement.cc
@@ -1,20 +1,20 @@
-/// @file Yardstick: the cost policy as it was first merged, kept unchanged.
+/// @file Baseline: the first merged version of the cost policy, kept unchanged for comparison.
 
 #include <algorithm>
 
 #include "placement/eligibility.h"
-#include "sim/experiment/yardsticks.h"
+#include "sim/experiment/baseline_policies.h"
 
 namespace crankspur::experiment {
 namespace {
 
-/// Engines weighed for one request when there are more than this many.
-constexpr std::size_t kWeighAllBelow = 32;
-/// Holders of the longest prefixes that are weighed.
-constexpr std::size_t kPrefixCandidates = 16;
+/// Up to this many eligible engines, all of them are scored.
+constexpr std::size_t kMaxEnginesToScoreAll = 32;
+/// Number of holders of the longest prefixes that are scored.
+constexpr std::size_t kMaxPrefixCandidates = 16;
 /// Candidates kept in the decision record.
-constexpr std::size_t kRecordedCandidates = 8;
-/// Prefill rate assumed when a report states none, tokens per second.
+constexpr std::size_t kMaxRecordedCandidates = 8;
+/// Prefill rate assumed when the load report has none, in tokens per second.
 constexpr double kAssumedPrefillRate = 8000;
 
 Duration toDuration(double seconds) {
@@ -22,7 +22,7 @@
 }
 
 /// Inputs of one decision.
-struct Inputs {
+struct DecisionInputs {
   const PlacementRequest& request;
   const Knobs& knobs;
   const OutstandingWork& work;
@@ -34,16 +34,17 @@
   return rate > 0 ? rate : kAssumedPrefillRate;
 }
 
-/// @return tokens before this request at the engine: the report, drained since it was measured, plus own work
-/// that the report cannot show.
-double tokensAhead(const EngineView& engine, const Inputs& inputs) {
+/// @return tokens ahead of this request at the engine: those of the load report minus the work done since it
+/// was measured, plus own work that the report does not include yet.
+double tokensAhead(const EngineView& engine, const DecisionInputs& inputs) {
   const double age = std::max(0.0, toSeconds(inputs.now - engine.load.measured_at));
   const double drained = age * prefillRate(engine);
   const double reported = std::max(0.0, engine.load.queued_tokens - drained);
   return reported + inputs.work.pendingTokens(engine.slot);
 }
 
-CandidateEstimate estimate(const EngineView& engine, std::uint32_t cached_blocks, const Inputs& inputs) {
+CandidateEstimate estimate(const EngineView& engine, std::uint32_t cached_blocks,
+                           const DecisionInputs& inputs) {
   CandidateEstimate result;
   result.engine = engine.slot;
   result.cached_blocks = cached_blocks;
@@ -66,8 +67,8 @@
                            TimePoint now) override {
     const std::vector<const EngineView*> eligible = findEligible(request, snapshot);
     if (eligible.empty()) return {};
-    const Inputs inputs{request, snapshot.bundle->knobs, work, now};
-    std::vector<CandidateEstimate> candidates = weigh(eligible, snapshot, index, inputs, random);
+    const DecisionInputs inputs{request, snapshot.bundle->knobs, work, now};
+    std::vector<CandidateEstimate> candidates = scoreCandidates(eligible, snapshot, index, inputs, random);
     std::sort(candidates.begin(), candidates.end(),
               [](const CandidateEstimate& left, const CandidateEstimate& right) {
                 return left.cost != right.cost ? left.cost < right.cost : left.engine < right.engine;
@@ -81,29 +82,30 @@
     decision.weights_version = engine.weightsOf(request.model);
     decision.cached_blocks = best.cached_blocks;
     decision.expected_first_token = best.queue + best.prefill;
-    candidates.resize(std::min(candidates.size(), kRecordedCandidates));
+    candidates.resize(std::min(candidates.size(), kMaxRecordedCandidates));
     decision.candidates = std::move(candidates);
     return decision;
   }
 
 private:
-  /// Estimates the holders of the longest prefixes and some engines at random; all when they are few.
-  static std::vector<CandidateEstimate> weigh(const std::vector<const EngineView*>& eligible,
-                                              const RoutingSnapshot& snapshot, const PrefixIndex& index,
-                                              const Inputs& inputs, RandomSource& random) {
+  /// Scores the holders of the longest prefixes and some random engines, or all engines when they are few.
+  static std::vector<CandidateEstimate> scoreCandidates(const std::vector<const EngineView*>& eligible,
+                                                        const RoutingSnapshot& snapshot,
+                                                        const PrefixIndex& index,
+                                                        const DecisionInputs& inputs, RandomSource& random) {
     std::vector<CandidateEstimate> candidates;
-    std::vector<EngineSlot> weighed;
+    std::vector<EngineSlot> scored;
     const auto add = [&](const EngineView& engine, std::uint32_t blocks) {
-      if (std::find(weighed.begin(), weighed.end(), engine.slot) != weighed.end()) return;
-      weighed.push_back(engine.slot);
+      if (std::find(scored.begin(), scored.end(), engine.slot) != scored.end()) return;
+      scored.push_back(engine.slot);
       candidates.push_back(estimate(engine, blocks, inputs));
     };
     for (const PrefixMatch& match : index.match(inputs.request.blocks, inputs.now)) {
-      if (candidates.size() >= kPrefixCandidates) break;
+      if (candidates.size() >= kMaxPrefixCandidates) break;
       const EngineView* engine = snapshot.engine(match.engine);
       if (engine != nullptr && isEligible(eligible, match.engine)) add(*engine, match.blocks);
     }
-    if (eligible.size() <= kWeighAllBelow) {
+    if (eligible.size() <= kMaxEnginesToScoreAll) {
       for (const EngineView* engine : eligible) add(*engine, 0);
       return candidates;
     }
@@ -115,10 +117,10 @@
   }
 
   static bool isEligible(const std::vector<const EngineView*>& eligible, EngineSlot slot) {
-    const auto place =
+    const auto found =
         std::lower_bound(eligible.begin(), eligible.end(), slot,
-                         [](const EngineView* engine, EngineSlot wanted) { return engine->slot < wanted; });
-    return place != eligible.end() && (*place)->slot == slot;
+                         [](const EngineView* engine, EngineSlot target) { return engine->slot < target; });
+    return found != eligible.end() && (*found)->slot == slot;
   }
 };
 
--- a/sim/experiment/report.cc
+++ b/sim/experiment/report.cc
@@ -9,8 +9,8 @@
 namespace crankspur::experiment {
 namespace {
 
-constexpr const char* kProductPolicy = "cost";
-/// Recovery time that stands for a run that did not recover, seconds.
+constexpr const char* kReferencePolicy = "cost";
+/// Recovery time reported for a run that did not recover, in seconds.
 constexpr double kNotRecoveredSeconds = 99;
 
 const ResultRow* findRow(const std::vector<ResultRow>& rows, const std::string& policy, std::uint64_t seed) {
@@ -38,14 +38,14 @@
 }
 
 void countWins(const std::vector<ResultRow>& rows, const ResultRow& row, PolicySummary& summary) {
-  const ResultRow* product = findRow(rows, kProductPolicy, row.seed);
-  if (product == nullptr) return;
-  summary.hit_wins += product->measures.reuse_rate > row.measures.reuse_rate ? 1 : 0;
-  summary.wasted_wins += product->measures.wasted_per_request < row.measures.wasted_per_request ? 1 : 0;
-  summary.p95_wins += product->measures.p95_ms < row.measures.p95_ms ? 1 : 0;
+  const ResultRow* reference = findRow(rows, kReferencePolicy, row.seed);
+  if (reference == nullptr) return;
+  summary.reuse_wins += reference->measures.reuse_rate > row.measures.reuse_rate ? 1 : 0;
+  summary.wasted_wins += reference->measures.wasted_per_request < row.measures.wasted_per_request ? 1 : 0;
+  summary.p95_wins += reference->measures.p95_ms < row.measures.p95_ms ? 1 : 0;
 }
 
-void divide(PolicySummary& summary) {
+void convertSumsToMeans(PolicySummary& summary) {
   const double seeds = summary.seeds;
   for (double* value :
        {&summary.hit_rate, &summary.reuse_rate, &summary.wasted, &summary.recomputed, &summary.p50_ms,
@@ -56,25 +56,25 @@
 
 double worstTenantRatio(const std::vector<ResultRow>& rows, const std::string& policy) {
   std::map<std::size_t, std::vector<double>> noisy;
-  std::map<std::size_t, std::vector<double>> quiet;
+  std::map<std::size_t, std::vector<double>> baseline;
   for (const ResultRow& row : rows) {
     if (row.policy != policy) continue;
-    for (std::size_t tenant = 0; tenant < row.quiet_first_token_ms.size(); ++tenant) {
-      const std::vector<double>& with = row.measures.tenant_first_token_ms[tenant];
-      const std::vector<double>& without = row.quiet_first_token_ms[tenant];
-      noisy[tenant].insert(noisy[tenant].end(), with.begin(), with.end());
-      quiet[tenant].insert(quiet[tenant].end(), without.begin(), without.end());
+    for (std::size_t tenant = 0; tenant < row.baseline_first_token_ms.size(); ++tenant) {
+      const std::vector<double>& with_noisy = row.measures.tenant_first_token_ms[tenant];
+      const std::vector<double>& without_noisy = row.baseline_first_token_ms[tenant];
+      noisy[tenant].insert(noisy[tenant].end(), with_noisy.begin(), with_noisy.end());
+      baseline[tenant].insert(baseline[tenant].end(), without_noisy.begin(), without_noisy.end());
     }
   }
   double worst = 0;
-  for (const auto& [tenant, values] : quiet) {
+  for (const auto& [tenant, values] : baseline) {
     if (tenant == kNoisyTenant || values.empty()) continue;
     worst = std::max(worst, quantileOf(noisy[tenant], 0.95) / quantileOf(values, 0.95));
   }
   return worst;
 }
 
-/// One row of bars of the plot.
+/// One bar chart of the plot.
 struct Panel {
   std::string title;
   std::function<double(const PolicySummary&)> value;
@@ -93,7 +93,7 @@
     out << fmt::format("<text x=\"10\" y=\"{}\">{}</text>", y + 13, summary.policy);
     out << fmt::format("<rect x=\"{}\" y=\"{}\" width=\"{:.1f}\" height=\"{}\" fill=\"{}\"/>", kLeft, y,
                        value / largest * kWidth, kBarHeight - 4,
-                       summary.policy == kProductPolicy ? "#1f77b4" : "#bbbbbb");
+                       summary.policy == kReferencePolicy ? "#1f77b4" : "#bbbbbb");
     out << fmt::format("<text x=\"{:.1f}\" y=\"{}\">{:.4g}</text>\n", kLeft + value / largest * kWidth + 6,
                        y + 13, value);
     y += kBarHeight;
@@ -105,18 +105,18 @@
 std::vector<PolicySummary> summarize(const std::vector<ResultRow>& rows) {
   std::vector<PolicySummary> summaries;
   for (const ResultRow& row : rows) {
-    auto place = std::find_if(summaries.begin(), summaries.end(),
+    auto entry = std::find_if(summaries.begin(), summaries.end(),
                               [&](const PolicySummary& summary) { return summary.policy == row.policy; });
-    if (place == summaries.end()) {
+    if (entry == summaries.end()) {
       summaries.push_back({});
-      place = summaries.end() - 1;
-      place->policy = row.policy;
+      entry = summaries.end() - 1;
+      entry->policy = row.policy;
     }
-    addRow(row, *place);
-    countWins(rows, row, *place);
+    addRow(row, *entry);
+    countWins(rows, row, *entry);
   }
   for (PolicySummary& summary : summaries) {
-    divide(summary);
+    convertSumsToMeans(summary);
     summary.worst_tenant_ratio = worstTenantRatio(rows, summary.policy);
   }
   return summaries;
@@ -133,7 +133,7 @@
         summary.policy, summary.hit_rate, summary.reuse_rate, summary.wasted, summary.recomputed,
         summary.p50_ms, summary.p95_ms, summary.p99_ms, summary.refused, summary.missed,
         summary.worst_tenant_ratio, summary.recovery_seconds, summary.worst_recovery_seconds,
-        summary.hit_wins, summary.wasted_wins, summary.p95_wins, summary.seeds);
+        summary.reuse_wins, summary.wasted_wins, summary.p95_wins, summary.seeds);
   }
 }
 
--- a/sim/experiment/report.h
+++ b/sim/experiment/report.h
@@ -9,7 +9,7 @@
 
 namespace crankspur::experiment {
 
-/// One run's figures beside what was run.
+/// Parameters and measures of one run.
 struct ResultRow {
   std::string site;
   std::string faults;
@@ -18,10 +18,10 @@
   double load = 1;
   Measures measures;
   std::vector<std::vector<double>>
-      quiet_first_token_ms;  ///< By tenant, without the noisy one; empty: not run.
+      baseline_first_token_ms;  ///< By tenant, from the run without the noisy tenant; empty: not run.
 };
 
-/// A policy's figures over all seeds, beside those of the clairvoyant policy.
+/// Mean measures of a policy over all seeds, and comparisons with the policy `cost`.
 struct PolicySummary {
   std::string policy;
   double hit_rate = 0;
@@ -33,22 +33,23 @@
   double p99_ms = 0;
   double refused = 0;
   double missed = 0;
-  /// Highest p95 of a tenant over its p95 without the noisy one, all seeds pooled, the noisy one left out.
+  /// Maximum over the other tenants of the ratio of a tenant's p95 with the noisy tenant to its p95 without,
+  /// all seeds pooled.
   double worst_tenant_ratio = 0;
-  double recovery_seconds = 0;  ///< Mean; a run that does not recover counts as its remaining length.
+  double recovery_seconds = 0;  ///< Mean; a run that does not recover counts as 99 s.
   double worst_recovery_seconds = 0;
   std::uint32_t seeds = 0;
-  std::uint32_t hit_wins = 0;     ///< Seeds on which `cost` has the higher reuse rate than this policy.
-  std::uint32_t wasted_wins = 0;  ///< Seeds on which `cost` wastes less per request.
-  std::uint32_t p95_wins = 0;     ///< Seeds on which `cost` has the lower p95.
+  std::uint32_t reuse_wins = 0;   ///< Seeds for which `cost` has the higher reuse rate than this policy.
+  std::uint32_t wasted_wins = 0;  ///< Seeds for which `cost` wastes less per request.
+  std::uint32_t p95_wins = 0;     ///< Seeds for which `cost` has the lower p95.
 };
 
-/// @return means over seeds by policy, in the order of first appearance.
+/// @return mean measures by policy, in the order of first appearance.
 std::vector<PolicySummary> summarize(const std::vector<ResultRow>& rows);
 
 void writeTable(std::ostream& out, const std::vector<PolicySummary>& summaries);
 void writeCsv(std::ostream& out, const std::vector<ResultRow>& rows);
-/// Bars by policy of reuse rate, wasted tokens and p95 time to first token.
+/// Draws bar charts by policy of reuse rate, wasted tokens, p95 time to first token and missed deadlines.
 void writeSvg(std::ostream& out, const std::string& title, const std::vector<PolicySummary>& summaries);
 
 }  // namespace crankspur::experiment
--- a/sim/experiment/run.cc
+++ b/sim/experiment/run.cc
@@ -7,23 +7,24 @@
 #include <stdexcept>
 
 #include "base/hash.h"
-#include "sim/experiment/yardsticks.h"
+#include "sim/experiment/baseline_policies.h"
 
 namespace crankspur::experiment {
 namespace {
 
 constexpr Duration kCrashInterval = std::chrono::seconds(5);
-constexpr Duration kCrashDown = std::chrono::milliseconds(1500);
+constexpr Duration kCrashDowntime = std::chrono::milliseconds(1500);
 constexpr Duration kLateEventDelay = std::chrono::milliseconds(800);
 constexpr double kGapProbability = 0.05;
-/// Time after the last arrival in which answers may end.
-constexpr Duration kRunOut = std::chrono::seconds(20);
-/// A sidecar skips routers that hold more than this factor of their fair share of its requests.
+/// Time after the last arrival in which requests may finish.
+constexpr Duration kDrainTime = std::chrono::seconds(20);
+/// Load bound of the rendezvous hash: a sidecar skips routers that hold more than this factor of their fair
+/// share of its requests.
 constexpr double kLoadBound = 1.25;
-/// Requests that a sidecar may have at a router whatever the others hold.
-constexpr std::uint32_t kUnboundedInFlight = 64;
+/// Requests that a sidecar may always have in flight at a router, whatever the load of the others.
+constexpr std::uint32_t kMinInFlightBound = 64;
 
-Site siteUnderFaults(const RunOptions& options) {
+Site applyFaults(const RunOptions& options) {
   Site site = options.site;
   if (options.faults.gaps) {
     site.timings.event_delay = kLateEventDelay;
@@ -53,56 +54,58 @@
   return bundle;
 }
 
-/// Caller-side process: picks a router of its zone by rendezvous hashing with bounded load.
+/// Caller-side process: selects a router by rendezvous hashing with bounded load.
 class ExperimentSidecar {
 public:
   ExperimentSidecar(std::uint32_t zone, RouterChoice choice,
                     const std::vector<std::unique_ptr<ExperimentRouter>>& routers)
       : zone_(zone) {
     for (const auto& router : routers) {
-      if (choice != RouterChoice::ZoneHead || router->zone() == zone) choices_.push_back({router.get(), 0});
+      if (choice != RouterChoice::ZoneHead || router->zone() == zone)
+        candidates_.push_back({router.get(), 0});
     }
   }
-  /// @return index of the router for a request; counts it as in flight.
+  /// @return index of the router selected for a request, which is counted as in flight there until release().
   std::size_t choose(std::uint64_t key) {
     const auto fair_bound = static_cast<std::uint32_t>(
-        std::ceil(kLoadBound * (in_flight_ + 1) / static_cast<double>(choices_.size())));
-    const std::uint32_t bound = std::max(fair_bound, kUnboundedInFlight);
-    std::size_t best = choices_.size();
+        std::ceil(kLoadBound * (in_flight_ + 1) / static_cast<double>(candidates_.size())));
+    const std::uint32_t bound = std::max(fair_bound, kMinInFlightBound);
+    std::size_t best = candidates_.size();
     std::uint64_t best_score = 0;
-    for (std::size_t index = 0; index < choices_.size(); ++index) {
+    for (std::size_t index = 0; index < candidates_.size(); ++index) {
       const std::uint64_t score = combineHashes(key, index);
-      if (choices_[index].in_flight + 1 > bound || (best < choices_.size() && score <= best_score)) continue;
+      if (candidates_[index].in_flight + 1 > bound || (best < candidates_.size() && score <= best_score))
+        continue;
       best = index;
       best_score = score;
     }
-    ++choices_[best].in_flight;
+    ++candidates_[best].in_flight;
     ++in_flight_;
     return best;
   }
-  void done(std::size_t index) {
-    --choices_[index].in_flight;
+  void release(std::size_t index) {
+    --candidates_[index].in_flight;
     --in_flight_;
   }
   std::uint32_t zone() const { return zone_; }
-  ExperimentRouter& router(std::size_t index) { return *choices_[index].router; }
+  ExperimentRouter& router(std::size_t index) { return *candidates_[index].router; }
 
 private:
-  struct Choice {
+  struct Candidate {
     ExperimentRouter* router;
     std::uint32_t in_flight;
   };
   std::uint32_t zone_;
-  std::vector<Choice> choices_;
+  std::vector<Candidate> candidates_;
   std::uint32_t in_flight_ = 0;
 };
 
-class Runner {
+class ExperimentRun {
 public:
-  explicit Runner(const RunOptions& options)
+  explicit ExperimentRun(const RunOptions& options)
       : options_(options),
         router_choice_(options.policy == "previous" ? RouterChoice::ZoneHead : options.router_choice),
-        site_(siteUnderFaults(options)),
+        site_(applyFaults(options)),
         fleet_(site_, queue_, options.seed),
         random_(combineHashes(options.seed, 77)),
         start_(queue_.now()) {
@@ -124,7 +127,7 @@
     outcomes_.resize(arrivals.size());
     for (std::size_t index = 0; index < arrivals.size(); ++index) schedule(arrivals[index], index);
     if (options_.faults.crash) scheduleCrash();
-    queue_.runUntil(start_ + options_.length + kRunOut);
+    queue_.runUntil(start_ + options_.length + kDrainTime);
     return std::move(outcomes_);
   }
 
@@ -140,10 +143,10 @@
   }
 
   void schedule(const Arrival& arrival, std::size_t index) {
-    queue_.at(start_ + arrival.at, [this, arrival, index] { arrive(arrival, index); });
+    queue_.at(start_ + arrival.at, [this, arrival, index] { onArrival(arrival, index); });
   }
 
-  void arrive(const Arrival& arrival, std::size_t index) {
+  void onArrival(const Arrival& arrival, std::size_t index) {
     auto request = std::make_shared<ActiveRequest>();
     request->arrival = arrival;
     request->prompt = promptText(arrival);
@@ -163,7 +166,7 @@
     request->admission.tenant = placement.tenant;
     ExperimentSidecar& sidecar = sidecars_[random_.uniform(0, sidecars_.size() - 1)];
     const std::size_t choice = sidecar.choose(routingKey(arrival));
-    request->on_done = [&sidecar, choice] { sidecar.done(choice); };
+    request->on_done = [&sidecar, choice] { sidecar.release(choice); };
     ExperimentRouter& router = sidecar.router(choice);
     request->client_delay = site_.delay_to_client + fleet_.delay(sidecar.zone(), router.zone());
     queue_.after(request->client_delay, [request, &router] { router.submit(request); });
@@ -175,16 +178,16 @@
   }
 
   void scheduleCrash() {
-    const Duration wait(random_.uniform(kCrashInterval.count() / 2, kCrashInterval.count() * 3 / 2));
-    queue_.after(wait, [this] {
+    const Duration interval(random_.uniform(kCrashInterval.count() / 2, kCrashInterval.count() * 3 / 2));
+    queue_.after(interval, [this] {
       if (queue_.now() - start_ >= options_.length) return;
-      fleet_.crash(static_cast<EngineSlot>(random_.uniform(0, site_.engines - 1)), kCrashDown);
+      fleet_.crash(static_cast<EngineSlot>(random_.uniform(0, site_.engines - 1)), kCrashDowntime);
       scheduleCrash();
     });
   }
 
   const RunOptions& options_;
-  RouterChoice router_choice_;  ///< The previous version chose by the prompt's head in the own zone.
+  RouterChoice router_choice_;  ///< ZoneHead with the policy "previous", as in the first version.
   Site site_;
   sim::EventQueue queue_;
   Fleet fleet_;
@@ -198,7 +201,7 @@
 }  // namespace
 
 std::vector<RequestOutcome> run(const RunOptions& options) {
-  return Runner(options).run();
+  return ExperimentRun(options).run();
 }
 
 }  // namespace crankspur::experiment
--- a/sim/experiment/run.h
+++ b/sim/experiment/run.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file One run: a site, a workload, a policy and faults, from one seed.
+/// @file One experiment run: a site, a workload, a policy and faults, all derived from one seed.
 
 #include <string>
 #include <vector>
@@ -10,21 +10,22 @@
 
 namespace crankspur::experiment {
 
-/// Faults of a run.
+/// Faults injected into a run.
 struct FaultPlan {
-  bool crash = false;  ///< An engine crashes empty every few seconds.
-  bool shift = false;  ///< The largest tenant's texts change at half time.
-  bool gaps = false;   ///< Cache events are lost and late.
+  bool crash = false;  ///< Every few seconds an engine crashes and loses its cache.
+  bool shift = false;  ///< The largest tenant's prompts change halfway between warm-up and end.
+  bool gaps = false;   ///< Some cache events are lost, the others delayed.
 };
 
-/// How sidecars choose a router.
+/// How sidecars select a router.
 enum class RouterChoice {
-  ZoneHead,     ///< By the prompt's head over the routers of the own zone.
-  RegionHead,   ///< By the prompt's head over all routers.
-  RegionModel,  ///< By the model over all routers: one router places a model's requests up to a bound.
+  ZoneHead,     ///< By the head of the prompt, among the routers of the sidecar's zone.
+  RegionHead,   ///< By the head of the prompt, among all routers.
+  RegionModel,  ///< By the model, among all routers: one router places a model's requests up to the load
+                ///< bound.
 };
 
-/// What to run.
+/// Parameters of a run.
 struct RunOptions {
   Site site;
   std::string policy;
@@ -38,7 +39,7 @@
   std::vector<Arrival> workload;  ///< Empty: generated from the seed.
 };
 
-/// @return when the hot-prefix shift of a run happens.
+/// @return the time of the hot-prefix shift since the start of the run.
 inline Duration shiftTime(const RunOptions& options) {
   return options.warm_up + (options.length - options.warm_up) / 2;
 }
--- a/sim/experiment/site.cc
+++ b/sim/experiment/site.cc
@@ -62,7 +62,7 @@
   return site;
 }
 
-/// One zone of eleven of the two-year plan: its engines, its routers and its share of the requests.
+/// One of the eleven zones of the two-year plan, with its engines, routers and share of the requests.
 Site twoYear() {
   Site site = partsDesk();
   site.name = "two_year";
--- a/sim/experiment/workload.cc
+++ b/sim/experiment/workload.cc
@@ -10,7 +10,7 @@
 namespace crankspur::experiment {
 namespace {
 
-/// Draws 0..count-1 with probabilities in proportion to 1 / (rank + 1)^exponent.
+/// Zipf distribution over 0..count-1: probabilities are proportional to 1 / (rank + 1)^exponent.
 class ZipfDistribution {
 public:
   ZipfDistribution(std::uint32_t count, double exponent) {
@@ -22,9 +22,9 @@
   }
   std::uint32_t draw(RandomSource& random) const {
     const double point = random.unit() * cumulative_.back();
-    const auto place = std::upper_bound(cumulative_.begin(), cumulative_.end(), point);
+    const auto found = std::upper_bound(cumulative_.begin(), cumulative_.end(), point);
     return static_cast<std::uint32_t>(std::min<std::ptrdiff_t>(
-        place - cumulative_.begin(), static_cast<std::ptrdiff_t>(cumulative_.size()) - 1));
+        found - cumulative_.begin(), static_cast<std::ptrdiff_t>(cumulative_.size()) - 1));
   }
   double share(std::uint32_t rank) const {
     return (cumulative_[rank] - (rank == 0 ? 0 : cumulative_[rank - 1])) / cumulative_.back();
@@ -34,19 +34,20 @@
   std::vector<double> cumulative_;
 };
 
-/// Kinds of text; part of a segment's number.
+/// Kinds of prompt text; hashed into the ID of a segment.
 enum class TextKind : std::uint64_t { Catalogue = 1, Rules = 2, Question = 3 };
 
-/// @return a text whose length is its own, between half and one and a half times the mean.
-PromptSegment textOf(TextKind kind, std::uint64_t owner, std::uint64_t number, std::uint32_t mean_tokens) {
+/// @return a segment whose length is derived from its ID, between 0.5 and 1.5 times the mean.
+PromptSegment makeSegment(TextKind kind, std::uint64_t owner, std::uint64_t number,
+                          std::uint32_t mean_tokens) {
   const std::uint64_t id = combineHashes(combineHashes(static_cast<std::uint64_t>(kind), owner), number);
   const double factor = 0.5 + static_cast<double>(id % 1024) / 1024.0;
   return {id, std::max<std::uint32_t>(1, static_cast<std::uint32_t>(mean_tokens * factor))};
 }
 
-class Generator {
+class WorkloadGenerator {
 public:
-  Generator(const Site& site, const WorkloadOptions& options)
+  WorkloadGenerator(const Site& site, const WorkloadOptions& options)
       : shape_(site.shape),
         options_(options),
         rate_(site.requests_per_second * options.load),
@@ -63,20 +64,20 @@
   }
 
 private:
-  bool shifted(std::uint32_t tenant, Duration at) const {
+  bool isShifted(std::uint32_t tenant, Duration at) const {
     return tenant == 0 && options_.shift_at && at >= *options_.shift_at;
   }
 
   void generateTenant(std::uint32_t tenant) {
-    // Follow-ups come on top, so first requests are fewer.
+    // The rate includes follow-ups, so the rate of initial requests is lower.
     const double first_share = 1.0 / (1.0 + (1 - shape_.short_chance) * shape_.follow_up_chance);
     double rate = rate_ * tenants_.share(tenant) * first_share;
     if (tenant == kNoisyTenant) rate *= options_.noisy_factor;
-    // Each tenant has its own source, so that its requests do not depend on what others send.
+    // Each tenant has its own random source, so that its requests do not depend on those of other tenants.
     random_ = RandomSource(combineHashes(options_.seed, tenant));
     double seconds = 0;
     while (true) {
-      const double factor = shifted(tenant, Duration(static_cast<std::int64_t>(seconds * 1e6))) ? 2.0 : 1.0;
+      const double factor = isShifted(tenant, Duration(static_cast<std::int64_t>(seconds * 1e6))) ? 2.0 : 1.0;
       seconds += random_.exponential(1.0 / (rate * factor));
       const Duration at(static_cast<std::int64_t>(seconds * 1e6));
       if (at >= options_.length) return;
@@ -88,14 +89,14 @@
     Arrival arrival;
     arrival.at = at;
     arrival.tenant = tenant;
-    const std::uint64_t version = shifted(tenant, at) ? 2 : 1;
+    const std::uint64_t version = isShifted(tenant, at) ? 2 : 1;
     const std::uint64_t catalogue =
         combineHashes(std::uint64_t{tenant} * 16 + version, catalogues_.draw(random_));
-    arrival.segments.push_back(textOf(TextKind::Catalogue, catalogue, 0, shape_.catalogue_tokens));
+    arrival.segments.push_back(makeSegment(TextKind::Catalogue, catalogue, 0, shape_.catalogue_tokens));
     const bool short_question = random_.chance(shape_.short_chance);
     if (!short_question) {
       arrival.segments.push_back(
-          textOf(TextKind::Rules, catalogue, rules_.draw(random_), shape_.rules_tokens));
+          makeSegment(TextKind::Rules, catalogue, rules_.draw(random_), shape_.rules_tokens));
     }
     arrival.max_tokens = short_question ? shape_.short_answer_tokens : shape_.answer_tokens;
     addQuestion(arrival, short_question ? shape_.short_tokens : shape_.question_tokens);
@@ -111,7 +112,7 @@
   }
 
   void addQuestion(Arrival& arrival, std::uint32_t mean_tokens) {
-    arrival.segments.push_back(textOf(TextKind::Question, random_.bits(), 0, mean_tokens));
+    arrival.segments.push_back(makeSegment(TextKind::Question, random_.bits(), 0, mean_tokens));
   }
 
   const WorkloadShape& shape_;
@@ -156,7 +157,7 @@
 }  // namespace
 
 std::vector<Arrival> generateWorkload(const Site& site, const WorkloadOptions& options) {
-  return Generator(site, options).generate();
+  return WorkloadGenerator(site, options).generate();
 }
 
 std::string promptText(const Arrival& arrival) {
--- a/tests/unit/experiment/experiment_test.cc
+++ b/tests/unit/experiment/experiment_test.cc
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-TEST_CASE("a workload read back from a file is the one written", "[experiment]") {
+TEST_CASE("a workload written to a file is read back unchanged", "[experiment]") {
   WorkloadOptions options;
   options.length = 5s;
   options.shift_at = 2s;
@@ -46,36 +46,36 @@
   }
 }
 
-TEST_CASE("a tenant's requests do not depend on what another sends", "[experiment]") {
+TEST_CASE("requests of a tenant do not depend on the rate of another", "[experiment]") {
   WorkloadOptions quiet;
   quiet.length = 5s;
   WorkloadOptions noisy = quiet;
   noisy.noisy_factor = 10;
-  const auto of = [](const WorkloadOptions& options, std::uint32_t tenant) {
+  const auto promptsOf = [](const WorkloadOptions& options, std::uint32_t tenant) {
     std::vector<std::string> prompts;
     for (const Arrival& arrival : generateWorkload(*findSite("tallow_creek"), options)) {
       if (arrival.tenant == tenant) prompts.push_back(promptText(arrival));
     }
     return prompts;
   };
-  CHECK(of(quiet, 5) == of(noisy, 5));
-  CHECK(of(noisy, kNoisyTenant).size() > 4 * of(quiet, kNoisyTenant).size());
+  CHECK(promptsOf(quiet, 5) == promptsOf(noisy, 5));
+  CHECK(promptsOf(noisy, kNoisyTenant).size() > 4 * promptsOf(quiet, kNoisyTenant).size());
 }
 
-TEST_CASE("one seed gives one run, and the product's policy beats round robin", "[experiment]") {
+TEST_CASE("a run is reproducible from its seed, and the cost policy beats round robin", "[experiment]") {
   const RunOptions options = shortRun("cost");
   const Measures first = measure(options, run(options));
   const Measures second = measure(options, run(options));
   CHECK(first.p95_ms == second.p95_ms);
   CHECK(first.hit_rate == second.hit_rate);
   CHECK(first.refused_share == 0);
-  const RunOptions other = shortRun("round_robin");
-  const Measures round_robin = measure(other, run(other));
+  const RunOptions round_robin_options = shortRun("round_robin");
+  const Measures round_robin = measure(round_robin_options, run(round_robin_options));
   CHECK(first.reuse_rate > round_robin.reuse_rate);
   CHECK(first.wasted_per_request < round_robin.wasted_per_request);
 }
 
-TEST_CASE("quantiles are those of the nearest rank", "[experiment]") {
+TEST_CASE("quantiles use the nearest-rank method", "[experiment]") {
   CHECK(quantileOf({}, 0.5) == 0);
   CHECK(quantileOf({3, 1, 2}, 0.5) == 2);
   CHECK(quantileOf({4, 3, 2, 1}, 0.95) == 4);
