--- a/sim/check/checkers_requests.cc
+++ b/sim/check/checkers_requests.cc
@@ -8,7 +8,7 @@
 
 #include "sim/check/checkers.h"
 #include "sim/world/bundle_maker.h"
-#include "standins/engine/answer_text.h"
+#include "standins/engine/completion_text.h"
 
 namespace crankspur::sim {
 
@@ -50,8 +50,8 @@
 
 bool agrees(const CallerRecord& caller, const std::string& weights) {
   const SubmitRequest& request = caller.request;
-  const standin::ExpectedAnswer expected =
-      standin::expectedAnswer(request.model, weights, request.adapter, request.prompt, request.max_tokens);
+  const standin::ExpectedCompletion expected = standin::expectedCompletion(
+      request.model, weights, request.adapter, request.prompt, request.max_tokens);
   if (caller.end) {
     return caller.text == expected.text && caller.tokens == expected.token_count &&
            caller.end->token_count == expected.token_count;
--- a/sim/experiment/engine_host.cc
+++ b/sim/experiment/engine_host.cc
@@ -7,7 +7,7 @@
 bool endsStream(const standin::StreamEvent& event) {
   return std::holds_alternative<standin::StreamRefused>(event) ||
          std::holds_alternative<standin::StreamFinished>(event) ||
-         std::holds_alternative<standin::StreamCut>(event);
+         std::holds_alternative<standin::StreamAborted>(event);
 }
 
 }  // namespace
@@ -23,7 +23,7 @@
 
 void EngineHost::submit(const standin::CompletionRequest& request, const StreamHandler& handler) {
   if (!up()) {
-    handler(standin::StreamCut{});
+    handler(standin::StreamAborted{});
     return;
   }
   const standin::StreamId stream = next_stream_++;
@@ -32,9 +32,9 @@
   pump();
 }
 
-void EngineHost::importAnswered(const std::string& request_id, std::uint32_t attempt, std::uint32_t held,
-                                std::uint64_t source_incarnation) {
-  model_.importAnswered(request_id, attempt, held, source_incarnation, queue_.now());
+void EngineHost::onImportResponse(const std::string& request_id, std::uint32_t attempt, std::uint32_t held,
+                                  std::uint64_t source_incarnation) {
+  model_.onImportResponse(request_id, attempt, held, source_incarnation, queue_.now());
   pump();
 }
 
--- a/sim/experiment/engine_host.h
+++ b/sim/experiment/engine_host.h
@@ -26,8 +26,8 @@
   void setImportResolver(ImportResolver resolver) { resolve_import_ = std::move(resolver); }
   /// Submits a request. A down engine cuts the stream without an event before it.
   void submit(const standin::CompletionRequest& request, const StreamHandler& handler);
-  void importAnswered(const std::string& request_id, std::uint32_t attempt, std::uint32_t held,
-                      std::uint64_t source_incarnation);
+  void onImportResponse(const std::string& request_id, std::uint32_t attempt, std::uint32_t held,
+                        std::uint64_t source_incarnation);
   /// Cuts every stream, loses the cache and stays down for `down`.
   void crash(Duration down);
   /// Stops all progress for `length`; streams stay open.
--- a/sim/experiment/experiment_router.cc
+++ b/sim/experiment/experiment_router.cc
@@ -199,7 +199,7 @@
   sent_.add(decision.engine, request->dispatch, uncached, queue_.now());
   WorkLedger& ledger = fleet_.ledger(decision.engine);
   const std::uint32_t planned = ledger.plannedPrefix(
-      request->blocks, fleet_.engine(decision.engine).model().heldPrefix(request->blocks));
+      request->blocks, fleet_.engine(decision.engine).model().cachedPrefixLength(request->blocks));
   const std::uint32_t reused = std::max(planned, decision.import_blocks);
   const std::uint32_t left =
       request->placement.prompt_tokens -
--- a/sim/experiment/fleet.cc
+++ b/sim/experiment/fleet.cc
@@ -57,7 +57,7 @@
 std::uint32_t Fleet::longestHeldPrefix(std::span<const BlockHash> blocks) const {
   std::uint32_t longest = 0;
   for (const auto& engine : engines_) {
-    if (engine->up()) longest = std::max(longest, engine->model().heldPrefix(blocks));
+    if (engine->up()) longest = std::max(longest, engine->model().cachedPrefixLength(blocks));
   }
   return longest;
 }
@@ -73,10 +73,10 @@
     const Duration one_way = delay(target.zone(), source->zone());
     queue_.after(one_way, [this, &target, source = source.get(), query, one_way] {
       if (!source->up() || source->frozen()) return;
-      const std::uint32_t held = source->model().heldPrefix(query.blocks);
+      const std::uint32_t held = source->model().cachedPrefixLength(query.blocks);
       const std::uint64_t incarnation = source->model().incarnation();
       queue_.after(one_way, [&target, query, held, incarnation] {
-        target.importAnswered(query.request_id, query.attempt, held, incarnation);
+        target.onImportResponse(query.request_id, query.attempt, held, incarnation);
       });
     });
     return;
--- a/sim/experiment/yardsticks.cc
+++ b/sim/experiment/yardsticks.cc
@@ -56,7 +56,7 @@
     if (!imports_) return source;
     for (const auto& engine : fleet_.engines()) {
       if (!engine->up() || engine->frozen()) continue;
-      const std::uint32_t held = engine->model().heldPrefix(request.blocks);
+      const std::uint32_t held = engine->model().cachedPrefixLength(request.blocks);
       if (held > source.blocks) source = {engine.get(), held};
     }
     return source;
@@ -76,7 +76,8 @@
     Choice choice;
     CandidateEstimate& estimate = choice.estimate;
     estimate.engine = engine.slot();
-    estimate.cached_blocks = ledger.plannedPrefix(request.blocks, engine.model().heldPrefix(request.blocks));
+    estimate.cached_blocks =
+        ledger.plannedPrefix(request.blocks, engine.model().cachedPrefixLength(request.blocks));
     const auto cached = static_cast<std::uint32_t>(estimate.cached_blocks * kTokensPerBlock);
     const std::uint32_t uncached = std::max(request.prompt_tokens, cached + 1) - cached;
     estimate.prefill = prefillTime(uncached);
--- a/sim/world/engine_node.cc
+++ b/sim/world/engine_node.cc
@@ -25,7 +25,7 @@
   streams_[stream] = {channel, std::move(handler)};
   channel->onClosed(Side::Server, [this, stream] {
     streams_.erase(stream);
-    model_.streamClosed(stream, context_.queue.now());
+    model_.onStreamClosed(stream, context_.queue.now());
     pump();
   });
   return stream;
@@ -129,7 +129,7 @@
     if (const auto* query = std::get_if<standin::ImportQuery>(&output)) {
       const standin::ImportQuery copy = *query;
       host_.post(Duration(0), [this, copy] {
-        model_.importAnswered(copy.request_id, copy.attempt, 0, 0, context_.queue.now());
+        model_.onImportResponse(copy.request_id, copy.attempt, 0, 0, context_.queue.now());
         pump();
       });
     }
@@ -154,7 +154,7 @@
   }
   const bool last = std::holds_alternative<standin::StreamFinished>(output.event) ||
                     std::holds_alternative<standin::StreamRefused>(output.event);
-  const bool cut = std::holds_alternative<standin::StreamCut>(output.event);
+  const bool cut = std::holds_alternative<standin::StreamAborted>(output.event);
   if (!cut) {
     stream.channel->send(Side::Server, [handler = stream.handler, event = output.event] { handler(event); });
   }
@@ -173,7 +173,7 @@
   context_.directory.platform().loadWeights(
       host_, query.model, query.weights_version, [this, query](std::optional<WeightsTransfer> transfer) {
         const auto time = transfer ? std::optional(transfer->duration) : std::nullopt;
-        model_.weightsAnswered(query.model, query.weights_version, time, context_.queue.now());
+        model_.onWeightsResponse(query.model, query.weights_version, time, context_.queue.now());
         pump();
       });
 }
--- a/standins/app_runner/app_runner_model.cc
+++ b/standins/app_runner/app_runner_model.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Incarnations stay below 2^53, so that every JSON reader keeps them exact.
-constexpr std::uint64_t kHighestIncarnation = (std::uint64_t{1} << 53) - 1;
+/// Incarnations stay below 2^53, so that JSON readers that parse numbers as double keep them exact.
+constexpr std::uint64_t kMaxIncarnation = (std::uint64_t{1} << 53) - 1;
 
 }  // namespace
 
@@ -20,16 +20,17 @@
 }
 
 AppRunnerModel::AppRunnerModel(AppRunnerOptions options, std::uint64_t seed)
-    : options_(std::move(options)), random_(seed), incarnation_(random_.uniform(1, kHighestIncarnation)) {}
+    : options_(std::move(options)), random_(seed), incarnation_(random_.uniform(1, kMaxIncarnation)) {}
 
 void AppRunnerModel::execute(RunnerCallId call, const ExecuteRequest& request, TimePoint now) {
-  if (auto reason = reasonToRefuse(request)) return answer(call, std::move(*reason));
-  if (strikes(requests_to_lose_, options_.lose_request_probability)) return answer(call, ExecutionCut{});
-  const bool lose_answer = strikes(answers_to_lose_, options_.lose_answer_probability);
-  pending_.emplace(now + options_.delay, Pending{call, request, lose_answer});
+  if (auto refusal = findRefusal(request)) return respond(call, std::move(*refusal));
+  if (faultDue(requests_to_lose_, options_.lose_request_probability))
+    return respond(call, ConnectionAborted{});
+  const bool lose_response = faultDue(responses_to_lose_, options_.lose_answer_probability);
+  pending_.emplace(now + options_.delay, Pending{call, request, lose_response});
 }
 
-std::optional<ExecutionRefused> AppRunnerModel::reasonToRefuse(const ExecuteRequest& request) const {
+std::optional<ExecutionRefused> AppRunnerModel::findRefusal(const ExecuteRequest& request) const {
   if (leaving_) return ExecutionRefused{ErrorCode::Stopping, "the runner is leaving"};
   const auto found = std::find(options_.operations.begin(), options_.operations.end(), request.operation);
   if (found == options_.operations.end()) {
@@ -38,16 +39,16 @@
   return std::nullopt;
 }
 
-bool AppRunnerModel::strikes(std::uint32_t& remaining, double probability) {
+bool AppRunnerModel::faultDue(std::uint32_t& remaining, double probability) {
   if (remaining == 0) return random_.chance(probability);
   --remaining;
   return true;
 }
 
 void AppRunnerModel::crash() {
-  for (const auto& [at, pending] : pending_) answer(pending.call, ExecutionCut{});
+  for (const auto& [at, pending] : pending_) respond(pending.call, ConnectionAborted{});
   pending_.clear();
-  incarnation_ = random_.uniform(1, kHighestIncarnation);
+  incarnation_ = random_.uniform(1, kMaxIncarnation);
   leaving_ = false;
   frozen_since_.reset();
 }
@@ -58,10 +59,10 @@
 
 void AppRunnerModel::thaw(TimePoint now) {
   if (!frozen_since_) return;
-  const Duration by = now - *frozen_since_;
+  const Duration frozen_for = now - *frozen_since_;
   frozen_since_.reset();
   std::multimap<TimePoint, Pending> shifted;
-  for (auto& [at, pending] : pending_) shifted.emplace(at + by, std::move(pending));
+  for (auto& [at, pending] : pending_) shifted.emplace(at + frozen_for, std::move(pending));
   pending_ = std::move(shifted);
 }
 
@@ -78,14 +79,14 @@
   const ExecuteRequest& request = pending.request;
   ++total_executions_;
   if (!request.idempotency_key.empty()) ++executions_[{request.tenant, request.idempotency_key}];
-  if (pending.lose_answer) return answer(pending.call, ExecutionCut{});
-  answer(pending.call,
-         ExecutionDone{expectedResult(request.tenant, request.operation, request.body), total_executions_});
+  if (pending.lose_response) return respond(pending.call, ConnectionAborted{});
+  respond(pending.call,
+          ExecutionDone{expectedResult(request.tenant, request.operation, request.body), total_executions_});
 }
 
-void AppRunnerModel::answer(RunnerCallId call,
-                            std::variant<ExecutionDone, ExecutionRefused, ExecutionCut> answer) {
-  outputs_.push_back({call, std::move(answer)});
+void AppRunnerModel::respond(RunnerCallId call,
+                             std::variant<ExecutionDone, ExecutionRefused, ConnectionAborted> response) {
+  outputs_.push_back({call, std::move(response)});
 }
 
 std::optional<TimePoint> AppRunnerModel::nextTimer() const {
--- a/standins/app_runner/app_runner_model.h
+++ b/standins/app_runner/app_runner_model.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file Model of an application runner: executes operations after a delay, counts executions, can lose a
-/// request before or an answer after the effect. Pure state holder. It never deduplicates: that work runs at
-/// most once is crankspur's promise, and the counts judge it.
+/// request before the effect or a response after it. Pure state without I/O. It never deduplicates:
+/// at-most-once execution is the guarantee of crankspur, and tests verify it by the counts.
 
 #include <cstdint>
 #include <map>
@@ -17,7 +17,7 @@
 
 namespace crankspur::standin {
 
-/// Names one call; chosen by the driver.
+/// Identifies one call; chosen by the driver.
 using RunnerCallId = std::uint64_t;
 
 /// Body of POST /v1/execute.
@@ -30,35 +30,35 @@
   std::string body;
 };
 
-/// What the runner is and how it behaves.
+/// Identity, timing and fault injection of one runner.
 struct AppRunnerOptions {
   std::string name;
-  std::vector<std::string> operations;             ///< Others are refused with not_run.
-  Duration delay = std::chrono::milliseconds(20);  ///< From arrival to the effect and the answer.
-  double lose_request_probability = 0;             ///< The connection breaks and nothing runs.
-  double lose_answer_probability = 0;              ///< It runs, then the connection breaks.
+  std::vector<std::string> operations;             ///< All others are refused with not_run.
+  Duration delay = std::chrono::milliseconds(20);  ///< From arrival to the effect and the response.
+  double lose_request_probability = 0;             ///< The connection breaks and the operation does not run.
+  double lose_answer_probability = 0;              ///< The operation runs, then the connection breaks.
 };
 
 /// The operation ran.
 struct ExecutionDone {
   std::string result;
-  std::uint64_t execution = 0;  ///< Number of this execution at the runner, from 1.
+  std::uint64_t execution = 0;  ///< Sequence number of this execution at the runner, from 1.
 };
-/// Nothing ran and nothing will.
+/// The operation did not run and will not run.
 struct ExecutionRefused {
   ErrorCode code = ErrorCode::Internal;
   std::string message;
 };
-/// The connection breaks without an answer.
-struct ExecutionCut {};
+/// The connection breaks without a response.
+struct ConnectionAborted {};
 
-/// Output: the answer to a call.
+/// Output: the response to a call.
 struct RunnerOutput {
   RunnerCallId call = 0;
-  std::variant<ExecutionDone, ExecutionRefused, ExecutionCut> answer;
+  std::variant<ExecutionDone, ExecutionRefused, ConnectionAborted> response;
 };
 
-/// Identity of work that may not be repeated.
+/// Identity of an operation that must run at most once.
 struct ExecutionKey {
   std::string tenant;
   std::string idempotency_key;
@@ -67,38 +67,38 @@
   }
 };
 
-/// @return the result text of an operation: a function of the request's content alone.
+/// @return the result of an operation: a function of the content of the request alone.
 std::string expectedResult(const std::string& tenant, const std::string& operation, const std::string& body);
 
-/// One application runner.
+/// See the file comment. Not thread-safe.
 class AppRunnerModel {
 public:
   AppRunnerModel(AppRunnerOptions options, std::uint64_t seed);
 
   void execute(RunnerCallId call, const ExecuteRequest& request, TimePoint now);
   void startLeaving() { leaving_ = true; }
-  /// The process dies and comes back: calls whose effect is still to come are cut and never run. Counts stay,
-  /// since the effects do.
+  /// The process crashes and restarts: calls whose effect is pending are aborted and never run. The counts
+  /// are kept, since the effects persist.
   void crash();
   void freeze(TimePoint now);
   void thaw(TimePoint now);
   bool frozen() const { return frozen_since_.has_value(); }
 
   void setDelay(Duration delay) { options_.delay = delay; }
-  /// The next `count` calls lose their answer, or their request, for certain.
-  void loseAnswers(std::uint32_t count) { answers_to_lose_ = count; }
+  /// Makes the next `count` calls lose their response or their request.
+  void loseResponses(std::uint32_t count) { responses_to_lose_ = count; }
   void loseRequests(std::uint32_t count) { requests_to_lose_ = count; }
 
   void onTimer(TimePoint now);
   std::optional<TimePoint> nextTimer() const;
-  /// @return outputs in order, taken once.
+  /// @return the outputs since the last call, in order.
   std::vector<RunnerOutput> takeOutputs();
 
   const AppRunnerOptions& options() const { return options_; }
   std::uint64_t incarnation() const { return incarnation_; }
   bool leaving() const { return leaving_; }
   std::size_t inFlight() const { return pending_.size(); }
-  /// @return how often each keyed request ran, keys without an execution left out.
+  /// @return the number of executions by key; keys without an execution are omitted.
   const std::map<ExecutionKey, std::uint64_t>& executions() const { return executions_; }
   std::uint64_t totalExecutions() const { return total_executions_; }
 
@@ -106,23 +106,24 @@
   struct Pending {
     RunnerCallId call = 0;
     ExecuteRequest request;
-    bool lose_answer = false;
+    bool lose_response = false;
   };
 
-  std::optional<ExecutionRefused> reasonToRefuse(const ExecuteRequest& request) const;
-  /// @return whether the next fault counted in `remaining`, or one by chance, strikes.
-  bool strikes(std::uint32_t& remaining, double probability);
+  std::optional<ExecutionRefused> findRefusal(const ExecuteRequest& request) const;
+  /// @return whether to inject a fault: while `remaining` is above 0, always and counting it down; otherwise
+  /// at random.
+  bool faultDue(std::uint32_t& remaining, double probability);
   void run(const Pending& pending);
-  void answer(RunnerCallId call, std::variant<ExecutionDone, ExecutionRefused, ExecutionCut> answer);
+  void respond(RunnerCallId call, std::variant<ExecutionDone, ExecutionRefused, ConnectionAborted> response);
 
   AppRunnerOptions options_;
   RandomSource random_;
   std::uint64_t incarnation_ = 0;
   bool leaving_ = false;
   std::optional<TimePoint> frozen_since_;
-  std::uint32_t answers_to_lose_ = 0;
+  std::uint32_t responses_to_lose_ = 0;
   std::uint32_t requests_to_lose_ = 0;
-  std::multimap<TimePoint, Pending> pending_;  ///< By the instant of the effect.
+  std::multimap<TimePoint, Pending> pending_;  ///< By the time of the effect.
   std::map<ExecutionKey, std::uint64_t> executions_;
   std::uint64_t total_executions_ = 0;
   std::vector<RunnerOutput> outputs_;
--- a/standins/app_runner/app_runner_server.cc
+++ b/standins/app_runner/app_runner_server.cc
@@ -14,8 +14,8 @@
 constexpr int kBadRequest = 400;
 constexpr int kNotFound = 404;
 constexpr int kUnavailable = 503;
-constexpr std::uint64_t kLongestDelayMilliseconds = 3'600'000;
-constexpr Duration kIdleCheck = std::chrono::milliseconds(20);
+constexpr std::uint64_t kMaxDelayMilliseconds = 3'600'000;
+constexpr Duration kIdleCheckInterval = std::chrono::milliseconds(20);
 const char* const kEmptyObject = "{}";
 
 http::Response badRequest(const std::string& message) {
@@ -36,7 +36,7 @@
   return request;
 }
 
-/// Body of POST /control; empty members change nothing.
+/// Body of POST /control; unset members leave the value unchanged.
 struct RunnerControl {
   std::optional<Duration> delay;
   std::optional<std::uint32_t> lose_answers;
@@ -60,7 +60,7 @@
   if (!object) return control;
   const JsonReader reader(*object, problem);
   if (reader.has("delay_ms")) {
-    control.delay = std::chrono::milliseconds(reader.requireUnsigned("delay_ms", kLongestDelayMilliseconds));
+    control.delay = std::chrono::milliseconds(reader.requireUnsigned("delay_ms", kMaxDelayMilliseconds));
   }
   if (reader.has("lose_answers")) control.lose_answers = reader.requireUnsigned32("lose_answers");
   if (reader.has("lose_requests")) control.lose_requests = reader.requireUnsigned32("lose_requests");
@@ -68,7 +68,7 @@
   return control;
 }
 
-http::Response refusalResponse(const ExecutionRefused& refused) {
+http::Response encodeRefusal(const ExecutionRefused& refused) {
   const int status = refused.code == ErrorCode::Stopping ? kUnavailable : kBadRequest;
   http::Response response = http::errorResponse(status, errorName(refused.code), refused.message, "not_run");
   if (status == kUnavailable) response.headers["Retry-After"] = "1";
@@ -92,7 +92,7 @@
 void AppRunnerServer::stop(std::function<void()> on_idle) {
   on_idle_ = std::move(on_idle);
   model_.startLeaving();
-  settle();
+  processOutputs();
 }
 
 void AppRunnerServer::handle(const http::Request& request, const Writer& writer) {
@@ -102,11 +102,11 @@
   } else if (path == "/v1/executions") {
     writer->respond(http::jsonResponse(kOk, encodeExecutions()));
   } else if (model_.frozen()) {
-    held_.push_back({request, writer});
+    buffered_.push_back({request, writer});
   } else {
     dispatch(request, writer);
   }
-  settle();
+  processOutputs();
 }
 
 void AppRunnerServer::dispatch(const http::Request& request, const Writer& writer) {
@@ -120,21 +120,21 @@
 
 void AppRunnerServer::execute(const http::Request& request, const Writer& writer) {
   JsonProblem problem;
-  const ExecuteRequest wanted = decodeExecute(request.body, problem);
+  const ExecuteRequest execution = decodeExecute(request.body, problem);
   if (problem.found()) return writer->respond(badRequest(problem.text()));
   const RunnerCallId call = ++last_call_;
   calls_[call] = writer;
-  model_.execute(call, wanted, clock_.now());
+  model_.execute(call, execution, clock_.now());
 }
 
 void AppRunnerServer::control(const http::Request& request, const Writer& writer) {
   JsonProblem problem;
-  const RunnerControl wanted = decodeControl(request.body, problem);
+  const RunnerControl command = decodeControl(request.body, problem);
   if (problem.found()) return writer->respond(badRequest(problem.text()));
-  if (wanted.delay) model_.setDelay(*wanted.delay);
-  if (wanted.lose_answers) model_.loseAnswers(*wanted.lose_answers);
-  if (wanted.lose_requests) model_.loseRequests(*wanted.lose_requests);
-  apply(wanted.action);
+  if (command.delay) model_.setDelay(*command.delay);
+  if (command.lose_answers) model_.loseResponses(*command.lose_answers);
+  if (command.lose_requests) model_.loseRequests(*command.lose_requests);
+  apply(command.action);
   writer->respond(http::jsonResponse(kOk, kEmptyObject));
 }
 
@@ -144,14 +144,14 @@
       break;
     case RunnerAction::Crash:
       model_.crash();
-      for (const HeldCall& call : std::exchange(held_, {})) call.writer->abort();
+      for (const BufferedRequest& call : std::exchange(buffered_, {})) call.writer->abort();
       break;
     case RunnerAction::Freeze:
       model_.freeze(clock_.now());
       break;
     case RunnerAction::Thaw:
       model_.thaw(clock_.now());
-      for (const HeldCall& call : std::exchange(held_, {})) dispatch(call.request, call.writer);
+      for (const BufferedRequest& call : std::exchange(buffered_, {})) dispatch(call.request, call.writer);
       break;
     case RunnerAction::Leave:
       model_.startLeaving();
@@ -181,28 +181,28 @@
   return boost::json::serialize(body);
 }
 
-void AppRunnerServer::settle() {
+void AppRunnerServer::processOutputs() {
   model_.onTimer(clock_.now());
-  for (const RunnerOutput& output : model_.takeOutputs()) carryOut(output);
+  for (const RunnerOutput& output : model_.takeOutputs()) respond(output);
   timer_.cancel();
   if (const auto due = model_.nextTimer()) {
     expireAt(timer_, *due, clock_.now());
     timer_.async_wait([this](const boost::system::error_code& error) {
-      if (!error) settle();
+      if (!error) processOutputs();
     });
   }
   checkIdle();
 }
 
-void AppRunnerServer::carryOut(const RunnerOutput& output) {
+void AppRunnerServer::respond(const RunnerOutput& output) {
   const auto found = calls_.find(output.call);
   if (found == calls_.end()) return;
   const Writer writer = found->second;
   calls_.erase(found);
-  if (const auto* done = std::get_if<ExecutionDone>(&output.answer)) {
+  if (const auto* done = std::get_if<ExecutionDone>(&output.response)) {
     writer->respond(http::jsonResponse(kOk, encodeDone(*done)));
-  } else if (const auto* refused = std::get_if<ExecutionRefused>(&output.answer)) {
-    writer->respond(refusalResponse(*refused));
+  } else if (const auto* refused = std::get_if<ExecutionRefused>(&output.response)) {
+    writer->respond(encodeRefusal(*refused));
   } else {
     writer->abort();
   }
@@ -211,7 +211,7 @@
 void AppRunnerServer::checkIdle() {
   if (!on_idle_ || model_.inFlight() > 0) return;
   if (server_->openRequests() == 0) return on_idle_();
-  idle_timer_.expires_after(kIdleCheck);
+  idle_timer_.expires_after(kIdleCheckInterval);
   idle_timer_.async_wait([this](const boost::system::error_code& error) {
     if (!error) checkIdle();
   });
--- a/standins/app_runner/app_runner_server.h
+++ b/standins/app_runner/app_runner_server.h
@@ -14,10 +14,10 @@
 
 namespace crankspur::standin {
 
-/// Faults that tests bring about.
+/// Faults that tests inject.
 enum class RunnerAction { None, Crash, Freeze, Thaw, Leave };
 
-/// A listening runner; everything runs on one executor thread.
+/// HTTP server of one runner. Runs on a single executor thread.
 class AppRunnerServer {
 public:
   AppRunnerServer(const boost::asio::any_io_executor& executor, AppRunnerModel& model, const Clock& clock)
@@ -26,12 +26,12 @@
   /// Listens on "IP:port".
   std::error_code start(const std::string& address);
   std::uint16_t port() const { return server_->port(); }
-  /// Takes no new work; calls `on_idle` once the last answer is out.
+  /// Refuses new operations; calls `on_idle` once the last response is sent.
   void stop(std::function<void()> on_idle);
 
 private:
   using Writer = std::shared_ptr<http::ResponseWriter>;
-  struct HeldCall {
+  struct BufferedRequest {
     http::Request request;
     Writer writer;
   };
@@ -43,8 +43,8 @@
   void apply(RunnerAction action);
   std::string encodeRunner() const;
   std::string encodeExecutions() const;
-  void settle();
-  void carryOut(const RunnerOutput& output);
+  void processOutputs();
+  void respond(const RunnerOutput& output);
   void checkIdle();
 
   boost::asio::any_io_executor executor_;
@@ -54,7 +54,7 @@
   boost::asio::steady_timer timer_;
   boost::asio::steady_timer idle_timer_;
   std::map<RunnerCallId, Writer> calls_;
-  std::vector<HeldCall> held_;  ///< Calls that came while the runner was frozen.
+  std::vector<BufferedRequest> buffered_;  ///< Received while the runner was frozen.
   RunnerCallId last_call_ = 0;
   std::function<void()> on_idle_;
 };
--- a/standins/engine/block_cache.cc
+++ b/standins/engine/block_cache.cc
@@ -6,7 +6,7 @@
 
 namespace crankspur::standin {
 
-std::uint32_t BlockCache::heldPrefix(std::span<const BlockHash> blocks) const {
+std::uint32_t BlockCache::cachedPrefixLength(std::span<const BlockHash> blocks) const {
   std::uint32_t held = 0;
   while (held < blocks.size() && entries_.contains(blocks[held])) ++held;
   return held;
@@ -29,7 +29,7 @@
 }
 
 void BlockCache::reserve(std::uint32_t blocks) {
-  makeRoom(blocks);
+  evictToFit(blocks);
   reserved_ += blocks;
 }
 
@@ -40,8 +40,8 @@
 
 void BlockCache::store(BlockHash block, const BlockWriter& writer) {
   releaseReserved(1);
-  const auto [place, inserted] = entries_.try_emplace(block);
-  Entry& entry = place->second;
+  const auto [position, inserted] = entries_.try_emplace(block);
+  Entry& entry = position->second;
   if (inserted) {
     entry.writer = writer;
     stored_.push_back(block);
@@ -93,7 +93,7 @@
   return std::exchange(removed_, {});
 }
 
-void BlockCache::makeRoom(std::uint32_t blocks) {
+void BlockCache::evictToFit(std::uint32_t blocks) {
   while (used() + blocks > capacity_ && !unused_.empty()) {
     erase(unused_.front());
     ++evicted_;
--- a/standins/engine/block_cache.h
+++ b/standins/engine/block_cache.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Memory of the engine stand-in: cached blocks with reference counts and least-recently-used eviction,
-/// and memory reserved by running requests, within one bound.
+/// @file KV memory of the engine stand-in: cached blocks with reference counts and least-recently-used
+/// eviction, and blocks reserved by running requests, within one capacity.
 
 #include <absl/container/flat_hash_map.h>
 
@@ -14,43 +14,43 @@
 
 namespace crankspur::standin {
 
-/// Who computed a cached block.
+/// Origin of a cached block: the scope and the engine incarnation that computed it.
 struct BlockWriter {
   std::shared_ptr<const CacheScope> scope;
   std::uint64_t incarnation = 0;
   bool imported = false;
 };
 
-/// The cache. A block in use (reference count above zero) is never evicted.
+/// Prefix cache of one engine. A block in use (reference count above zero) is never evicted.
 class BlockCache {
 public:
   explicit BlockCache(std::uint32_t capacity) : capacity_(capacity) {}
 
-  /// @return how many leading blocks of `blocks` are cached.
-  std::uint32_t heldPrefix(std::span<const BlockHash> blocks) const;
-  /// @return whether `leading` cached blocks can be taken into use and `others` reserved besides.
+  /// @return the number of leading blocks of `blocks` that are cached.
+  std::uint32_t cachedPrefixLength(std::span<const BlockHash> blocks) const;
+  /// @return whether there is capacity to acquire the cached blocks `leading` and to reserve `others` more.
   bool fits(std::span<const BlockHash> leading, std::uint32_t others) const;
-  /// Takes cached blocks into use.
+  /// Adds a reference to each of these cached blocks.
   void acquire(std::span<const BlockHash> blocks);
-  /// Reserves memory, evicting unused blocks. Call only when it fits.
+  /// Reserves memory, evicting unused blocks. Requires that fits() returned true.
   void reserve(std::uint32_t blocks);
   void releaseReserved(std::uint32_t blocks);
-  /// Turns one reserved block into a cached one in use. If another request has cached it meanwhile, that one
-  /// is taken into use and the reserved block is freed.
+  /// Converts one reserved block into a cached block in use. If another request has cached the same block in
+  /// the meantime, adds a reference to that block and frees the reserved one.
   void store(BlockHash block, const BlockWriter& writer);
-  /// Ends the use of blocks; the last ones will be evicted first.
+  /// Drops a reference to each block. Blocks at the end of the prefix are evicted first.
   void release(std::span<const BlockHash> blocks);
-  /// Forgets unused blocks whose writer had the model. Blocks in use go when they are released.
+  /// Removes the unused blocks computed by the model. Blocks in use are removed when they are released.
   void dropModel(const std::string& model);
 
-  /// @return who computed the block, or nullptr when it is not cached.
+  /// @return the origin of the block, or nullptr if it is not cached.
   const BlockWriter* writer(BlockHash block) const;
   std::vector<BlockHash> blocks() const;
   std::uint32_t used() const { return static_cast<std::uint32_t>(entries_.size()) + reserved_; }
   std::uint32_t capacity() const { return capacity_; }
   std::uint64_t evicted() const { return evicted_; }
 
-  /// @return blocks stored and removed since the last call, in order.
+  /// @return the blocks stored or removed since the last call, in order.
   std::vector<BlockHash> takeStored();
   std::vector<BlockHash> takeRemoved();
 
@@ -59,11 +59,11 @@
   struct Entry {
     BlockWriter writer;
     std::uint32_t references = 0;
-    bool dropped = false;             ///< Goes when no longer in use.
-    RecencyList::iterator recency{};  ///< Valid when references is 0.
+    bool dropped = false;             ///< Removed on the last release.
+    RecencyList::iterator recency{};  ///< Valid only if references is 0.
   };
 
-  void makeRoom(std::uint32_t blocks);
+  void evictToFit(std::uint32_t blocks);
   void erase(BlockHash block);
 
   std::uint32_t capacity_;
--- a/standins/engine/change_log.cc
+++ b/standins/engine/change_log.cc
@@ -27,7 +27,7 @@
   return changes;
 }
 
-std::optional<TimePoint> ChangeLog::nextVisible(std::uint64_t after) const {
+std::optional<TimePoint> ChangeLog::nextVisibleTime(std::uint64_t after) const {
   for (const Entry& entry : entries_) {
     if (entry.change.sequence > after) return entry.visible_at;
   }
--- a/standins/engine/change_log.h
+++ b/standins/engine/change_log.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file The engine stand-in's published cache events: numbered, seen late, with lost entries.
+/// @file Published cache events of the engine stand-in: numbered, visible after a delay, some of them lost.
 
 #include <cstdint>
 #include <deque>
@@ -17,14 +17,14 @@
       : delay_(delay), gap_probability_(gap_probability), length_(length) {}
 
   void setGapProbability(double probability) { gap_probability_ = probability; }
-  /// Numbers and keeps a change, or loses it by chance.
+  /// Assigns the next sequence number to a change and appends it, or drops it at random, which leaves a gap.
   void append(std::vector<BlockHash> stored, std::vector<BlockHash> removed, RandomSource& random,
               TimePoint now);
-  /// @return events after `after` that readers see at `now`.
+  /// @return the events after sequence `after` that are visible to readers at `now`.
   CacheChanges read(std::uint64_t after, std::uint64_t incarnation, TimePoint now) const;
-  /// @return when a reader that knows `after` sees something newer; empty when nothing is on its way.
-  std::optional<TimePoint> nextVisible(std::uint64_t after) const;
-  /// @return number of the newest change, seen or not.
+  /// @return when the first event after sequence `after` becomes visible; empty if there is none.
+  std::optional<TimePoint> nextVisibleTime(std::uint64_t after) const;
+  /// @return sequence number of the latest change, visible or not.
   std::uint64_t lastSequence() const { return last_sequence_; }
 
 private:
--- a/standins/engine/engine_model.cc
+++ b/standins/engine/engine_model.cc
@@ -7,12 +7,13 @@
 
 namespace {
 
-/// Incarnations stay below 2^53, so that every JSON reader keeps them exact.
-constexpr std::uint64_t kHighestIncarnation = (std::uint64_t{1} << 53) - 1;
-/// A driver that calls this late lost the time: work does not catch up on it in a burst.
-constexpr Duration kCatchUp = std::chrono::milliseconds(100);
+/// Incarnations stay below 2^53, so that JSON readers that parse numbers as double keep them exact.
+constexpr std::uint64_t kMaxIncarnation = (std::uint64_t{1} << 53) - 1;
+/// If the driver calls a timer later than this, the excess time is dropped, so that work does not catch up in
+/// a burst.
+constexpr Duration kMaxTimerDelay = std::chrono::milliseconds(100);
 
-void takeEarlier(std::optional<TimePoint>& earliest, TimePoint candidate) {
+void updateEarliest(std::optional<TimePoint>& earliest, TimePoint candidate) {
   if (!earliest || candidate < *earliest) earliest = candidate;
 }
 
@@ -20,11 +21,11 @@
 
 EngineModel::EngineModel(EngineOptions options, EngineTimings timings, std::uint64_t seed, TimePoint now)
     : options_(std::move(options)), timings_(timings), random_(seed), load_history_(timings.load_lag) {
-  comeUp(now);
+  startIncarnation(now);
 }
 
-void EngineModel::comeUp(TimePoint now) {
-  incarnation_ = random_.uniform(1, kHighestIncarnation);
+void EngineModel::startIncarnation(TimePoint now) {
+  incarnation_ = random_.uniform(1, kMaxIncarnation);
   leaving_ = false;
   role_ = options_.role;
   order_token_ = 0;
@@ -43,7 +44,7 @@
   last_digest_.reset();
   finished_.clear();
   finished_order_.clear();
-  noteLoad(now);
+  recordLoad(now);
 }
 
 void EngineModel::crash(TimePoint now) {
@@ -54,7 +55,7 @@
     endRun(run, RunOutcome::Crashed, now);
   }
   decode_ends_.reset();
-  comeUp(now);
+  startIncarnation(now);
 }
 
 void EngineModel::freeze(TimePoint now) {
@@ -65,7 +66,7 @@
   if (!frozen_since_) return;
   shiftTimes(now - *frozen_since_);
   frozen_since_.reset();
-  afterChange(now);
+  advance(now);
 }
 
 void EngineModel::shiftTimes(Duration by) {
@@ -79,7 +80,7 @@
   }
   for (ModelState& state : models_) {
     if (state.loaded_at) *state.loaded_at += by;
-    if (state.ask_again_at) *state.ask_again_at += by;
+    if (state.retry_at) *state.retry_at += by;
   }
   for (AdapterLoad& load : adapter_loads_) load.loaded_at += by;
 }
@@ -91,16 +92,17 @@
 
 void EngineModel::startLeaving(TimePoint now) {
   leaving_ = true;
-  afterChange(now);
+  advance(now);
 }
 
 std::optional<TimePoint> EngineModel::nextTimer() const {
   if (frozen_since_) return std::nullopt;
-  std::optional<TimePoint> earliest = nextLoad();
-  if (prefill_run_ != nullptr) takeEarlier(earliest, prefill_ends_);
-  if (decode_ends_) takeEarlier(earliest, *decode_ends_);
-  for (const auto& [arrival, run] : importing_) takeEarlier(earliest, run->import_ends);
-  for (const auto& [arrival, run] : orphans_) takeEarlier(earliest, run->orphaned_at + timings_.orphan_kept);
+  std::optional<TimePoint> earliest = nextLoadTimer();
+  if (prefill_run_ != nullptr) updateEarliest(earliest, prefill_ends_);
+  if (decode_ends_) updateEarliest(earliest, *decode_ends_);
+  for (const auto& [arrival, run] : importing_) updateEarliest(earliest, run->import_ends);
+  for (const auto& [arrival, run] : orphans_)
+    updateEarliest(earliest, run->orphaned_at + timings_.orphan_timeout);
   return earliest;
 }
 
@@ -108,13 +110,13 @@
   while (true) {
     const std::optional<TimePoint> due = nextTimer();
     if (!due || *due > now) return;
-    const TimePoint at = std::max(*due, now - kCatchUp);
-    runDue(at);
-    afterChange(at);
+    const TimePoint at = std::max(*due, now - kMaxTimerDelay);
+    runDueTimers(at);
+    advance(at);
   }
 }
 
-void EngineModel::runDue(TimePoint now) {
+void EngineModel::runDueTimers(TimePoint now) {
   if (prefill_run_ != nullptr && prefill_ends_ <= now) endPrefillChunk(now);
   if (decode_ends_ && *decode_ends_ <= now) endDecodeStep(now);
   std::vector<Run*> imported;
@@ -124,31 +126,31 @@
   for (Run* run : imported) endImport(*run, now);
   std::vector<Run*> expired;
   for (const auto& [arrival, run] : orphans_) {
-    if (run->orphaned_at + timings_.orphan_kept <= now) expired.push_back(run);
+    if (run->orphaned_at + timings_.orphan_timeout <= now) expired.push_back(run);
   }
   for (Run* run : expired) endRun(*run, RunOutcome::Orphaned, now);
 }
 
-void EngineModel::afterChange(TimePoint now) {
+void EngineModel::advance(TimePoint now) {
   advanceLoads(now);
   startPrefill(now);
   startDecodeStep(now);
-  forgetFinished(now);
+  expireFinished(now);
   publishChanges(now);
-  noteLoad(now);
+  recordLoad(now);
 }
 
 void EngineModel::publishChanges(TimePoint now) {
   std::vector<BlockHash> stored = cache_->takeStored();
   std::vector<BlockHash> removed = cache_->takeRemoved();
-  // A block may have come and gone within one step: the event tells only how it ended.
+  // A block may be stored and removed within one step: the event contains only the final state.
   std::erase_if(stored, [this](BlockHash block) { return cache_->writer(block) == nullptr; });
   std::erase_if(removed, [this](BlockHash block) { return cache_->writer(block) != nullptr; });
   if (stored.empty() && removed.empty()) return;
   changes_->append(std::move(stored), std::move(removed), random_, now);
 }
 
-void EngineModel::noteLoad(TimePoint now) {
+void EngineModel::recordLoad(TimePoint now) {
   EngineLoadReport load;
   load.incarnation = incarnation_;
   load.queued_tokens = queued_tokens_;
@@ -158,7 +160,7 @@
   load.cache_blocks_total = cache_->capacity();
   load.cache_blocks_used = cache_->used();
   load.prefill_tokens_per_second = timings_.prefill_tokens_per_second;
-  load_history_.note(load, now);
+  load_history_.record(load, now);
 }
 
 std::vector<EngineOutput> EngineModel::takeOutputs() {
@@ -185,7 +187,7 @@
 }
 
 std::optional<TimePoint> EngineModel::nextCacheChange(std::uint64_t after) const {
-  return changes_->nextVisible(after);
+  return changes_->nextVisibleTime(after);
 }
 
 CacheDigest EngineModel::cacheDigest(TimePoint now) {
--- a/standins/engine/engine_model_orders.cc
+++ b/standins/engine/engine_model_orders.cc
@@ -1,4 +1,4 @@
-// Orders of EngineModel: loading weights and adapters, role, leaving.
+// Orders of EngineModel: loading of weights and adapters, role, drain.
 
 #include <algorithm>
 
@@ -30,10 +30,10 @@
   ErrorCode code = ErrorCode::Ok;
   switch (order.kind) {
     case OrderKind::LoadWeights:
-      code = orderWeights(order);
+      code = applyWeightsOrder(order);
       break;
     case OrderKind::LoadAdapter:
-      code = orderAdapter(order, now);
+      code = applyAdapterOrder(order, now);
       break;
     case OrderKind::SetRole:
       role_ = order.role;
@@ -43,47 +43,47 @@
       break;
   }
   if (code == ErrorCode::Ok) orders_.push_back({order, incarnation_, now});
-  afterChange(now);
+  advance(now);
   return code;
 }
 
-ErrorCode EngineModel::orderWeights(const EngineOrder& order) {
+ErrorCode EngineModel::applyWeightsOrder(const EngineOrder& order) {
   if (order.model.empty() || order.weights_version.empty()) return ErrorCode::InvalidRequest;
   ModelState* state = findModel(order.model);
   if (state == nullptr) {
     models_.push_back({{order.model, "", {}}, false, "", false, {}, {}});
     state = &models_.back();
   }
-  const std::string& target = state->ready ? state->served.weights_version : state->wanted_weights;
+  const std::string& target = state->ready ? state->served.weights_version : state->target_weights;
   if (target == order.weights_version) return ErrorCode::Ok;
   state->ready = false;
-  state->wanted_weights = order.weights_version;
-  state->asked = false;
+  state->target_weights = order.weights_version;
+  state->load_requested = false;
   state->loaded_at.reset();
-  state->ask_again_at.reset();
+  state->retry_at.reset();
   return ErrorCode::Ok;
 }
 
-ErrorCode EngineModel::orderAdapter(const EngineOrder& order, TimePoint now) {
+ErrorCode EngineModel::applyAdapterOrder(const EngineOrder& order, TimePoint now) {
   if (order.adapter.empty()) return ErrorCode::InvalidRequest;
   if (findModel(order.model) == nullptr) return ErrorCode::UnknownModel;
   adapter_loads_.push_back({order.model, order.adapter, now + timings_.adapter_load});
   return ErrorCode::Ok;
 }
 
-void EngineModel::weightsAnswered(const std::string& model, const std::string& weights_version,
-                                  std::optional<Duration> load_time, TimePoint now) {
+void EngineModel::onWeightsResponse(const std::string& model, const std::string& weights_version,
+                                    std::optional<Duration> load_time, TimePoint now) {
   ModelState* const state = findModel(model);
-  const bool expected = state != nullptr && !state->ready && state->asked && !state->loaded_at &&
-                        state->wanted_weights == weights_version;
+  const bool expected = state != nullptr && !state->ready && state->load_requested && !state->loaded_at &&
+                        state->target_weights == weights_version;
   if (!expected) return;
   if (load_time) {
     state->loaded_at = now + *load_time;
   } else {
-    state->asked = false;
-    state->ask_again_at = now + timings_.weights_retry;
+    state->load_requested = false;
+    state->retry_at = now + timings_.weights_retry;
   }
-  afterChange(now);
+  advance(now);
 }
 
 void EngineModel::advanceLoads(TimePoint now) {
@@ -93,21 +93,22 @@
   advanceAdapters(now);
 }
 
-/// Requests taken under the old weights end first; then the weights are asked for and loaded.
+/// Requests accepted with the old weights finish first; then the load time is queried and the weights are
+/// loaded.
 void EngineModel::advanceLoad(ModelState& state, TimePoint now) {
   if (state.loaded_at && *state.loaded_at <= now) {
-    state.served.weights_version = state.wanted_weights;
+    state.served.weights_version = state.target_weights;
     state.ready = true;
-    state.asked = false;
+    state.load_requested = false;
     state.loaded_at.reset();
     return;
   }
-  const bool must_wait = state.ask_again_at && *state.ask_again_at > now;
-  if (state.asked || must_wait || modelInUse(state.served.model)) return;
+  const bool backing_off = state.retry_at && *state.retry_at > now;
+  if (state.load_requested || backing_off || modelInUse(state.served.model)) return;
   cache_->dropModel(state.served.model);
-  state.asked = true;
-  state.ask_again_at.reset();
-  outputs_.emplace_back(WeightsQuery{state.served.model, state.wanted_weights});
+  state.load_requested = true;
+  state.retry_at.reset();
+  outputs_.emplace_back(WeightsQuery{state.served.model, state.target_weights});
 }
 
 void EngineModel::advanceAdapters(TimePoint now) {
@@ -122,16 +123,16 @@
   std::erase_if(adapter_loads_, [now](const AdapterLoad& load) { return load.loaded_at <= now; });
 }
 
-std::optional<TimePoint> EngineModel::nextLoad() const {
+std::optional<TimePoint> EngineModel::nextLoadTimer() const {
   std::optional<TimePoint> earliest;
-  const auto take = [&earliest](const std::optional<TimePoint>& candidate) {
+  const auto consider = [&earliest](const std::optional<TimePoint>& candidate) {
     if (candidate && (!earliest || *candidate < *earliest)) earliest = candidate;
   };
   for (const ModelState& state : models_) {
-    take(state.loaded_at);
-    take(state.ask_again_at);
+    consider(state.loaded_at);
+    consider(state.retry_at);
   }
-  for (const AdapterLoad& load : adapter_loads_) take(load.loaded_at);
+  for (const AdapterLoad& load : adapter_loads_) consider(load.loaded_at);
   return earliest;
 }
 
--- a/standins/engine/engine_model_requests.cc
+++ b/standins/engine/engine_model_requests.cc
@@ -1,4 +1,4 @@
-// Requests of EngineModel: refusal, streams, resume, cancel, the end of a run.
+// Request lifecycle of EngineModel: refusal, streams, resume, cancel, end of a run.
 
 #include <algorithm>
 
@@ -23,22 +23,22 @@
 }  // namespace
 
 void EngineModel::submit(StreamId stream, const CompletionRequest& request, TimePoint now) {
-  if (const auto reason = reasonToRefuse(request)) {
-    refuse(stream, *reason);
+  if (const auto refusal = findRefusal(request)) {
+    refuse(stream, *refusal);
     return;
   }
   if (!supersede(stream, request, now)) return;
   addRun(stream, makeRun(request, now));
-  afterChange(now);
+  advance(now);
 }
 
-std::optional<StreamRefused> EngineModel::reasonToRefuse(const CompletionRequest& request) const {
-  if (auto reason = reasonOfForm(request)) return reason;
-  if (auto reason = reasonOfIdentity(request)) return reason;
-  return reasonOfLoad(request);
+std::optional<StreamRefused> EngineModel::findRefusal(const CompletionRequest& request) const {
+  if (auto refusal = findFormatRefusal(request)) return refusal;
+  if (auto refusal = findIdentityRefusal(request)) return refusal;
+  return findOverloadRefusal(request);
 }
 
-std::optional<StreamRefused> EngineModel::reasonOfForm(const CompletionRequest& request) const {
+std::optional<StreamRefused> EngineModel::findFormatRefusal(const CompletionRequest& request) const {
   if (request.request_id.empty()) return notRun(ErrorCode::InvalidRequest, "request_id is empty");
   if (request.prompt.empty()) return notRun(ErrorCode::InvalidRequest, "prompt is empty");
   if (request.resume_text.size() != request.resume_offset * kBytesPerToken) {
@@ -54,7 +54,7 @@
   return std::nullopt;
 }
 
-std::optional<StreamRefused> EngineModel::reasonOfIdentity(const CompletionRequest& request) const {
+std::optional<StreamRefused> EngineModel::findIdentityRefusal(const CompletionRequest& request) const {
   if (request.expect_incarnation != 0 && request.expect_incarnation != incarnation_) {
     return notRun(ErrorCode::IncarnationMismatch, "the engine restarted");
   }
@@ -74,7 +74,7 @@
   return std::nullopt;
 }
 
-std::optional<StreamRefused> EngineModel::reasonOfLoad(const CompletionRequest& request) const {
+std::optional<StreamRefused> EngineModel::findOverloadRefusal(const CompletionRequest& request) const {
   if (leaving_) return notRun(ErrorCode::Stopping, "the engine is leaving", kRetryAfterStopping);
   const std::uint32_t tokens = countTokens(request.prompt);
   const bool tokens_fit = waiting_.empty() || queued_tokens_ + tokens <= timings_.queue_tokens;
@@ -84,7 +84,7 @@
   return notRun(ErrorCode::Overloaded, "the queue is full", std::max(retry_after, Duration{1000}));
 }
 
-/// Ends an older attempt of the same request; refuses an attempt older than the one that runs.
+/// Ends an older attempt of the same request; refuses an attempt older than the running one.
 bool EngineModel::supersede(StreamId stream, const CompletionRequest& request, TimePoint now) {
   const auto found = runs_.find(request.request_id);
   if (found == runs_.end()) return true;
@@ -109,10 +109,11 @@
   const std::string context = request.prompt + request.resume_text;
   run.blocks = hashBlocks(chain, context);
   run.context_tokens = countTokens(context);
-  run.answer = answerSeed(request.model, served.weights_version, request.adapter, request.prompt);
-  run.answer_tokens = answerTokenCount(run.answer, request.max_tokens);
+  run.completion_seed =
+      completionSeed(request.model, served.weights_version, request.adapter, request.prompt);
+  run.completion_tokens = completionTokenCount(run.completion_seed, request.max_tokens);
   run.produced = request.resume_offset;
-  run.answer_tokens = std::max(run.answer_tokens, run.produced);
+  run.completion_tokens = std::max(run.completion_tokens, run.produced);
   run.arrival = ++arrivals_;
 
   RequestRecord& record = run.record;
@@ -137,7 +138,7 @@
   ++totals_.requests;
   totals_.prompt_tokens += run.context_tokens;
   attach(run, stream);
-  const std::uint32_t held = std::min(cache_->heldPrefix(run.blocks), usableBlocks(run));
+  const std::uint32_t held = std::min(cache_->cachedPrefixLength(run.blocks), reusableBlocks(run));
   send(stream, StreamAccepted{incarnation_, run.weights_version, run.context_tokens,
                               static_cast<std::uint32_t>(held * kTokensPerBlock)});
 }
@@ -148,10 +149,10 @@
   orphans_.erase(run.arrival);
 }
 
-/// Cuts the stream that reads the run, if any.
+/// Aborts the stream that reads the run, if any.
 void EngineModel::detach(Run& run) {
   if (!run.stream) return;
-  send(*run.stream, StreamCut{});
+  send(*run.stream, StreamAborted{});
   streams_.erase(*run.stream);
   run.stream.reset();
 }
@@ -166,7 +167,7 @@
 }
 
 void EngineModel::resume(StreamId stream, const ResumeRequest& request, TimePoint now) {
-  forgetFinished(now);
+  expireFinished(now);
   if (request.expect_incarnation != 0 && request.expect_incarnation != incarnation_) {
     refuse(stream, {ErrorCode::IncarnationMismatch, RanState::Unknown, Duration{0}, "the engine restarted"});
     return;
@@ -199,10 +200,10 @@
                               run.record.cached_tokens + run.record.imported_tokens});
   if (request.offset == run.produced) return;
   send(stream, StreamTokens{request.offset, static_cast<std::uint32_t>(run.produced - request.offset),
-                            answerSoFar(run).substr(request.offset * kBytesPerToken)});
+                            generatedText(run).substr(request.offset * kBytesPerToken)});
 }
 
-void EngineModel::resumeFinished(StreamId stream, const ResumeRequest& request, const Finished& finished) {
+void EngineModel::resumeFinished(StreamId stream, const ResumeRequest& request, const FinishedRun& finished) {
   const std::uint64_t tokens = finished.text.size() / kBytesPerToken;
   if (request.offset > tokens) {
     refuse(stream, {ErrorCode::InvalidRequest, RanState::Unknown, Duration{0}, "offset is beyond the end"});
@@ -214,21 +215,21 @@
     send(stream, StreamTokens{request.offset, static_cast<std::uint32_t>(tokens - request.offset),
                               finished.text.substr(request.offset * kBytesPerToken)});
   }
-  send(stream, endOf(finished));
+  send(stream, finishedEvent(finished));
 }
 
-StreamFinished EngineModel::endOf(const Finished& finished) {
+StreamFinished EngineModel::finishedEvent(const FinishedRun& finished) {
   return {finished.text.size() / kBytesPerToken, hashBytes(finished.text), finished.finish_reason,
           finished.cached_tokens};
 }
 
-std::string EngineModel::answerSoFar(const Run& run) {
+std::string EngineModel::generatedText(const Run& run) {
   const std::uint64_t begin = run.request.resume_offset;
-  return run.request.resume_text + answerText(run.answer, begin, run.produced - begin);
+  return run.request.resume_text + completionText(run.completion_seed, begin, run.produced - begin);
 }
 
 std::string EngineModel::finishReason(const Run& run) {
-  return run.answer_tokens < run.request.max_tokens ? "stop" : "length";
+  return run.completion_tokens < run.request.max_tokens ? "stop" : "length";
 }
 
 void EngineModel::cancel(const std::string& request_id, std::uint32_t attempt, TimePoint now) {
@@ -237,10 +238,10 @@
   Run& run = found->second;
   detach(run);
   endRun(run, RunOutcome::Cancelled, now);
-  afterChange(now);
+  advance(now);
 }
 
-void EngineModel::streamClosed(StreamId stream, TimePoint now) {
+void EngineModel::onStreamClosed(StreamId stream, TimePoint now) {
   const auto found = streams_.find(stream);
   if (found == streams_.end()) return;
   Run& run = *found->second;
@@ -250,47 +251,47 @@
   orphans_.emplace(run.arrival, &run);
 }
 
-void EngineModel::finish(Run& run, TimePoint now) {
-  Finished finished;
+void EngineModel::finishRun(Run& run, TimePoint now) {
+  FinishedRun finished;
   finished.attempt = run.request.attempt;
-  finished.text = answerSoFar(run);
+  finished.text = generatedText(run);
   finished.finish_reason = finishReason(run);
   finished.weights_version = run.weights_version;
   finished.prompt_tokens = run.context_tokens;
   finished.cached_tokens = run.record.cached_tokens + run.record.imported_tokens;
   finished.ended = now;
-  if (run.stream) send(*run.stream, endOf(finished));
-  storeAnswer(run);
+  if (run.stream) send(*run.stream, finishedEvent(finished));
+  cacheGeneratedText(run);
   finished_order_.push_back(run.request.request_id);
   finished_[run.request.request_id] = std::move(finished);
   endRun(run, RunOutcome::Finished, now);
 }
 
 void EngineModel::endRun(Run& run, RunOutcome outcome, TimePoint now) {
-  leaveBatch(run);
+  removeFromBatch(run);
   if (run.stream) streams_.erase(*run.stream);
   orphans_.erase(run.arrival);
   run.record.outcome = outcome;
   run.record.ended = now;
-  keepRecord(run.record);
+  addRecord(run.record);
   const std::string request_id = run.request.request_id;
   runs_.erase(request_id);
 }
 
-void EngineModel::keepRecord(const RequestRecord& record) {
+void EngineModel::addRecord(const RequestRecord& record) {
   totals_.cached_tokens += record.cached_tokens;
   totals_.imported_tokens += record.imported_tokens;
   totals_.recomputed_tokens += record.recomputed_tokens;
   totals_.answer_tokens += record.answer_tokens;
   records_.push_back(record);
-  if (records_.size() > kRecordsKept) records_.pop_front();
+  if (records_.size() > kMaxRecords) records_.pop_front();
 }
 
-void EngineModel::forgetFinished(TimePoint now) {
+void EngineModel::expireFinished(TimePoint now) {
   while (!finished_order_.empty()) {
     const auto found = finished_.find(finished_order_.front());
     if (found != finished_.end()) {
-      if (found->second.ended + timings_.finished_kept > now) return;
+      if (found->second.ended + timings_.finished_retention > now) return;
       finished_.erase(found);
     }
     finished_order_.pop_front();
--- a/standins/engine/load_history.cc
+++ b/standins/engine/load_history.cc
@@ -2,7 +2,7 @@
 
 namespace crankspur::standin {
 
-void LoadHistory::note(const EngineLoadReport& load, TimePoint now) {
+void LoadHistory::record(const EngineLoadReport& load, TimePoint now) {
   if (!entries_.empty() && entries_.back().since == now) {
     entries_.back().load = load;
   } else {
--- a/standins/engine/load_history.h
+++ b/standins/engine/load_history.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Load of the engine stand-in as it was some time ago.
+/// @file Delays the load reports of the engine stand-in.
 
 #include <deque>
 
@@ -7,14 +7,14 @@
 
 namespace crankspur::standin {
 
-/// Keeps recent loads so that a report can lag.
+/// Keeps recent load reports, so that readers see them with a configured lag.
 class LoadHistory {
 public:
   explicit LoadHistory(Duration lag) : lag_(lag) {}
 
-  /// Notes the load from `now` on.
-  void note(const EngineLoadReport& load, TimePoint now);
-  /// @return the load as it was `lag` before `now`, with that age.
+  /// Records the load as of `now`.
+  void record(const EngineLoadReport& load, TimePoint now);
+  /// @return the load as of `now` minus the lag, with the lag as its age.
   EngineLoadReport report(TimePoint now) const;
 
 private:
--- a/standins/engine_server/engine_codec.cc
+++ b/standins/engine_server/engine_codec.cc
@@ -131,12 +131,12 @@
 }
 
 EngineControl decodeControl(std::string_view body, JsonProblem& problem) {
-  constexpr double kHighestSlowdown = 1000;
+  constexpr double kMaxSlowdown = 1000;
   EngineControl control;
   const auto object = parseJsonObject(body, problem);
   if (!object) return control;
   const JsonReader reader(*object, problem);
-  if (reader.has("slowdown")) control.slowdown = reader.requireNumber("slowdown", 1, kHighestSlowdown);
+  if (reader.has("slowdown")) control.slowdown = reader.requireNumber("slowdown", 1, kMaxSlowdown);
   if (reader.has("event_gap_probability")) {
     control.event_gap_probability = reader.requireNumber("event_gap_probability", 0, 1);
   }
@@ -155,8 +155,8 @@
   if (order.kind == OrderKind::LoadWeights) order.weights_version = reader.requireString("weights_version");
   if (order.kind == OrderKind::LoadAdapter) order.adapter = reader.requireString("adapter");
   if (order.kind == OrderKind::SetRole) order.role = readRole(reader);
-  const bool names_model = order.kind == OrderKind::LoadWeights || order.kind == OrderKind::LoadAdapter;
-  if (names_model) order.model = reader.requireString("model");
+  const bool requires_model = order.kind == OrderKind::LoadWeights || order.kind == OrderKind::LoadAdapter;
+  if (requires_model) order.model = reader.requireString("model");
   return order;
 }
 
@@ -255,8 +255,8 @@
   const char* ran = refusal.ran == RanState::NotRun ? "not_run" : "unknown";
   http::Response response =
       http::errorResponse(statusOf(refusal.code), errorName(refusal.code), refusal.message, ran);
-  const bool advises = refusal.retry_after > Duration{0} || refusal.code == ErrorCode::Overloaded;
-  if (advises) response.headers["Retry-After"] = fmt::format("{:.3f}", toSeconds(refusal.retry_after));
+  const bool retryable = refusal.retry_after > Duration{0} || refusal.code == ErrorCode::Overloaded;
+  if (retryable) response.headers["Retry-After"] = fmt::format("{:.3f}", toSeconds(refusal.retry_after));
   return response;
 }
 
@@ -279,8 +279,8 @@
 }
 
 void checkTimings(const EngineTimings& timings, JsonProblem& problem) {
-  const auto check = [&problem](bool holds, std::string_view key, std::string_view reason) {
-    if (!holds) problem.note(key, reason);
+  const auto check = [&problem](bool valid, std::string_view key, std::string_view reason) {
+    if (!valid) problem.note(key, reason);
   };
   check(timings.prefill_tokens_per_second > 0, "prefill_tokens_per_second", "must be above 0");
   check(timings.import_tokens_per_second > 0, "import_tokens_per_second", "must be above 0");
@@ -292,8 +292,8 @@
         "must be at least 1");
   check(timings.batch_limit > 0, "batch_limit", "must be above 0");
   check(timings.cache_blocks > 0, "cache_blocks", "must be above 0");
-  const double gaps = timings.event_gap_probability;
-  check(gaps >= 0 && gaps <= 1, "event_gap_probability", "must be from 0 to 1");
+  const double gap_probability = timings.event_gap_probability;
+  check(gap_probability >= 0 && gap_probability <= 1, "event_gap_probability", "must be from 0 to 1");
   check(timings.event_delay >= Duration{0}, "event_delay_ms", "must not be below 0");
   check(timings.load_lag >= Duration{0}, "load_lag_ms", "must not be below 0");
   check(timings.weights_load >= Duration{0}, "weights_load_ms", "must not be below 0");
--- a/standins/engine_server/engine_server.cc
+++ b/standins/engine_server/engine_server.cc
@@ -15,7 +15,7 @@
 constexpr int kBadRequest = 400;
 constexpr int kNotFound = 404;
 constexpr std::size_t kStatsRecords = 1000;
-constexpr std::uint64_t kLongestWaitMilliseconds = 30'000;
+constexpr std::uint64_t kMaxPollWaitMilliseconds = 30'000;
 constexpr std::size_t kRequestBytes = std::size_t{8} * 1024 * 1024;
 const char* const kEmptyObject = "{}";
 
@@ -27,7 +27,7 @@
   return http::errorResponse(kNotFound, "invalid_request", "no such call: " + request.path(), "not_run");
 }
 
-/// @return the number in a query parameter; `fallback` when it is absent, empty when it is no number.
+/// @return the numeric query parameter; `fallback` if it is absent, empty if it is not a number.
 std::optional<std::uint64_t> queryNumber(const http::Request& request, const std::string& name,
                                          std::uint64_t fallback) {
   const std::string text = request.query(name);
@@ -49,7 +49,7 @@
       started_(clock.now()),
       client_(http::makeClient(executor)),
       model_timer_(executor),
-      waiter_timer_(executor),
+      long_poll_timer_(executor),
       idle_timer_(executor) {}
 
 std::error_code EngineServer::start(const std::string& address) {
@@ -65,14 +65,14 @@
 void EngineServer::stop(std::function<void()> on_idle) {
   on_idle_ = std::move(on_idle);
   model_.startLeaving(clock_.now());
-  settle();
+  processOutputs();
 }
 
 void EngineServer::handle(const http::Request& request, const Writer& writer) {
   if (request.path() == "/control") {
     control(request, writer);
   } else if (model_.frozen()) {
-    held_.push_back({request, writer});
+    buffered_.push_back({request, writer});
   } else {
     dispatch(request, writer);
   }
@@ -86,7 +86,7 @@
   } else {
     writer->respond(notFound(request));
   }
-  settle();
+  processOutputs();
 }
 
 void EngineServer::dispatchGet(const http::Request& request, const Writer& writer) {
@@ -119,41 +119,41 @@
   JsonProblem problem;
   const CompletionRequest completion = decodeCompletionRequest(request.body, problem);
   if (problem.found()) return writer->respond(badRequest(problem.text()));
-  model_.submit(open(writer), completion, clock_.now());
+  model_.submit(openStream(writer), completion, clock_.now());
 }
 
 void EngineServer::resume(const http::Request& request, const Writer& writer) {
   JsonProblem problem;
   const ResumeRequest resumption = decodeResumeRequest(request.body, problem);
   if (problem.found()) return writer->respond(badRequest(problem.text()));
-  model_.resume(open(writer), resumption, clock_.now());
+  model_.resume(openStream(writer), resumption, clock_.now());
 }
 
-StreamId EngineServer::open(const Writer& writer) {
+StreamId EngineServer::openStream(const Writer& writer) {
   const StreamId id = ++last_stream_;
   streams_[id] = {writer, false};
   writer->onClientGone([this, id] {
     streams_.erase(id);
-    model_.streamClosed(id, clock_.now());
-    settle();
+    model_.onStreamClosed(id, clock_.now());
+    processOutputs();
   });
   return id;
 }
 
 void EngineServer::cancel(const http::Request& request, const Writer& writer) {
   JsonProblem problem;
-  const CancelRequest cancelled = decodeCancelRequest(request.body, problem);
+  const CancelRequest cancellation = decodeCancelRequest(request.body, problem);
   if (problem.found()) return writer->respond(badRequest(problem.text()));
-  model_.cancel(cancelled.request_id, cancelled.attempt, clock_.now());
+  model_.cancel(cancellation.request_id, cancellation.attempt, clock_.now());
   writer->respond(http::jsonResponse(kOk, kEmptyObject));
 }
 
 void EngineServer::order(const http::Request& request, const Writer& writer) {
   JsonProblem problem;
-  const EngineOrder wanted = decodeOrder(request.body, problem);
+  const EngineOrder engine_order = decodeOrder(request.body, problem);
   if (problem.found()) return writer->respond(badRequest(problem.text()));
-  const ErrorCode code = model_.order(wanted, clock_.now());
-  log_.write(EventId::EngineOrderTaken, {{"token", wanted.token}, {"outcome", errorName(code)}});
+  const ErrorCode code = model_.order(engine_order, clock_.now());
+  log_.write(EventId::EngineOrderTaken, {{"token", engine_order.token}, {"outcome", errorName(code)}});
   if (code == ErrorCode::Ok) return writer->respond(http::jsonResponse(kOk, kEmptyObject));
   writer->respond(encodeRefusal({code, RanState::NotRun, Duration{0}, "the order was not taken"}));
 }
@@ -162,7 +162,7 @@
   JsonProblem problem;
   const std::vector<BlockHash> blocks = decodeBlocks(request.body, problem);
   if (problem.found()) return writer->respond(badRequest(problem.text()));
-  const std::string body = "{\"held\":" + std::to_string(model_.heldPrefix(blocks)) +
+  const std::string body = "{\"held\":" + std::to_string(model_.cachedPrefixLength(blocks)) +
                            ",\"incarnation\":" + std::to_string(model_.incarnation()) + "}";
   writer->respond(http::jsonResponse(kOk, body));
 }
@@ -171,8 +171,8 @@
   const auto after = queryNumber(request, "after", 0);
   const auto wait = queryNumber(request, "wait_ms", 0);
   if (!after || !wait) return writer->respond(badRequest("after and wait_ms must be numbers"));
-  const std::chrono::milliseconds bounded(std::min(*wait, kLongestWaitMilliseconds));
-  waiters_.push_back({*after, model_.incarnation(), clock_.now() + bounded, writer});
+  const std::chrono::milliseconds bounded(std::min(*wait, kMaxPollWaitMilliseconds));
+  long_polls_.push_back({*after, model_.incarnation(), clock_.now() + bounded, writer});
 }
 
 void EngineServer::cacheDigest(const Writer& writer) {
@@ -184,14 +184,14 @@
 
 void EngineServer::control(const http::Request& request, const Writer& writer) {
   JsonProblem problem;
-  const EngineControl wanted = decodeControl(request.body, problem);
+  const EngineControl command = decodeControl(request.body, problem);
   if (problem.found()) return writer->respond(badRequest(problem.text()));
   log_.write(EventId::StandinControlled, {{"action", request.body}});
-  if (wanted.slowdown) model_.setSlowdown(*wanted.slowdown);
-  if (wanted.event_gap_probability) model_.setEventGapProbability(*wanted.event_gap_probability);
-  apply(wanted.action);
+  if (command.slowdown) model_.setSlowdown(*command.slowdown);
+  if (command.event_gap_probability) model_.setEventGapProbability(*command.event_gap_probability);
+  apply(command.action);
   writer->respond(http::jsonResponse(kOk, kEmptyObject));
-  settle();
+  processOutputs();
 }
 
 void EngineServer::apply(EngineAction action) {
@@ -201,14 +201,14 @@
       break;
     case EngineAction::Crash:
       model_.crash(now);
-      for (const HeldCall& call : std::exchange(held_, {})) call.writer->abort();
+      for (const BufferedRequest& call : std::exchange(buffered_, {})) call.writer->abort();
       break;
     case EngineAction::Freeze:
       model_.freeze(now);
       break;
     case EngineAction::Thaw:
       model_.thaw(now);
-      for (const HeldCall& call : std::exchange(held_, {})) dispatch(call.request, call.writer);
+      for (const BufferedRequest& call : std::exchange(buffered_, {})) dispatch(call.request, call.writer);
       break;
     case EngineAction::Leave:
       model_.startLeaving(now);
--- a/standins/engine_server/engine_server.h
+++ b/standins/engine_server/engine_server.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Serves an EngineModel over HTTP: drives its timers, streams its outputs, asks the weight store and
-/// sources of KV blocks. Everything runs on one executor thread.
+/// @file Serves an EngineModel over HTTP: drives its timers, streams its outputs, queries the weight store
+/// and the sources of KV blocks. Runs on a single executor thread.
 
 #include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -20,14 +20,14 @@
 
 namespace crankspur::standin {
 
-/// Addresses of what the engine calls; empty ones are not called.
+/// Addresses of the servers that the engine calls; one that is empty is not called.
 struct EngineServerOptions {
   std::string weight_store;
-  std::string kv_store;                                     ///< Gets the blocks of each computed prompt.
-  Duration default_weights_load = std::chrono::seconds(8);  ///< Without a weight store.
+  std::string kv_store;                                     ///< Receives the blocks of each prefilled prompt.
+  Duration default_weights_load = std::chrono::seconds(8);  ///< Used without a weight store.
 };
 
-/// A listening engine.
+/// HTTP server of one engine.
 class EngineServer {
 public:
   EngineServer(const boost::asio::any_io_executor& executor, EngineModel& model, const Clock& clock,
@@ -36,14 +36,14 @@
   /// Listens on "IP:port".
   std::error_code start(const std::string& address);
   std::uint16_t port() const { return server_->port(); }
-  /// Takes no new request; calls `on_idle` once the last one has been answered.
+  /// Refuses new requests; calls `on_idle` once all openStream requests have been answered.
   void stop(std::function<void()> on_idle);
 
 private:
   using Writer = std::shared_ptr<http::ResponseWriter>;
 
-  /// A reader that waits for cache events.
-  struct Waiter {
+  /// A pending GET /v1/cache_events.
+  struct LongPoll {
     std::uint64_t after = 0;
     std::uint64_t incarnation = 0;
     TimePoint deadline;
@@ -51,9 +51,9 @@
   };
   struct Stream {
     Writer writer;
-    bool begun = false;
+    bool head_sent = false;
   };
-  struct HeldCall {
+  struct BufferedRequest {
     http::Request request;
     Writer writer;
   };
@@ -71,17 +71,17 @@
   void exportBlocks(const http::Request& request, const Writer& writer);
   void cacheEvents(const http::Request& request, const Writer& writer);
   void cacheDigest(const Writer& writer);
-  StreamId open(const Writer& writer);
+  StreamId openStream(const Writer& writer);
 
-  /// Carries out what the model wants and sets the timers.
-  void settle();
-  void carryOut(const StreamOutput& output);
-  void carryOut(const ImportQuery& query);
-  void carryOut(const WeightsQuery& query);
-  void carryOut(const BlocksComputed& computed);
+  /// Executes the outputs of the model, completes long polls and arms the timers.
+  void processOutputs();
+  void execute(const StreamOutput& output);
+  void execute(const ImportQuery& query);
+  void execute(const WeightsQuery& query);
+  void execute(const BlocksComputed& computed);
   void writeEvent(StreamId id, Stream& stream, std::string text);
   void endStream(StreamId id);
-  void answerWaiters();
+  void completeLongPolls();
   void armTimers();
   void checkIdle();
 
@@ -94,11 +94,11 @@
   std::unique_ptr<http::Client> client_;
   std::unique_ptr<http::Server> server_;
   boost::asio::steady_timer model_timer_;
-  boost::asio::steady_timer waiter_timer_;
+  boost::asio::steady_timer long_poll_timer_;
   boost::asio::steady_timer idle_timer_;
   std::map<StreamId, Stream> streams_;
-  std::list<Waiter> waiters_;
-  std::vector<HeldCall> held_;  ///< Calls that came while the engine was frozen.
+  std::list<LongPoll> long_polls_;
+  std::vector<BufferedRequest> buffered_;  ///< Received while the engine was frozen.
   StreamId last_stream_ = 0;
   std::function<void()> on_idle_;
 };
--- a/standins/engine_server/engine_server_outputs.cc
+++ b/standins/engine_server/engine_server_outputs.cc
@@ -1,4 +1,4 @@
-// Outputs and timers of EngineServer.
+// Output processing and timers of EngineServer.
 
 #include <boost/json/serialize.hpp>
 #include <utility>
@@ -13,7 +13,7 @@
 
 constexpr int kOk = 200;
 constexpr std::size_t kQueuedBytesLimit = std::size_t{4} * 1024 * 1024;
-constexpr Duration kIdleCheck = std::chrono::milliseconds(20);
+constexpr Duration kIdleCheckInterval = std::chrono::milliseconds(20);
 
 http::Request blocksRequest(const std::string& path, const std::vector<BlockHash>& blocks) {
   boost::json::object body;
@@ -26,48 +26,48 @@
   return request;
 }
 
-/// What a source of blocks said.
-struct SourceAnswer {
+/// Response of a source of KV blocks to POST /v1/kv/export.
+struct ExportResponse {
   std::uint32_t held = 0;
   std::uint64_t incarnation = 0;
 };
 
-SourceAnswer decodeSource(std::error_code error, const http::Response& response) {
+ExportResponse decodeExportResponse(std::error_code error, const http::Response& response) {
   JsonProblem problem;
   if (error || response.status != kOk) return {};
   const auto object = parseJsonObject(response.body, problem);
   if (!object) return {};
   const JsonReader reader(*object, problem);
-  const SourceAnswer answer{reader.requireUnsigned32("held"), reader.getUnsigned("incarnation", 0)};
-  return problem.found() ? SourceAnswer{} : answer;
+  const ExportResponse decoded{reader.requireUnsigned32("held"), reader.getUnsigned("incarnation", 0)};
+  return problem.found() ? ExportResponse{} : decoded;
 }
 
 std::optional<Duration> decodeLoadTime(std::error_code error, const http::Response& response) {
-  constexpr double kLongestLoadSeconds = 3600;
+  constexpr double kMaxLoadSeconds = 3600;
   JsonProblem problem;
   if (error || response.status != kOk) return std::nullopt;
   const auto object = parseJsonObject(response.body, problem);
   if (!object) return std::nullopt;
-  const double seconds = JsonReader(*object, problem).requireNumber("seconds", 0, kLongestLoadSeconds);
+  const double seconds = JsonReader(*object, problem).requireNumber("seconds", 0, kMaxLoadSeconds);
   if (problem.found()) return std::nullopt;
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
 
 }  // namespace
 
-void EngineServer::settle() {
+void EngineServer::processOutputs() {
   model_.onTimer(clock_.now());
   for (auto outputs = model_.takeOutputs(); !outputs.empty(); outputs = model_.takeOutputs()) {
     for (const EngineOutput& output : outputs) {
-      std::visit([this](const auto& one) { carryOut(one); }, output);
+      std::visit([this](const auto& alternative) { execute(alternative); }, output);
     }
   }
-  answerWaiters();
+  completeLongPolls();
   armTimers();
   checkIdle();
 }
 
-void EngineServer::carryOut(const StreamOutput& output) {
+void EngineServer::execute(const StreamOutput& output) {
   const auto found = streams_.find(output.stream);
   if (found == streams_.end()) return;
   Stream& stream = found->second;
@@ -89,11 +89,11 @@
   }
 }
 
-/// Writes an event; a reader that does not take its bytes is cut off.
+/// Writes an event; aborts the stream if too many bytes are queued because the reader is too slow.
 void EngineServer::writeEvent(StreamId id, Stream& stream, std::string text) {
   if (stream.writer->queuedBytes() <= kQueuedBytesLimit) return stream.writer->write(std::move(text));
   stream.writer->abort();
-  model_.streamClosed(id, clock_.now());
+  model_.onStreamClosed(id, clock_.now());
   endStream(id);
 }
 
@@ -104,46 +104,47 @@
   streams_.erase(found);
 }
 
-void EngineServer::carryOut(const ImportQuery& query) {
+void EngineServer::execute(const ImportQuery& query) {
   http::ExchangeCallbacks callbacks;
   callbacks.on_done = [this, query](std::error_code error, http::SendState, const http::Response& response) {
-    const SourceAnswer answer = decodeSource(error, response);
-    model_.importAnswered(query.request_id, query.attempt, answer.held, answer.incarnation, clock_.now());
-    settle();
+    const ExportResponse source = decodeExportResponse(error, response);
+    model_.onImportResponse(query.request_id, query.attempt, source.held, source.incarnation, clock_.now());
+    processOutputs();
   };
   client_->start(query.address, blocksRequest("/v1/kv/export", query.blocks), std::move(callbacks));
 }
 
-void EngineServer::carryOut(const WeightsQuery& query) {
+void EngineServer::execute(const WeightsQuery& query) {
   if (options_.weight_store.empty()) {
-    model_.weightsAnswered(query.model, query.weights_version, options_.default_weights_load, clock_.now());
+    model_.onWeightsResponse(query.model, query.weights_version, options_.default_weights_load, clock_.now());
     return;
   }
   http::Request request;
   request.target = "/v1/weights/" + query.model + "/" + query.weights_version;
   http::ExchangeCallbacks callbacks;
   callbacks.on_done = [this, query](std::error_code error, http::SendState, const http::Response& response) {
-    model_.weightsAnswered(query.model, query.weights_version, decodeLoadTime(error, response), clock_.now());
-    settle();
+    model_.onWeightsResponse(query.model, query.weights_version, decodeLoadTime(error, response),
+                             clock_.now());
+    processOutputs();
   };
   client_->start(options_.weight_store, std::move(request), std::move(callbacks));
 }
 
-void EngineServer::carryOut(const BlocksComputed& computed) {
+void EngineServer::execute(const BlocksComputed& computed) {
   if (options_.kv_store.empty()) return;
   client_->start(options_.kv_store, blocksRequest("/v1/kv/put", computed.blocks), {});
 }
 
-void EngineServer::answerWaiters() {
+void EngineServer::completeLongPolls() {
   const TimePoint now = clock_.now();
-  for (auto waiter = waiters_.begin(); waiter != waiters_.end();) {
-    const CacheChanges changes = model_.cacheChanges(waiter->after, now);
-    const bool other_incarnation = waiter->incarnation != changes.incarnation;
-    const bool from_earlier = waiter->after > model_.newestCacheChange();
-    const bool due = changes.last_sequence > waiter->after || now >= waiter->deadline || other_incarnation ||
-                     from_earlier || on_idle_;
-    if (due) waiter->writer->respond(http::jsonResponse(kOk, encodeChanges(changes)));
-    waiter = due ? waiters_.erase(waiter) : std::next(waiter);
+  for (auto poll = long_polls_.begin(); poll != long_polls_.end();) {
+    const CacheChanges changes = model_.cacheChanges(poll->after, now);
+    const bool restarted = poll->incarnation != changes.incarnation;
+    const bool from_previous_incarnation = poll->after > model_.latestCacheSequence();
+    const bool due = changes.last_sequence > poll->after || now >= poll->deadline || restarted ||
+                     from_previous_incarnation || on_idle_;
+    if (due) poll->writer->respond(http::jsonResponse(kOk, encodeChanges(changes)));
+    poll = due ? long_polls_.erase(poll) : std::next(poll);
   }
 }
 
@@ -152,26 +153,26 @@
   if (const auto due = model_.nextTimer()) {
     expireAt(model_timer_, *due, clock_.now());
     model_timer_.async_wait([this](const boost::system::error_code& error) {
-      if (!error) settle();
+      if (!error) processOutputs();
     });
   }
-  waiter_timer_.cancel();
-  if (waiters_.empty()) return;
+  long_poll_timer_.cancel();
+  if (long_polls_.empty()) return;
   TimePoint earliest = TimePoint::max();
-  for (const Waiter& waiter : waiters_) {
-    earliest = std::min(earliest, waiter.deadline);
-    if (const auto visible = model_.nextCacheChange(waiter.after)) earliest = std::min(earliest, *visible);
+  for (const LongPoll& poll : long_polls_) {
+    earliest = std::min(earliest, poll.deadline);
+    if (const auto visible = model_.nextCacheChange(poll.after)) earliest = std::min(earliest, *visible);
   }
-  expireAt(waiter_timer_, earliest, clock_.now());
-  waiter_timer_.async_wait([this](const boost::system::error_code& error) {
-    if (!error) settle();
+  expireAt(long_poll_timer_, earliest, clock_.now());
+  long_poll_timer_.async_wait([this](const boost::system::error_code& error) {
+    if (!error) processOutputs();
   });
 }
 
 void EngineServer::checkIdle() {
   if (!on_idle_ || model_.inFlight() > 0) return;
   if (server_->openRequests() == 0) return on_idle_();
-  idle_timer_.expires_after(kIdleCheck);
+  idle_timer_.expires_after(kIdleCheckInterval);
   idle_timer_.async_wait([this](const boost::system::error_code& error) {
     if (!error) checkIdle();
   });
--- a/standins/engine_server/engine_stats.cc
+++ b/standins/engine_server/engine_stats.cc
@@ -1,4 +1,4 @@
-// GET /v1/stats of the engine stand-in.
+// JSON encoding of GET /v1/stats of the engine stand-in.
 
 #include <algorithm>
 #include <boost/json/serialize.hpp>
@@ -29,7 +29,7 @@
   return "waiting";
 }
 
-/// @return milliseconds since `start`, or null when `at` is not set.
+/// @return milliseconds since `start`, or null if `at` is not set.
 boost::json::value millisecondsSince(TimePoint start, TimePoint at) {
   if (at == TimePoint{}) return nullptr;
   return toMilliseconds(at - start);
--- a/standins/kv_store/kv_store_model.cc
+++ b/standins/kv_store/kv_store_model.cc
@@ -3,7 +3,7 @@
 namespace crankspur::standin {
 
 std::uint32_t KvStoreModel::put(std::span<const BlockHash> blocks) {
-  std::uint32_t held = cache_.heldPrefix(blocks);
+  std::uint32_t held = cache_.cachedPrefixLength(blocks);
   cache_.acquire(blocks.first(held));
   while (held < blocks.size() && cache_.fits({}, 1)) {
     cache_.reserve(1);
@@ -17,7 +17,7 @@
 }
 
 std::uint32_t KvStoreModel::get(std::span<const BlockHash> blocks) {
-  const std::uint32_t held = cache_.heldPrefix(blocks);
+  const std::uint32_t held = cache_.cachedPrefixLength(blocks);
   cache_.acquire(blocks.first(held));
   cache_.release(blocks.first(held));
   return held;
--- a/standins/kv_store/kv_store_model.h
+++ b/standins/kv_store/kv_store_model.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Model of the KV-cache store: a bounded set of blocks that engines put and get. Pure state holder.
-/// Only block identities are kept; the time of a transfer is the engine's to model.
+/// @file Model of the KV-cache store: a bounded set of blocks that engines put and get. Pure state without
+/// I/O. Stores only the hashes of blocks; the transfer time is modelled by the engine.
 
 #include <cstdint>
 #include <span>
@@ -9,18 +9,18 @@
 
 namespace crankspur::standin {
 
-/// One KV-cache store.
+/// Block hashes of one KV-cache store, with least-recently-used eviction.
 class KvStoreModel {
 public:
-  /// @param capacity blocks held; those least recently used go first.
+  /// @param capacity maximum number of blocks; the least recently used are evicted first.
   KvStoreModel(std::uint32_t capacity, std::uint64_t incarnation)
       : cache_(capacity), incarnation_(incarnation) {}
 
-  /// Stores blocks in their order.
-  /// @return how many leading blocks are held now.
+  /// Stores blocks in the given order until the store is at capacity.
+  /// @return the number of leading blocks that are stored now.
   std::uint32_t put(std::span<const BlockHash> blocks);
-  /// Notes the use of blocks.
-  /// @return how many leading blocks are held.
+  /// Marks blocks as recently used.
+  /// @return the number of leading blocks that are stored.
   std::uint32_t get(std::span<const BlockHash> blocks);
 
   std::uint64_t incarnation() const { return incarnation_; }
--- a/standins/kv_store/kv_store_server.cc
+++ b/standins/kv_store/kv_store_server.cc
@@ -14,11 +14,11 @@
 
 }  // namespace
 
-http::Response answerKvStore(const http::Request& request, KvStoreModel& model) {
+http::Response handleKvStoreRequest(const http::Request& request, KvStoreModel& model) {
   const std::string path = request.path();
-  const bool puts = path == "/v1/kv/put";
-  const bool gets = path == "/v1/kv/get" || path == "/v1/kv/export";
-  if (request.method != "POST" || !(puts || gets)) {
+  const bool is_put = path == "/v1/kv/put";
+  const bool is_get = path == "/v1/kv/get" || path == "/v1/kv/export";
+  if (request.method != "POST" || !(is_put || is_get)) {
     return http::errorResponse(kNotFound, "invalid_request", "no such call: " + path, "not_run");
   }
   JsonProblem problem;
@@ -28,7 +28,7 @@
   if (problem.found()) {
     return http::errorResponse(kBadRequest, "invalid_request", problem.text(), "not_run");
   }
-  const std::uint32_t held = puts ? model.put(blocks) : model.get(blocks);
+  const std::uint32_t held = is_put ? model.put(blocks) : model.get(blocks);
   return http::jsonResponse(kOk, "{\"held\":" + std::to_string(held) +
                                      ",\"incarnation\":" + std::to_string(model.incarnation()) + "}");
 }
@@ -39,7 +39,7 @@
   return http::listen(
       executor, address,
       [&model](const http::Request& request, const std::shared_ptr<http::ResponseWriter>& writer) {
-        writer->respond(answerKvStore(request, model));
+        writer->respond(handleKvStoreRequest(request, model));
       },
       error);
 }
--- a/standins/kv_store/kv_store_server.h
+++ b/standins/kv_store/kv_store_server.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file Serves a KvStoreModel over HTTP; see docs/ARCHITECTURE.md "KV-cache store". POST /v1/kv/export is
-/// the same as /v1/kv/get, so that engines import from stores and from engines alike.
+/// an alias of /v1/kv/get, so that engines import from stores and from engines in the same way.
 
 #include <boost/asio/any_io_executor.hpp>
 #include <memory>
@@ -11,11 +11,11 @@
 
 namespace crankspur::standin {
 
-/// @return the answer to one request.
-http::Response answerKvStore(const http::Request& request, KvStoreModel& model);
+/// @return the response to one request.
+http::Response handleKvStoreRequest(const http::Request& request, KvStoreModel& model);
 
 /// Listens on "IP:port"; `model` must outlive the server.
-/// @return the server, or empty with `error` set.
+/// @return the server, or nullptr with `error` set.
 std::unique_ptr<http::Server> serveKvStore(const boost::asio::any_io_executor& executor,
                                            const std::string& address, KvStoreModel& model,
                                            std::error_code& error);
--- a/tests/integration/sidecar/sidecar_process_test.cc
+++ b/tests/integration/sidecar/sidecar_process_test.cc
@@ -9,7 +9,7 @@
 #include "integration/http_call.h"
 #include "integration/router/router_site.h"
 #include "prefix_index/block_hash.h"
-#include "standins/engine/answer_text.h"
+#include "standins/engine/completion_text.h"
 
 using namespace crankspur;
 using namespace crankspur::testing;
@@ -62,7 +62,7 @@
 
 std::string expectedText(const std::string& prompt, int max_tokens) {
   const std::string text = canonicalMessage("user", prompt) + std::string(kAssistantTurn);
-  return standin::expectedAnswer("m", "w1", "", text, static_cast<std::uint64_t>(max_tokens)).text;
+  return standin::expectedCompletion("m", "w1", "", text, static_cast<std::uint64_t>(max_tokens)).text;
 }
 
 /// Text of a stream of chunks, and whether it ended with [DONE].
--- a/tests/integration/standin_processes_test.cc
+++ b/tests/integration/standin_processes_test.cc
@@ -10,7 +10,7 @@
 #include "integration/process.h"
 #include "json/json_reader.h"
 #include "prefix_index/block_hash.h"
-#include "standins/engine/answer_text.h"
+#include "standins/engine/completion_text.h"
 
 namespace crankspur::testing {
 namespace {
@@ -89,8 +89,8 @@
   Process engine("standin_engine", {"--decode_step_ms=5"}, folder + "/engine.log");
   BackgroundCall stream(addressOf(engine), post(completion("r1", 40)));
   REQUIRE(eventually([&] { return stream.bodySoFar().find("tokens") != std::string::npos; }));
-  const standin::ExpectedAnswer expected =
-      standin::expectedAnswer("small", "w1", "", std::string(6400, 'p'), 40);
+  const standin::ExpectedCompletion expected =
+      standin::expectedCompletion("small", "w1", "", std::string(6400, 'p'), 40);
   SECTION("stop") {
     engine.signal(SIGTERM);
     CHECK(engine.wait(std::chrono::seconds(15)) == 0);
--- a/tests/unit/app_runner/app_runner_client_test.cc
+++ b/tests/unit/app_runner/app_runner_client_test.cc
@@ -72,7 +72,7 @@
 
 TEST_CASE("a lost answer is a loss with bytes sent and is not repeated", "[app_runner]") {
   RunnerFixture fixture;
-  fixture.model.loseAnswers(1);
+  fixture.model.loseResponses(1);
   const std::vector<BackendEvent> events = fixture.execute("order", fixture.address());
   REQUIRE(events.size() == 1);
   CHECK(std::get<BackendLost>(events[0]).bytes_sent);
--- a/tests/unit/standin_app_runner/app_runner_model_test.cc
+++ b/tests/unit/standin_app_runner/app_runner_model_test.cc
@@ -36,13 +36,14 @@
   CHECK(runner.executions().at({"camp", "k1"}) == 1);
   const std::vector<RunnerOutput> outputs = runner.takeOutputs();
   REQUIRE(outputs.size() == 3);
-  CHECK(std::get<ExecutionDone>(outputs[1].answer).execution == 2);
-  CHECK(std::get<ExecutionDone>(outputs[0].answer).result == expectedResult("parts", "order", "two keels"));
+  CHECK(std::get<ExecutionDone>(outputs[1].response).execution == 2);
+  CHECK(std::get<ExecutionDone>(outputs[0].response).result == expectedResult("parts", "order", "two keels"));
 }
 
-TEST_CASE("a lost answer has run and a lost request has not", "[standin_app_runner]") {
+TEST_CASE("an operation with a lost response has run and one with a lost request has not",
+          "[standin_app_runner]") {
   AppRunnerModel runner = makeRunner();
-  runner.loseAnswers(1);
+  runner.loseResponses(1);
   runner.execute(1, order("k1"), kStart);
   runner.loseRequests(1);
   runner.execute(2, order("k2"), kStart);
@@ -50,7 +51,7 @@
   CHECK(runner.executions().size() == 1);
   CHECK(runner.executions().count({"parts", "k1"}) == 1);
   for (const RunnerOutput& output : runner.takeOutputs()) {
-    CHECK(std::holds_alternative<ExecutionCut>(output.answer));
+    CHECK(std::holds_alternative<ConnectionAborted>(output.response));
   }
 }
 
@@ -63,12 +64,12 @@
   runner.execute(2, order("k1"), kStart);
   const std::vector<RunnerOutput> outputs = runner.takeOutputs();
   REQUIRE(outputs.size() == 2);
-  CHECK(std::get<ExecutionRefused>(outputs[0].answer).code == ErrorCode::InvalidRequest);
-  CHECK(std::get<ExecutionRefused>(outputs[1].answer).code == ErrorCode::Stopping);
+  CHECK(std::get<ExecutionRefused>(outputs[0].response).code == ErrorCode::InvalidRequest);
+  CHECK(std::get<ExecutionRefused>(outputs[1].response).code == ErrorCode::Stopping);
   CHECK_FALSE(runner.nextTimer());
 }
 
-TEST_CASE("a crash drops what has not run and keeps the counts", "[standin_app_runner]") {
+TEST_CASE("a crash drops pending operations and keeps the counts", "[standin_app_runner]") {
   AppRunnerModel runner = makeRunner();
   const std::uint64_t before = runner.incarnation();
   runner.execute(1, order("k1"), kStart);
@@ -78,10 +79,10 @@
   runner.onTimer(kStart + seconds(9));
   CHECK(runner.incarnation() != before);
   CHECK(runner.totalExecutions() == 1);
-  CHECK(std::holds_alternative<ExecutionCut>(runner.takeOutputs().back().answer));
+  CHECK(std::holds_alternative<ConnectionAborted>(runner.takeOutputs().back().response));
 }
 
-TEST_CASE("a frozen runner runs nothing until it thaws", "[standin_app_runner]") {
+TEST_CASE("a frozen runner executes no operation until it thaws", "[standin_app_runner]") {
   AppRunnerModel runner = makeRunner();
   runner.execute(1, order("k1"), kStart);
   runner.freeze(kStart + milliseconds(10));
--- a/tests/unit/standin_engine/engine_driver.h
+++ b/tests/unit/standin_engine/engine_driver.h
@@ -11,7 +11,7 @@
 
 namespace crankspur::standin {
 
-/// What one stream has told so far.
+/// The events received on one stream so far.
 struct StreamLog {
   std::vector<StreamAccepted> accepted;
   std::vector<StreamRefused> refused;
@@ -19,10 +19,10 @@
   std::string text;
   std::uint64_t next_offset = 0;
   bool contiguous = true;
-  bool cut = false;
+  bool aborted = false;
 };
 
-/// An engine, its virtual clock and what its streams told.
+/// An engine, its virtual clock and the events of its streams.
 class EngineDriver {
 public:
   explicit EngineDriver(EngineTimings timings = {}, EngineOptions options = oneModel())
@@ -49,33 +49,33 @@
   StreamId submit(const CompletionRequest& request) {
     const StreamId stream = ++last_stream_;
     model.submit(stream, request, now);
-    take();
+    collectOutputs();
     return stream;
   }
 
   StreamId resume(const ResumeRequest& request) {
     const StreamId stream = ++last_stream_;
     model.resume(stream, request, now);
-    take();
+    collectOutputs();
     return stream;
   }
 
-  /// Lets `duration` pass, timer by timer.
-  void pass(Duration duration) {
+  /// Advances the clock by `duration`, running each timer when it is due.
+  void advance(Duration duration) {
     const TimePoint end = now + duration;
     while (true) {
       const auto due = model.nextTimer();
       if (!due || *due > end) break;
       now = std::max(now, *due);
       model.onTimer(now);
-      take();
+      collectOutputs();
     }
     now = end;
   }
 
-  void take() {
+  void collectOutputs() {
     for (const EngineOutput& output : model.takeOutputs()) {
-      if (const auto* event = std::get_if<StreamOutput>(&output)) note(*event);
+      if (const auto* event = std::get_if<StreamOutput>(&output)) recordEvent(*event);
       if (const auto* query = std::get_if<WeightsQuery>(&output)) weights_queries.push_back(*query);
       if (const auto* query = std::get_if<ImportQuery>(&output)) import_queries.push_back(*query);
     }
@@ -95,12 +95,12 @@
   std::vector<ImportQuery> import_queries;
 
 private:
-  void note(const StreamOutput& output) {
+  void recordEvent(const StreamOutput& output) {
     StreamLog& log = streams[output.stream];
     if (const auto* accepted = std::get_if<StreamAccepted>(&output.event)) log.accepted.push_back(*accepted);
     if (const auto* refused = std::get_if<StreamRefused>(&output.event)) log.refused.push_back(*refused);
     if (const auto* finished = std::get_if<StreamFinished>(&output.event)) log.finished.push_back(*finished);
-    if (std::holds_alternative<StreamCut>(output.event)) log.cut = true;
+    if (std::holds_alternative<StreamAborted>(output.event)) log.aborted = true;
     if (const auto* tokens = std::get_if<StreamTokens>(&output.event)) {
       if (log.text.empty()) log.next_offset = tokens->offset;
       log.contiguous = log.contiguous && tokens->offset == log.next_offset;
--- a/tests/unit/standin_engine/engine_model_test.cc
+++ b/tests/unit/standin_engine/engine_model_test.cc
@@ -9,13 +9,13 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_CASE("a completion gives the expected answer in order", "[standin_engine]") {
+TEST_CASE("a completion streams the expected text in order", "[standin_engine]") {
   EngineDriver engine;
   const CompletionRequest request = EngineDriver::request("r1", 1000, 20);
   const StreamId stream = engine.submit(request);
-  engine.pass(seconds(5));
+  engine.advance(seconds(5));
   const StreamLog& log = engine.streams[stream];
-  const ExpectedAnswer expected = expectedAnswer("small", "w1", "", request.prompt, 20);
+  const ExpectedCompletion expected = expectedCompletion("small", "w1", "", request.prompt, 20);
   REQUIRE(log.accepted.size() == 1);
   REQUIRE(log.finished.size() == 1);
   CHECK(log.contiguous);
@@ -26,25 +26,25 @@
   CHECK(engine.model.inFlight() == 0);
 }
 
-TEST_CASE("the answer depends on model, weights, adapter and prompt", "[standin_engine]") {
-  const std::string text = expectedAnswer("m", "w", "a", "prompt", 20).text;
-  CHECK(expectedAnswer("n", "w", "a", "prompt", 20).text != text);
-  CHECK(expectedAnswer("m", "v", "a", "prompt", 20).text != text);
-  CHECK(expectedAnswer("m", "w", "", "prompt", 20).text != text);
-  CHECK(expectedAnswer("m", "w", "a", "prompts", 20).text != text);
-  CHECK(expectedAnswer("m", "w", "a", "prompt", 10).text == text.substr(0, 40));
+TEST_CASE("the generated text depends on model, weights, adapter and prompt", "[standin_engine]") {
+  const std::string text = expectedCompletion("m", "w", "a", "prompt", 20).text;
+  CHECK(expectedCompletion("n", "w", "a", "prompt", 20).text != text);
+  CHECK(expectedCompletion("m", "v", "a", "prompt", 20).text != text);
+  CHECK(expectedCompletion("m", "w", "", "prompt", 20).text != text);
+  CHECK(expectedCompletion("m", "w", "a", "prompts", 20).text != text);
+  CHECK(expectedCompletion("m", "w", "a", "prompt", 10).text == text.substr(0, 40));
 }
 
-TEST_CASE("a second request with the prefix recomputes the rest only", "[standin_engine]") {
+TEST_CASE("a second request with a cached prefix computes only the remainder", "[standin_engine]") {
   EngineDriver engine;
   CompletionRequest first = EngineDriver::request("r1", 1600);
   engine.submit(first);
-  engine.pass(seconds(5));
+  engine.advance(seconds(5));
   CompletionRequest second = first;
   second.request_id = "r2";
   second.prompt += std::string(64 * kBytesPerToken, 'q');
   const StreamId stream = engine.submit(second);
-  engine.pass(seconds(5));
+  engine.advance(seconds(5));
   CHECK(engine.streams[stream].accepted[0].cached_tokens == 1600);
   CHECK(engine.record("r2").cached_tokens == 1600);
   CHECK(engine.record("r2").recomputed_tokens == 64);
@@ -54,72 +54,72 @@
   CHECK(engine.record("r2").used_blocks[0].blocks == 100);
 }
 
-TEST_CASE("a prompt that goes on from an answer finds the answer cached", "[standin_engine]") {
+TEST_CASE("a prompt that continues a completion finds its text cached", "[standin_engine]") {
   EngineDriver engine;
   CompletionRequest first = EngineDriver::request("r1", 160, 32);
   const StreamId stream = engine.submit(first);
-  engine.pass(seconds(5));
+  engine.advance(seconds(5));
   CompletionRequest second = first;
   second.request_id = "r2";
   second.prompt += engine.streams[stream].text + "and then?";
   engine.submit(second);
-  engine.pass(seconds(5));
+  engine.advance(seconds(5));
   CHECK(engine.record("r2").cached_tokens == 192);
 }
 
-TEST_CASE("no entry serves another tenant, adapter or weights", "[standin_engine]") {
+TEST_CASE("no cache entry serves another tenant, adapter or weights version", "[standin_engine]") {
   EngineDriver engine;
   engine.submit(EngineDriver::request("r1", 1600));
-  engine.pass(seconds(5));
+  engine.advance(seconds(5));
   CompletionRequest other_tenant = EngineDriver::request("r2", 1600);
   other_tenant.tenant = "camp";
   CompletionRequest other_adapter = EngineDriver::request("r3", 1600);
   other_adapter.adapter = "franchise";
   engine.submit(other_tenant);
   engine.submit(other_adapter);
-  engine.pass(seconds(5));
+  engine.advance(seconds(5));
   CHECK(engine.record("r2").cached_tokens == 0);
   CHECK(engine.record("r3").cached_tokens == 0);
 }
 
-TEST_CASE("a cache without scopes shows up in the record", "[standin_engine]") {
+TEST_CASE("a cache without scopes is visible in the request record", "[standin_engine]") {
   EngineOptions options = EngineDriver::oneModel();
   options.scope_cache_entries = false;
   EngineDriver engine({}, options);
   engine.submit(EngineDriver::request("r1", 1600));
-  engine.pass(seconds(5));
+  engine.advance(seconds(5));
   CompletionRequest other_tenant = EngineDriver::request("r2", 1600);
   other_tenant.tenant = "camp";
   engine.submit(other_tenant);
-  engine.pass(seconds(5));
+  engine.advance(seconds(5));
   const RequestRecord& record = engine.record("r2");
   REQUIRE(record.used_blocks.size() == 1);
   CHECK(record.used_blocks[0].scope->tenant == "parts");
   CHECK(record.scope->tenant == "camp");
 }
 
-TEST_CASE("requests beyond memory are evicted, never those in use", "[standin_engine]") {
+TEST_CASE("unused blocks are evicted when memory is full, blocks in use never", "[standin_engine]") {
   EngineTimings timings;
   timings.cache_blocks = 150;
   EngineDriver engine(timings);
   CompletionRequest first = EngineDriver::request("r1", 1600);
   engine.submit(first);
-  engine.pass(seconds(5));
+  engine.advance(seconds(5));
   CompletionRequest other = EngineDriver::request("r2", 1600);
   other.tenant = "camp";
   engine.submit(other);
-  engine.pass(seconds(5));
+  engine.advance(seconds(5));
   CHECK(engine.model.totals().evicted_blocks >= 50);
   CompletionRequest again = first;
   again.request_id = "r3";
   engine.submit(again);
-  engine.pass(seconds(5));
+  engine.advance(seconds(5));
   CHECK(engine.record("r3").cached_tokens < 1600 - 16);
   CHECK(engine.record("r3").outcome == RunOutcome::Finished);
   CHECK(engine.model.load(engine.now).cache_blocks_used <= 150);
 }
 
-TEST_CASE("more urgent requests are prefilled first", "[standin_engine]") {
+TEST_CASE("requests of higher priority are prefilled first", "[standin_engine]") {
   EngineDriver engine;
   const auto submit = [&engine](const std::string& id, std::uint32_t priority) {
     CompletionRequest request = EngineDriver::request(id, 4000);
@@ -130,7 +130,7 @@
   submit("running", 1);
   submit("late", 2);
   submit("urgent", 0);
-  engine.pass(seconds(10));
+  engine.advance(seconds(10));
   CHECK(engine.record("urgent").first_token < engine.record("running").first_token);
   CHECK(engine.record("running").first_token < engine.record("late").first_token);
 }
@@ -144,14 +144,14 @@
     request.prompt[0] = static_cast<char>('a' + index);
     engine.submit(request);
   }
-  engine.pass(milliseconds(300));
+  engine.advance(milliseconds(300));
   CHECK(engine.model.load(engine.now).running_requests == 4);
   CHECK(engine.model.load(engine.now).queued_requests == 2);
-  engine.pass(seconds(5));
+  engine.advance(seconds(5));
   CHECK(engine.model.records().size() == 6);
 }
 
-TEST_CASE("a full queue refuses with not_run and when to come back", "[standin_engine]") {
+TEST_CASE("a full queue refuses with not_run and a retry delay", "[standin_engine]") {
   EngineTimings timings;
   timings.queue_tokens = 5000;
   EngineDriver engine(timings);
@@ -164,7 +164,7 @@
   CHECK(log.refused[0].retry_after > Duration{0});
 }
 
-TEST_CASE("expectations that do not hold are refused with not_run", "[standin_engine]") {
+TEST_CASE("requests whose expectations do not match are refused", "[standin_engine]") {
   EngineDriver engine;
   CompletionRequest request = EngineDriver::request("r1", 100);
   request.expect_incarnation = engine.model.incarnation() + 1;
@@ -184,62 +184,62 @@
   CHECK(engine.model.records().empty());
 }
 
-TEST_CASE("a cut stream is resumed at an offset with the same text", "[standin_engine]") {
+TEST_CASE("a disconnected stream is resumed at an offset with the same text", "[standin_engine]") {
   EngineDriver engine;
   const CompletionRequest request = EngineDriver::request("r1", 160, 30);
-  const ExpectedAnswer expected = expectedAnswer("small", "w1", "", request.prompt, 30);
+  const ExpectedCompletion expected = expectedCompletion("small", "w1", "", request.prompt, 30);
   const StreamId first = engine.submit(request);
-  engine.pass(milliseconds(200));
-  const std::uint64_t got = engine.streams[first].next_offset;
-  REQUIRE(got > 2);
-  engine.model.streamClosed(first, engine.now);
-  SECTION("while it runs") {
-    engine.pass(milliseconds(100));
+  engine.advance(milliseconds(200));
+  const std::uint64_t received = engine.streams[first].next_offset;
+  REQUIRE(received > 2);
+  engine.model.onStreamClosed(first, engine.now);
+  SECTION("while the request runs") {
+    engine.advance(milliseconds(100));
   }
-  SECTION("after it finished") {
-    engine.pass(seconds(4));
+  SECTION("after the request finished") {
+    engine.advance(seconds(4));
   }
-  const StreamId second = engine.resume({"r1", 2, engine.model.incarnation(), got - 1});
-  engine.pass(seconds(4));
+  const StreamId second = engine.resume({"r1", 2, engine.model.incarnation(), received - 1});
+  engine.advance(seconds(4));
   const StreamLog& log = engine.streams[second];
   CHECK(log.contiguous);
-  CHECK(log.text == expected.text.substr((got - 1) * kBytesPerToken));
+  CHECK(log.text == expected.text.substr((received - 1) * kBytesPerToken));
   REQUIRE(log.finished.size() == 1);
   CHECK(log.finished[0].checksum == expected.checksum);
 }
 
-TEST_CASE("a continuation at another engine gives the same text", "[standin_engine]") {
+TEST_CASE("a continuation at another engine generates the same text", "[standin_engine]") {
   EngineDriver engine;
   CompletionRequest request = EngineDriver::request("r1", 160, 30);
-  const ExpectedAnswer expected = expectedAnswer("small", "w1", "", request.prompt, 30);
+  const ExpectedCompletion expected = expectedCompletion("small", "w1", "", request.prompt, 30);
   request.resume_offset = 12;
   request.resume_text = expected.text.substr(0, 48);
   const StreamId stream = engine.submit(request);
-  engine.pass(seconds(4));
+  engine.advance(seconds(4));
   CHECK(engine.streams[stream].text == expected.text.substr(48));
   CHECK(engine.streams[stream].finished.at(0).checksum == expected.checksum);
   CHECK(engine.streams[stream].finished.at(0).token_count == 30);
 }
 
-TEST_CASE("a request without a reader ends after a while and is then unknown", "[standin_engine]") {
+TEST_CASE("a request without a reader ends after a timeout and is then unknown", "[standin_engine]") {
   EngineTimings timings;
-  timings.orphan_kept = seconds(1);
+  timings.orphan_timeout = seconds(1);
   EngineDriver engine(timings);
   const StreamId stream = engine.submit(EngineDriver::request("r1", 160, 4000));
-  engine.pass(milliseconds(300));
-  engine.model.streamClosed(stream, engine.now);
-  engine.pass(seconds(2));
+  engine.advance(milliseconds(300));
+  engine.model.onStreamClosed(stream, engine.now);
+  engine.advance(seconds(2));
   CHECK(engine.record("r1").outcome == RunOutcome::Orphaned);
   const StreamId again = engine.resume({"r1", 2, 0, 0});
   CHECK(engine.streams[again].refused.at(0).ran == RanState::Unknown);
 }
 
-TEST_CASE("a cancel stops the newest attempt only", "[standin_engine]") {
+TEST_CASE("a cancel applies only to the latest attempt", "[standin_engine]") {
   EngineDriver engine;
   const StreamId first = engine.submit(EngineDriver::request("r1", 160, 1000));
-  engine.pass(milliseconds(200));
+  engine.advance(milliseconds(200));
   engine.resume({"r1", 2, 0, 0});
-  CHECK(engine.streams[first].cut);
+  CHECK(engine.streams[first].aborted);
   engine.model.cancel("r1", 1, engine.now);
   CHECK(engine.model.inFlight() == 1);
   engine.model.cancel("r1", 2, engine.now);
@@ -247,37 +247,37 @@
   CHECK(engine.record("r1").outcome == RunOutcome::Cancelled);
 }
 
-TEST_CASE("a crash cuts streams, empties the cache and changes the incarnation", "[standin_engine]") {
+TEST_CASE("a crash aborts streams, clears the cache and changes the incarnation", "[standin_engine]") {
   EngineDriver engine;
   const std::uint64_t before = engine.model.incarnation();
   engine.submit(EngineDriver::request("r1", 1600));
-  engine.pass(seconds(5));
+  engine.advance(seconds(5));
   const StreamId stream = engine.submit(EngineDriver::request("r2", 1600, 1000));
-  engine.pass(milliseconds(100));
+  engine.advance(milliseconds(100));
   engine.model.crash(engine.now);
-  engine.take();
-  CHECK(engine.streams[stream].cut);
+  engine.collectOutputs();
+  CHECK(engine.streams[stream].aborted);
   CHECK(engine.record("r2").outcome == RunOutcome::Crashed);
   CHECK(engine.model.incarnation() != before);
   CHECK(engine.model.cacheDigest(engine.now).blocks.empty());
   CHECK(engine.resume({"r2", 2, 0, 0}) != 0);
   engine.submit(EngineDriver::request("r3", 1600));
-  engine.pass(seconds(5));
+  engine.advance(seconds(5));
   CHECK(engine.record("r3").cached_tokens == 0);
 }
 
 TEST_CASE("a frozen engine makes no progress until it thaws", "[standin_engine]") {
   EngineDriver engine;
   const StreamId stream = engine.submit(EngineDriver::request("r1", 160, 30));
-  engine.pass(milliseconds(200));
-  const std::uint64_t got = engine.streams[stream].next_offset;
+  engine.advance(milliseconds(200));
+  const std::uint64_t received = engine.streams[stream].next_offset;
   engine.model.freeze(engine.now);
-  engine.pass(seconds(30));
-  CHECK(engine.streams[stream].next_offset == got);
+  engine.advance(seconds(30));
+  CHECK(engine.streams[stream].next_offset == received);
   engine.model.thaw(engine.now);
-  engine.pass(milliseconds(50));
-  CHECK(engine.streams[stream].next_offset <= got + 3);
-  engine.pass(seconds(3));
+  engine.advance(milliseconds(50));
+  CHECK(engine.streams[stream].next_offset <= received + 3);
+  engine.advance(seconds(3));
   CHECK(engine.streams[stream].finished.size() == 1);
 }
 
@@ -286,13 +286,13 @@
     EngineDriver engine;
     engine.model.setSlowdown(slowdown);
     engine.submit(EngineDriver::request("r1", 1600, 20));
-    engine.pass(seconds(60));
+    engine.advance(seconds(60));
     return engine.record("r1").ended - engine.record("r1").arrived;
   };
   CHECK(toSeconds(timeOf(4)) == Approx(4 * toSeconds(timeOf(1))));
 }
 
-TEST_CASE("an import saves the prefill of what the source holds", "[standin_engine]") {
+TEST_CASE("an import avoids the prefill of the blocks that the source has", "[standin_engine]") {
   EngineDriver engine;
   CompletionRequest request = EngineDriver::request("r1", 1600);
   request.import_from = "127.0.0.1:1";
@@ -300,17 +300,17 @@
   engine.submit(request);
   REQUIRE(engine.import_queries.size() == 1);
   CHECK(engine.import_queries[0].blocks.size() == 90);
-  SECTION("it holds a part") {
-    engine.model.importAnswered("r1", 1, 50, 99, engine.now);
-    engine.pass(seconds(3));
+  SECTION("the source has some of the blocks") {
+    engine.model.onImportResponse("r1", 1, 50, 99, engine.now);
+    engine.advance(seconds(3));
     CHECK(engine.record("r1").imported_tokens == 800);
     CHECK(engine.record("r1").recomputed_tokens == 800);
     REQUIRE(engine.record("r1").used_blocks.size() == 1);
     CHECK(engine.record("r1").used_blocks[0].incarnation == 99);
     CHECK(engine.record("r1").used_blocks[0].imported);
   }
-  SECTION("it never answers") {
-    engine.pass(seconds(3));
+  SECTION("the source does not respond") {
+    engine.advance(seconds(3));
     CHECK(engine.record("r1").recomputed_tokens == 1600);
   }
   CHECK(engine.record("r1").outcome == RunOutcome::Finished);
--- a/tests/unit/standin_engine/engine_orders_test.cc
+++ b/tests/unit/standin_engine/engine_orders_test.cc
@@ -36,41 +36,42 @@
   CHECK(engine.model.order(order, engine.now) == ErrorCode::IncarnationMismatch);
 }
 
-TEST_CASE("new weights load after running requests end and drop old blocks", "[standin_engine]") {
+TEST_CASE("new weights are loaded after running requests end and invalidate cached blocks",
+          "[standin_engine]") {
   EngineDriver engine;
   const StreamId running = engine.submit(EngineDriver::request("r1", 1600, 50));
-  engine.pass(milliseconds(300));
+  engine.advance(milliseconds(300));
   engine.model.order(loadWeights(1, "w2"), engine.now);
-  engine.take();
+  engine.collectOutputs();
   CHECK(engine.weights_queries.empty());
   CHECK(engine.streams[engine.submit(EngineDriver::request("r2", 100))].refused.at(0).code ==
         ErrorCode::WeightsMismatch);
   CHECK(engine.model.info().models.empty());
-  engine.pass(seconds(5));
+  engine.advance(seconds(5));
   CHECK(engine.streams[running].finished.size() == 1);
   REQUIRE(engine.weights_queries.size() == 1);
-  engine.model.weightsAnswered("small", "w2", seconds(8), engine.now);
-  engine.pass(seconds(9));
+  engine.model.onWeightsResponse("small", "w2", seconds(8), engine.now);
+  engine.advance(seconds(9));
   REQUIRE(engine.model.info().models.size() == 1);
   CHECK(engine.model.info().models[0].weights_version == "w2");
   CHECK(engine.model.cacheDigest(engine.now).blocks.empty());
   const StreamId stream = engine.submit(EngineDriver::request("r3", 1600));
-  engine.pass(seconds(5));
+  engine.advance(seconds(5));
   CHECK(engine.record("r3").cached_tokens == 0);
   CHECK(engine.streams[stream].accepted.at(0).weights_version == "w2");
 }
 
-TEST_CASE("weights are asked for again after the store gave no answer", "[standin_engine]") {
+TEST_CASE("the weights query is retried if the weight store does not respond", "[standin_engine]") {
   EngineDriver engine;
   engine.model.order(loadWeights(1, "w2"), engine.now);
-  engine.take();
+  engine.collectOutputs();
   REQUIRE(engine.weights_queries.size() == 1);
-  engine.model.weightsAnswered("small", "w2", std::nullopt, engine.now);
-  engine.pass(seconds(3));
+  engine.model.onWeightsResponse("small", "w2", std::nullopt, engine.now);
+  engine.advance(seconds(3));
   CHECK(engine.weights_queries.size() == 2);
 }
 
-TEST_CASE("an adapter serves once it is loaded", "[standin_engine]") {
+TEST_CASE("an adapter is served once it is loaded", "[standin_engine]") {
   EngineDriver engine;
   CompletionRequest request = EngineDriver::request("r1", 100);
   request.adapter = "holiday";
@@ -81,11 +82,11 @@
   order.model = "small";
   order.adapter = "holiday";
   CHECK(engine.model.order(order, engine.now) == ErrorCode::Ok);
-  engine.pass(seconds(2));
+  engine.advance(seconds(2));
   CHECK(engine.streams[engine.submit(request)].accepted.size() == 1);
 }
 
-TEST_CASE("a leaving engine finishes its work and takes none", "[standin_engine]") {
+TEST_CASE("a draining engine finishes its requests and refuses new ones", "[standin_engine]") {
   EngineDriver engine;
   const StreamId running = engine.submit(EngineDriver::request("r1", 160));
   EngineOrder drain;
@@ -95,17 +96,17 @@
   const StreamId refused = engine.submit(EngineDriver::request("r2", 160));
   CHECK(engine.streams[refused].refused.at(0).code == ErrorCode::Stopping);
   CHECK(engine.streams[refused].refused.at(0).ran == RanState::NotRun);
-  engine.pass(seconds(3));
+  engine.advance(seconds(3));
   CHECK(engine.streams[running].finished.size() == 1);
 }
 
-TEST_CASE("cache events come late and in order", "[standin_engine]") {
+TEST_CASE("cache events become visible after a delay and in order", "[standin_engine]") {
   EngineDriver engine;
   engine.submit(EngineDriver::request("r1", 1600));
-  engine.pass(milliseconds(150));
+  engine.advance(milliseconds(150));
   CHECK(engine.model.cacheChanges(0, engine.now).events.empty());
   CHECK(engine.model.nextCacheChange(0).has_value());
-  engine.pass(seconds(3));
+  engine.advance(seconds(3));
   const CacheChanges changes = engine.model.cacheChanges(0, engine.now);
   std::vector<BlockHash> stored;
   std::uint64_t expected = 0;
@@ -131,18 +132,18 @@
     request.tenant = request.request_id;
     engine.submit(request);
   }
-  engine.pass(seconds(10));
+  engine.advance(seconds(10));
   const CacheChanges changes = engine.model.cacheChanges(0, engine.now);
   CHECK(changes.last_sequence >= 20);
   CHECK(changes.events.size() < changes.last_sequence);
   CHECK_FALSE(changes.events.empty());
 }
 
-TEST_CASE("the load report lags", "[standin_engine]") {
+TEST_CASE("the load report lags by the configured time", "[standin_engine]") {
   EngineTimings timings;
   timings.load_lag = milliseconds(500);
   EngineDriver engine(timings);
-  engine.pass(seconds(1));
+  engine.advance(seconds(1));
   engine.submit(EngineDriver::request("r1", 4000));
   engine.submit(EngineDriver::request("r2", 4000));
   CHECK(engine.model.load(engine.now).running_requests == 0);
@@ -162,9 +163,9 @@
       CompletionRequest request = EngineDriver::request("r" + std::to_string(index), 1000);
       request.prompt[2000] = static_cast<char>('a' + index);
       engine.submit(request);
-      engine.pass(milliseconds(100));
+      engine.advance(milliseconds(100));
     }
-    engine.pass(seconds(10));
+    engine.advance(seconds(10));
     std::vector<std::uint64_t> trace;
     for (const CacheChange& change : engine.model.cacheChanges(0, engine.now).events) {
       trace.push_back(change.sequence);
--- a/tests/unit/standin_engine_server/engine_client_test.cc
+++ b/tests/unit/standin_engine_server/engine_client_test.cc
@@ -7,66 +7,66 @@
 namespace crankspur::standin {
 namespace {
 
-TEST_CASE("a completion streams the expected answer", "[engine]") {
+TEST_CASE("a completion streams the expected text", "[engine]") {
   EngineFixture fixture;
   const DispatchCompletion dispatch = fixture.dispatch("r1");
-  Told told;
-  const auto stream = fixture.client->complete(dispatch, told.handler());
-  fixture.runUntil([&] { return told.over(); });
-  const ExpectedAnswer expected = expectedAnswer("small", "w1", "", dispatch.request.prompt, 20);
-  CHECK(told.text == expected.text);
-  CHECK(std::get<BackendAccepted>(told.events.front()).incarnation == fixture.model.incarnation());
-  CHECK(std::get<BackendEnd>(told.events.back()).checksum == expected.checksum);
+  EventRecorder recorder;
+  const auto stream = fixture.client->complete(dispatch, recorder.handler());
+  fixture.runUntil([&] { return recorder.ended(); });
+  const ExpectedCompletion expected = expectedCompletion("small", "w1", "", dispatch.request.prompt, 20);
+  CHECK(recorder.text == expected.text);
+  CHECK(std::get<BackendAccepted>(recorder.events.front()).incarnation == fixture.model.incarnation());
+  CHECK(std::get<BackendEnd>(recorder.events.back()).checksum == expected.checksum);
 }
 
-TEST_CASE("refusals say not run, unknown requests do not", "[engine]") {
+TEST_CASE("a refusal reports not_run, an unknown request does not", "[engine]") {
   EngineFixture fixture;
   DispatchCompletion dispatch = fixture.dispatch("r1");
   dispatch.expected_incarnation = 1;
-  Told refused;
+  EventRecorder refused;
   const auto stream = fixture.client->complete(dispatch, refused.handler());
-  fixture.runUntil([&] { return refused.over(); });
+  fixture.runUntil([&] { return refused.ended(); });
   CHECK(std::get<BackendRefused>(refused.events.at(0)).code == ErrorCode::IncarnationMismatch);
-  Told unknown;
+  EventRecorder unknown;
   const auto resumed = fixture.client->resume(fixture.address(), {"r9", 1, 0, 0}, unknown.handler());
-  fixture.runUntil([&] { return unknown.over(); });
+  fixture.runUntil([&] { return unknown.ended(); });
   CHECK(std::get<BackendLost>(unknown.events.at(0)).bytes_sent);
 }
 
-TEST_CASE("an overloaded engine tells when to come back", "[engine]") {
+TEST_CASE("an overloaded engine returns a retry delay", "[engine]") {
   EngineTimings timings;
   timings.queue_tokens = 0;
   EngineFixture fixture(timings);
-  Told first, second, third;
+  EventRecorder first, second, third;
   const auto a = fixture.client->complete(fixture.dispatch("r1", 1000), first.handler());
   const auto b = fixture.client->complete(fixture.dispatch("r2", 1000), second.handler());
   const auto c = fixture.client->complete(fixture.dispatch("r3", 1000), third.handler());
-  const auto refused = [](const Told& told) {
-    return !told.events.empty() && std::holds_alternative<BackendRefused>(told.events[0]);
+  const auto refused = [](const EventRecorder& recorder) {
+    return !recorder.events.empty() && std::holds_alternative<BackendRefused>(recorder.events[0]);
   };
   fixture.runUntil([&] { return refused(first) || refused(second) || refused(third); });
-  for (const Told* told : {&first, &second, &third}) {
-    if (!refused(*told)) continue;
-    CHECK(std::get<BackendRefused>(told->events[0]).code == ErrorCode::Overloaded);
-    CHECK(std::get<BackendRefused>(told->events[0]).retry_after > Duration{0});
+  for (const EventRecorder* recorder : {&first, &second, &third}) {
+    if (!refused(*recorder)) continue;
+    CHECK(std::get<BackendRefused>(recorder->events[0]).code == ErrorCode::Overloaded);
+    CHECK(std::get<BackendRefused>(recorder->events[0]).retry_after > Duration{0});
   }
 }
 
-TEST_CASE("a failed connect is lost without bytes sent", "[engine]") {
+TEST_CASE("a failed connect is reported as lost without bytes sent", "[engine]") {
   EngineFixture fixture;
   DispatchCompletion dispatch = fixture.dispatch("r1");
   dispatch.address = "127.0.0.1:1";
-  Told told;
-  const auto stream = fixture.client->complete(dispatch, told.handler());
-  fixture.runUntil([&] { return told.over(); });
-  CHECK_FALSE(std::get<BackendLost>(told.events.at(0)).bytes_sent);
+  EventRecorder recorder;
+  const auto stream = fixture.client->complete(dispatch, recorder.handler());
+  fixture.runUntil([&] { return recorder.ended(); });
+  CHECK_FALSE(std::get<BackendLost>(recorder.events.at(0)).bytes_sent);
 }
 
-TEST_CASE("a crash in mid-stream is a loss with bytes sent", "[engine]") {
+TEST_CASE("a crash in mid-stream is reported as lost with bytes sent", "[engine]") {
   EngineFixture fixture;
-  Told told;
-  const auto stream = fixture.client->complete(fixture.dispatch("r1", 4000), told.handler());
-  fixture.runUntil([&] { return told.events.size() > 5; });
+  EventRecorder recorder;
+  const auto stream = fixture.client->complete(fixture.dispatch("r1", 4000), recorder.handler());
+  fixture.runUntil([&] { return recorder.events.size() > 5; });
   bool controlled = false;
   http::Request request;
   request.method = "POST";
@@ -75,57 +75,58 @@
   http::ExchangeCallbacks callbacks;
   callbacks.on_done = [&](std::error_code, http::SendState, const http::Response&) { controlled = true; };
   fixture.http_client->start(fixture.address(), request, callbacks);
-  fixture.runUntil([&] { return told.over() && controlled; });
-  CHECK(std::get<BackendLost>(told.events.back()).bytes_sent);
+  fixture.runUntil([&] { return recorder.ended() && controlled; });
+  CHECK(std::get<BackendLost>(recorder.events.back()).bytes_sent);
   CHECK(fixture.model.records().back().outcome == RunOutcome::Crashed);
 }
 
-TEST_CASE("a closed stream is quiet, goes on at the engine and is resumed", "[engine]") {
+TEST_CASE("a closed stream has no more events, continues at the engine and can be resumed", "[engine]") {
   EngineFixture fixture;
   const DispatchCompletion dispatch = fixture.dispatch("r1", 100);
-  Told first;
+  EventRecorder first;
   auto stream = fixture.client->complete(dispatch, first.handler());
   fixture.runUntil([&] { return first.events.size() > 3; });
   stream.reset();
   const std::size_t events = first.events.size();
-  const std::string got = first.text;
-  Told second;
+  const std::string received_text = first.text;
+  EventRecorder second;
   const auto resumed = fixture.client->resume(
-      fixture.address(), {"r1", 2, fixture.model.incarnation(), got.size() / kBytesPerToken},
+      fixture.address(), {"r1", 2, fixture.model.incarnation(), received_text.size() / kBytesPerToken},
       second.handler());
-  fixture.runUntil([&] { return second.over(); });
+  fixture.runUntil([&] { return second.ended(); });
   CHECK(first.events.size() == events);
-  CHECK(got + second.text == expectedAnswer("small", "w1", "", dispatch.request.prompt, 100).text);
+  CHECK(received_text + second.text ==
+        expectedCompletion("small", "w1", "", dispatch.request.prompt, 100).text);
 }
 
 TEST_CASE("a cancel ends the run at the engine", "[engine]") {
   EngineFixture fixture;
-  Told told;
-  const auto stream = fixture.client->complete(fixture.dispatch("r1", 4000), told.handler());
-  fixture.runUntil([&] { return told.events.size() > 2; });
+  EventRecorder recorder;
+  const auto stream = fixture.client->complete(fixture.dispatch("r1", 4000), recorder.handler());
+  fixture.runUntil([&] { return recorder.events.size() > 2; });
   fixture.client->cancel(fixture.address(), "r1", 1);
   fixture.runUntil([&] { return fixture.model.inFlight() == 0; });
   CHECK(fixture.model.records().back().outcome == RunOutcome::Cancelled);
 }
 
-TEST_CASE("description, load, digest and orders are told in typed form", "[engine]") {
+TEST_CASE("description, load, digest and order responses are decoded", "[engine]") {
   EngineFixture fixture;
-  int answers = 0;
+  int responses = 0;
   fixture.client->fetchInfo(fixture.address(), [&](std::error_code error, const EngineDescription& info) {
     CHECK_FALSE(error);
     CHECK(info.incarnation == fixture.model.incarnation());
     CHECK(info.models.at(0).adapters == std::vector<std::string>{"holiday"});
-    ++answers;
+    ++responses;
   });
   fixture.client->fetchLoad(fixture.address(), [&](std::error_code error, const EngineLoadAnswer& load) {
     CHECK_FALSE(error);
     CHECK(load.report.batch_limit == 32);
-    ++answers;
+    ++responses;
   });
-  fixture.runUntil([&] { return answers == 2; });
+  fixture.runUntil([&] { return responses == 2; });
   std::vector<std::error_code> digests;
-  const auto on_digest = [&](std::error_code error, const CacheDigestAnswer& answer) {
-    if (error) CHECK(answer.retry_after > Duration{0});
+  const auto on_digest = [&](std::error_code error, const CacheDigestAnswer& response) {
+    if (error) CHECK(response.retry_after > Duration{0});
     digests.push_back(error);
   };
   fixture.client->fetchDigest(fixture.address(), on_digest);
@@ -152,30 +153,30 @@
 TEST_CASE("a long poll returns cache events once they are visible", "[engine]") {
   EngineFixture fixture;
   CacheEventsAnswer events;
-  bool answered = false;
+  bool responded = false;
   fixture.client->pollCacheEvents(fixture.address(), 0, std::chrono::seconds(10),
-                                  [&](std::error_code error, const CacheEventsAnswer& answer) {
+                                  [&](std::error_code error, const CacheEventsAnswer& response) {
                                     CHECK_FALSE(error);
-                                    events = answer;
-                                    answered = true;
+                                    events = response;
+                                    responded = true;
                                   });
-  Told told;
-  const auto stream = fixture.client->complete(fixture.dispatch("r1"), told.handler());
-  fixture.runUntil([&] { return answered; });
+  EventRecorder recorder;
+  const auto stream = fixture.client->complete(fixture.dispatch("r1"), recorder.handler());
+  fixture.runUntil([&] { return responded; });
   REQUIRE_FALSE(events.events.empty());
   CHECK(events.events[0].sequence == 1);
   CHECK_FALSE(events.events[0].stored.empty());
 }
 
-TEST_CASE("a leaving server finishes its streams", "[engine]") {
+TEST_CASE("a stopping server finishes its streams", "[engine]") {
   EngineFixture fixture;
-  Told told;
-  const auto stream = fixture.client->complete(fixture.dispatch("r1", 30), told.handler());
-  fixture.runUntil([&] { return told.events.size() > 1; });
+  EventRecorder recorder;
+  const auto stream = fixture.client->complete(fixture.dispatch("r1", 30), recorder.handler());
+  fixture.runUntil([&] { return recorder.events.size() > 1; });
   bool idle = false;
   fixture.server.stop([&] { idle = true; });
-  fixture.runUntil([&] { return idle && told.over(); });
-  CHECK(std::holds_alternative<BackendEnd>(told.events.back()));
+  fixture.runUntil([&] { return idle && recorder.ended(); });
+  CHECK(std::holds_alternative<BackendEnd>(recorder.events.back()));
 }
 
 }  // namespace
--- a/tests/unit/standin_engine_server/engine_fixture.h
+++ b/tests/unit/standin_engine_server/engine_fixture.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file A served engine model and the product's engine client in one io_context.
+/// @file An EngineServer and the EngineClient of the router on one io_context.
 
 #include <boost/asio/io_context.hpp>
 #include <catch2/catch.hpp>
@@ -64,8 +64,8 @@
   std::unique_ptr<EngineClient> client;
 };
 
-/// What a dispatch has told so far.
-struct Told {
+/// Records the events of a dispatch.
+struct EventRecorder {
   std::vector<BackendEvent> events;
   std::string text;
 
@@ -75,7 +75,7 @@
       if (const auto* piece = std::get_if<BackendPiece>(&event)) text += piece->text;
     };
   }
-  bool over() const {
+  bool ended() const {
     if (events.empty()) return false;
     const BackendEvent& last = events.back();
     return std::holds_alternative<BackendEnd>(last) || std::holds_alternative<BackendRefused>(last) ||
--- a/tests/unit/standin_kv_store/kv_store_test.cc
+++ b/tests/unit/standin_kv_store/kv_store_test.cc
@@ -5,7 +5,7 @@
 namespace crankspur::standin {
 namespace {
 
-TEST_CASE("the store holds leading blocks and forgets the least recently used", "[standin_kv_store]") {
+TEST_CASE("the store keeps leading blocks and evicts the least recently used", "[standin_kv_store]") {
   KvStoreModel store(4, 9);
   const std::vector<BlockHash> first = {1, 2};
   const std::vector<BlockHash> second = {3, 4};
@@ -20,19 +20,19 @@
   CHECK(store.used() == 4);
 }
 
-TEST_CASE("bad calls of the store get a clear error", "[standin_kv_store]") {
+TEST_CASE("malformed requests to the store are rejected", "[standin_kv_store]") {
   KvStoreModel store(4, 9);
   http::Request request;
   request.method = "POST";
   request.target = "/v1/kv/put";
   request.body = R"({"blocks":["0000000000000001"]})";
-  CHECK(answerKvStore(request, store).body == R"({"held":1,"incarnation":9})");
+  CHECK(handleKvStoreRequest(request, store).body == R"({"held":1,"incarnation":9})");
   for (const char* body : {"", "[]", "{}", R"({"blocks":[1]})", R"({"blocks":["xyz"]})"}) {
     request.body = body;
-    CHECK(answerKvStore(request, store).status == 400);
+    CHECK(handleKvStoreRequest(request, store).status == 400);
   }
   request.target = "/v1/kv/other";
-  CHECK(answerKvStore(request, store).status == 404);
+  CHECK(handleKvStoreRequest(request, store).status == 404);
 }
 
 }  // namespace
--- a/tools/load/load_call.cc
+++ b/tools/load/load_call.cc
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "base/hash.h"
-#include "standins/engine/answer_text.h"
+#include "standins/engine/completion_text.h"
 
 namespace crankspur::load {
 
@@ -35,8 +35,8 @@
       : kind_(kind), planned_start_(planned_start), done_(std::move(done)) {
     outcome_.tenant = request.tenant;
     outcome_.target = kind;
-    expected_ = standin::expectedAnswer(request.model, request.weights_version, request.adapter,
-                                        request.prompt(), request.max_tokens);
+    expected_ = standin::expectedCompletion(request.model, request.weights_version, request.adapter,
+                                            request.prompt(), request.max_tokens);
   }
 
   void start(http::Client& client, const std::string& address, http::Request request) {
@@ -153,7 +153,7 @@
   TimePoint planned_start_;
   CallDone done_;
   SteadyClock clock_;
-  standin::ExpectedAnswer expected_;
+  standin::ExpectedCompletion expected_;
   CallOutcome outcome_;
   http::EventStreamParser parser_;
   int status_ = 0;
