--- a/standins/app_runner/app_runner_model.cc
+++ b/standins/app_runner/app_runner_model.cc
@@ -24,8 +24,7 @@
 
 void AppRunnerModel::execute(RunnerCallId call, const ExecuteRequest& request, TimePoint now) {
   if (auto refusal = findRefusal(request)) return respond(call, std::move(*refusal));
-  if (faultDue(requests_to_lose_, options_.lose_request_probability))
-    return respond(call, ConnectionAborted{});
+  if (faultDue(requests_to_lose_, options_.lose_request_probability)) return respond(call, CallAborted{});
   const bool lose_response = faultDue(responses_to_lose_, options_.lose_answer_probability);
   pending_.emplace(now + options_.delay, Pending{call, request, lose_response});
 }
@@ -46,7 +45,7 @@
 }
 
 void AppRunnerModel::crash() {
-  for (const auto& [at, pending] : pending_) respond(pending.call, ConnectionAborted{});
+  for (const auto& [at, pending] : pending_) respond(pending.call, CallAborted{});
   pending_.clear();
   incarnation_ = random_.uniform(1, kMaxIncarnation);
   leaving_ = false;
@@ -79,13 +78,13 @@
   const ExecuteRequest& request = pending.request;
   ++total_executions_;
   if (!request.idempotency_key.empty()) ++executions_[{request.tenant, request.idempotency_key}];
-  if (pending.lose_response) return respond(pending.call, ConnectionAborted{});
+  if (pending.lose_response) return respond(pending.call, CallAborted{});
   respond(pending.call,
           ExecutionDone{expectedResult(request.tenant, request.operation, request.body), total_executions_});
 }
 
 void AppRunnerModel::respond(RunnerCallId call,
-                             std::variant<ExecutionDone, ExecutionRefused, ConnectionAborted> response) {
+                             std::variant<ExecutionDone, ExecutionRefused, CallAborted> response) {
   outputs_.push_back({call, std::move(response)});
 }
 
--- a/standins/app_runner/app_runner_model.h
+++ b/standins/app_runner/app_runner_model.h
@@ -50,12 +50,12 @@
   std::string message;
 };
 /// The connection breaks without a response.
-struct ConnectionAborted {};
+struct CallAborted {};
 
 /// Output: the response to a call.
 struct RunnerOutput {
   RunnerCallId call = 0;
-  std::variant<ExecutionDone, ExecutionRefused, ConnectionAborted> response;
+  std::variant<ExecutionDone, ExecutionRefused, CallAborted> response;
 };
 
 /// Identity of an operation that must run at most once.
@@ -114,7 +114,7 @@
   /// at random.
   bool faultDue(std::uint32_t& remaining, double probability);
   void run(const Pending& pending);
-  void respond(RunnerCallId call, std::variant<ExecutionDone, ExecutionRefused, ConnectionAborted> response);
+  void respond(RunnerCallId call, std::variant<ExecutionDone, ExecutionRefused, CallAborted> response);
 
   AppRunnerOptions options_;
   RandomSource random_;
--- a/standins/engine/engine_model.cc
+++ b/standins/engine/engine_model.cc
@@ -13,7 +13,7 @@
 /// a burst.
 constexpr Duration kMaxTimerDelay = std::chrono::milliseconds(100);
 
-void updateEarliest(std::optional<TimePoint>& earliest, TimePoint candidate) {
+void updateMin(std::optional<TimePoint>& earliest, TimePoint candidate) {
   if (!earliest || candidate < *earliest) earliest = candidate;
 }
 
@@ -98,11 +98,10 @@
 std::optional<TimePoint> EngineModel::nextTimer() const {
   if (frozen_since_) return std::nullopt;
   std::optional<TimePoint> earliest = nextLoadTimer();
-  if (prefill_run_ != nullptr) updateEarliest(earliest, prefill_ends_);
-  if (decode_ends_) updateEarliest(earliest, *decode_ends_);
-  for (const auto& [arrival, run] : importing_) updateEarliest(earliest, run->import_ends);
-  for (const auto& [arrival, run] : orphans_)
-    updateEarliest(earliest, run->orphaned_at + timings_.orphan_timeout);
+  if (prefill_run_ != nullptr) updateMin(earliest, prefill_ends_);
+  if (decode_ends_) updateMin(earliest, *decode_ends_);
+  for (const auto& [arrival, run] : importing_) updateMin(earliest, run->import_ends);
+  for (const auto& [arrival, run] : orphans_) updateMin(earliest, run->orphaned_at + timings_.orphan_timeout);
   return earliest;
 }
 
--- a/tests/unit/standin_app_runner/app_runner_model_test.cc
+++ b/tests/unit/standin_app_runner/app_runner_model_test.cc
@@ -51,7 +51,7 @@
   CHECK(runner.executions().size() == 1);
   CHECK(runner.executions().count({"parts", "k1"}) == 1);
   for (const RunnerOutput& output : runner.takeOutputs()) {
-    CHECK(std::holds_alternative<ConnectionAborted>(output.response));
+    CHECK(std::holds_alternative<CallAborted>(output.response));
   }
 }
 
@@ -79,7 +79,7 @@
   runner.onTimer(kStart + seconds(9));
   CHECK(runner.incarnation() != before);
   CHECK(runner.totalExecutions() == 1);
-  CHECK(std::holds_alternative<ConnectionAborted>(runner.takeOutputs().back().response));
+  CHECK(std::holds_alternative<CallAborted>(runner.takeOutputs().back().response));
 }
 
 TEST_CASE("a frozen runner executes no operation until it thaws", "[standin_app_runner]") {
