--- a/sim/experiment/engine_host.h
+++ b/sim/experiment/engine_host.h
@@ -27,8 +27,8 @@
   /// Submits a request. If the engine is down, the stream is cut immediately.
   void submit(const standin::CompletionRequest& request, const StreamHandler& handler);
   /// Receives the response to an import query.
-  void importAnswered(const std::string& request_id, std::uint32_t attempt, std::uint32_t held,
-                      std::uint64_t source_incarnation);
+  void onImportResponse(const std::string& request_id, std::uint32_t attempt, std::uint32_t held,
+                        std::uint64_t source_incarnation);
   /// Cuts all streams, clears the cache and keeps the engine down for `down`.
   void crash(Duration down);
   /// Suspends the engine for `length`; streams stay open.
--- a/tests/integration/standin_processes_test.cc
+++ b/tests/integration/standin_processes_test.cc
@@ -10,7 +10,7 @@
 #include "integration/process.h"
 #include "json/json_reader.h"
 #include "prefix_index/block_hash.h"
-#include "standins/engine/answer_text.h"
+#include "standins/engine/completion_text.h"
 
 namespace crankspur::testing {
 namespace {
@@ -90,8 +90,8 @@
   Process engine("standin_engine", {"--decode_step_ms=5"}, folder + "/engine.log");
   BackgroundCall stream(addressOf(engine), completionRequest(completion("r1", 40)));
   REQUIRE(eventually([&] { return stream.bodySoFar().find("tokens") != std::string::npos; }));
-  const standin::ExpectedAnswer expected =
-      standin::expectedAnswer("small", "w1", "", std::string(6400, 'p'), 40);
+  const standin::ExpectedCompletion expected =
+      standin::expectedCompletion("small", "w1", "", std::string(6400, 'p'), 40);
   SECTION("stop") {
     engine.signal(SIGTERM);
     CHECK(engine.wait(std::chrono::seconds(15)) == 0);
