--- a/apps/crankspur_router/main.cc
+++ b/apps/crankspur_router/main.cc
@@ -1,4 +1,4 @@
-/// @file The router: places requests on engines and streams their answers to sidecars.
+/// @file The router process: dispatches requests to engines and streams the responses to sidecars.
 
 #include <absl/flags/flag.h>
 
@@ -8,10 +8,12 @@
 #include "router_process/router_process.h"
 #include "router_process/router_settings.h"
 
-ABSL_FLAG(std::vector<std::string>, peers, {}, "routers to connect to at start, IP:port, comma-separated");
-ABSL_FLAG(int, machine_list_interval_ms, 0, "time between machine lists; 0 keeps the file's");
-ABSL_FLAG(int, bundle_row_interval_ms, 0, "time between looks at the accepted bundle; 0 keeps the file's");
-ABSL_FLAG(int, traffic_threads, 0, "traffic threads; 0 keeps the file's number");
+ABSL_FLAG(std::vector<std::string>, peers, {}, "routers to connect to at start: IP:port, comma-separated");
+ABSL_FLAG(int, machine_list_interval_ms, 0,
+          "interval between reads of the machine list; 0: value of the settings file");
+ABSL_FLAG(int, bundle_row_interval_ms, 0,
+          "interval between reads of the accepted bundle's row; 0: value of the settings file");
+ABSL_FLAG(int, traffic_threads, 0, "number of traffic threads; 0: value of the settings file");
 
 namespace {
 
@@ -34,10 +36,9 @@
 int main(int argc, char** argv) {
   parseCommandLine(
       "crankspur_router",
-      "Places language-model requests on engines. Settings come from --settings FILE; flags override them. "
-      "Prints \"listening PORT admin PORT\". SIGTERM stops it once everything in flight has ended. Exit "
-      "codes: "
-      "0 stopped, 2 wrong settings, 3 a port cannot be bound.",
+      "Dispatches language-model requests to engines. Settings are read from --settings FILE; flags override "
+      "them. Prints \"listening PORT admin PORT\". SIGTERM stops it after all requests in flight have "
+      "finished. Exit codes: 0 stopped, 2 invalid settings, 3 a port cannot be bound.",
       argc, argv);
   StderrEventLog startup_log("crankspur_router", LogFormat::KeyValue, LogLevel::Info);
   const auto settings =
--- a/apps/crankspur_sidecar/main.cc
+++ b/apps/crankspur_sidecar/main.cc
@@ -1,4 +1,5 @@
-/// @file The caller-side process: serves chat completions over HTTP and sends each request to a router.
+/// @file The sidecar process: serves chat completions over HTTP to a caller and sends each request to a
+/// router.
 
 #include <absl/flags/flag.h>
 
@@ -8,7 +9,7 @@
 #include "sidecar/sidecar_process.h"
 #include "sidecar/sidecar_settings.h"
 
-ABSL_FLAG(std::vector<std::string>, routers, {}, "routers to begin with, IP:port, comma-separated");
+ABSL_FLAG(std::vector<std::string>, routers, {}, "routers to connect to at start: IP:port, comma-separated");
 
 namespace {
 
@@ -21,12 +22,13 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  parseCommandLine("crankspur_sidecar",
-                   "Runs beside a caller: serves chat completions and operations over HTTP and sends them to "
-                   "routers. Prints "
-                   "\"listening PORT admin PORT\" when it serves. SIGTERM finishes requests in flight.\n"
-                   "Exit status: 0 stopped, 2 settings or flags wrong, 3 cannot listen.",
-                   argc, argv);
+  parseCommandLine(
+      "crankspur_sidecar",
+      "Runs beside a caller: serves chat completions and operations over HTTP and sends them to "
+      "routers. Prints "
+      "\"listening PORT admin PORT\" when it is ready. SIGTERM stops it after the requests in flight.\n"
+      "Exit codes: 0 stopped, 2 invalid settings or flags, 3 a port cannot be bound.",
+      argc, argv);
   StderrEventLog startup_log("crankspur_sidecar", LogFormat::KeyValue, LogLevel::Info);
   const auto settings =
       loadSettings<SidecarSettings>({readSidecarSettings, applyFlags, checkSidecarSettings}, startup_log);
--- a/apps/crankspurctl/main.cc
+++ b/apps/crankspurctl/main.cc
@@ -1,4 +1,4 @@
-/// @file Command line of crankspur's operators.
+/// @file The operators' command-line tool.
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -13,16 +13,16 @@
 
 #include "operator/command.h"
 
-ABSL_FLAG(std::string, key, "", "file of the private key that signs");
-ABSL_FLAG(std::string, out, "", "prefix of the files that keygen writes");
+ABSL_FLAG(std::string, key, "", "file with the private key to sign with");
+ABSL_FLAG(std::string, out, "", "prefix of the files written by keygen");
 ABSL_FLAG(std::string, platform, "", "IP:port of the platform");
 ABSL_FLAG(std::vector<std::string>, routers, {}, "comma-separated IP:port of routers' admin ports");
 ABSL_FLAG(std::vector<std::string>, nodes, {}, "comma-separated IP:port of nodes' admin ports");
 ABSL_FLAG(std::vector<std::string>, author_keys, {}, "comma-separated base64 public keys of authors");
 ABSL_FLAG(std::vector<std::string>, approver_keys, {}, "comma-separated base64 public keys of approvers");
-ABSL_FLAG(std::string, operator, "", "who rolls, as told to others; else the user's name");
-ABSL_FLAG(double, timeout_s, 2, "seconds to wait for each node's answer");
-ABSL_FLAG(double, wait_s, 0, "seconds to wait until every node holds the accepted bundle");
+ABSL_FLAG(std::string, operator, "", "name recorded as the operator of a roll; default: $USER");
+ABSL_FLAG(double, timeout_s, 2, "seconds to wait for the response of each node");
+ABSL_FLAG(double, wait_s, 0, "seconds to wait until all nodes have the accepted bundle");
 
 namespace {
 
@@ -32,23 +32,24 @@
   return static_cast<int>(code);
 }
 
-/// @return what is wrong with a word that may be a flag; empty when nothing is. Abseil itself would end the
-/// process with an exit code that means something else here.
-std::string judgeFlag(std::string_view word) {
-  if (!word.starts_with("--") || word == "--") {
+/// Validates a flag before Abseil parses it: on an invalid flag Abseil exits with status 1, which has another
+/// meaning here.
+/// @return the error; empty if `argument` is valid or not a flag.
+std::string flagError(std::string_view argument) {
+  if (!argument.starts_with("--") || argument == "--") {
     return "";
   }
-  const std::string_view body = word.substr(2);
-  const std::size_t equals = body.find('=');
-  const std::string_view name = body.substr(0, equals);
+  const std::string_view assignment = argument.substr(2);
+  const std::size_t equals = assignment.find('=');
+  const std::string_view name = assignment.substr(0, equals);
   absl::CommandLineFlag* flag = absl::FindCommandLineFlag({name.data(), name.size()});
   if (flag == nullptr) {
-    return fmt::format("--{} is no flag", name);
+    return fmt::format("unknown flag --{}", name);
   }
   if (equals == std::string_view::npos) {
-    return fmt::format("--{} needs a value: --{}=VALUE", name, name);
+    return fmt::format("--{} requires a value: --{}=VALUE", name, name);
   }
-  const std::string_view value = body.substr(equals + 1);
+  const std::string_view value = assignment.substr(equals + 1);
   std::string error;
   if (!flag->ParseFrom({value.data(), value.size()}, &error)) {
     return fmt::format("--{}: {}", name, error);
@@ -57,9 +58,9 @@
 }
 
 std::string userName() {
-  std::string given = absl::GetFlag(FLAGS_operator);
-  if (!given.empty()) {
-    return given;
+  std::string name = absl::GetFlag(FLAGS_operator);
+  if (!name.empty()) {
+    return name;
   }
   const char* user = std::getenv("USER");
   return user == nullptr ? "unknown" : user;
@@ -69,9 +70,9 @@
   return Duration(static_cast<std::int64_t>(seconds * 1e6));
 }
 
-OperatorCommand readCommand(const std::vector<char*>& words) {
+OperatorCommand readCommand(const std::vector<char*>& positional) {
   OperatorCommand command;
-  command.words.assign(words.begin() + 1, words.end());
+  command.words.assign(positional.begin() + 1, positional.end());
   command.key = absl::GetFlag(FLAGS_key);
   command.out = absl::GetFlag(FLAGS_out);
   command.platform = absl::GetFlag(FLAGS_platform);
@@ -90,24 +91,24 @@
 
 int main(int argc, char** argv) {
   for (int index = 1; index < argc; ++index) {
-    const std::string_view word = argv[index];
-    if (word == "--help" || word == "-h") {
+    const std::string_view argument = argv[index];
+    if (argument == "--help" || argument == "-h") {
       fmt::print("{}", operatorHelp());
       return exitWith(ExitCode::Ok);
     }
-    if (word == "--version") {
+    if (argument == "--version") {
       fmt::print("crankspurctl {}\n", CRANKSPUR_VERSION);
       return exitWith(ExitCode::Ok);
     }
-    const std::string problem = judgeFlag(word);
-    if (!problem.empty()) {
-      fmt::print(stderr, "{}; see crankspurctl --help\n", problem);
+    const std::string flag_error = flagError(argument);
+    if (!flag_error.empty()) {
+      fmt::print(stderr, "{}; see crankspurctl --help\n", flag_error);
       return exitWith(ExitCode::Usage);
     }
   }
-  const std::vector<char*> words = absl::ParseCommandLine(argc, argv);
+  const std::vector<char*> positional = absl::ParseCommandLine(argc, argv);
   Report report;
-  const ExitCode code = runOperatorCommand(readCommand(words), report);
+  const ExitCode code = runOperatorCommand(readCommand(positional), report);
   fmt::print("{}", report.output);
   fmt::print(stderr, "{}", report.errors);
   return exitWith(code);
--- a/apps/fault_proxy/main.cc
+++ b/apps/fault_proxy/main.cc
@@ -1,4 +1,4 @@
-/// @file TCP proxy that delays, freezes and cuts connections in tests.
+/// @file The fault proxy process: a TCP proxy that delays, freezes and cuts connections in tests.
 
 #include <absl/flags/flag.h>
 #include <fmt/format.h>
@@ -12,11 +12,12 @@
 #include "command_line/command_line.h"
 #include "standins/fault_proxy/fault_proxy.h"
 
-ABSL_FLAG(std::string, listen, "127.0.0.1:0", "IP:port of the route named \"default\"");
-ABSL_FLAG(std::string, target, "", "IP:port where the route named \"default\" leads");
-ABSL_FLAG(std::vector<std::string>, routes, {}, "further routes: NAME=LISTEN_PORT:IP:PORT, comma-separated");
+ABSL_FLAG(std::string, listen, "127.0.0.1:0", "IP:port that the route named \"default\" listens on");
+ABSL_FLAG(std::string, target, "", "IP:port of the server of the route named \"default\"");
+ABSL_FLAG(std::vector<std::string>, routes, {},
+          "additional routes: NAME=LISTEN_PORT:IP:PORT, comma-separated");
 ABSL_FLAG(std::string, control, "127.0.0.1:0", "IP:port of the control port");
-ABSL_FLAG(std::uint64_t, seed, 1, "seed of random cuts");
+ABSL_FLAG(std::uint64_t, seed, 1, "seed of the random connection cuts");
 
 namespace {
 
@@ -49,17 +50,17 @@
 int main(int argc, char** argv) {
   parseCommandLine(
       "fault_proxy",
-      "Passes TCP connections on and puts faults on them. Prints \"listening PORT control PORT "
+      "Forwards TCP connections and injects faults into them. Prints \"listening PORT control PORT "
       "NAME=PORT...\". "
-      "POST /control on the control port takes JSON: route, cut_now, reset, delay_to_server_ms, "
+      "POST /control on the control port accepts JSON: route, cut_now, reset, delay_to_server_ms, "
       "delay_to_client_ms, refuse, freeze, swallow_answers, cut_after_bytes_to_client, bytes_per_second, "
-      "cut_chance. GET /status shows the routes.",
+      "cut_chance. GET /status returns the routes.",
       argc, argv);
 
   StderrEventLog log("fault_proxy", LogFormat::KeyValue, LogLevel::Info);
   const std::vector<RouteOptions> routes = routesFromFlags();
   if (routes.empty()) {
-    log.write(EventId::SettingsRefused, {{"key", "target"}, {"reason", "--target or --routes is needed"}});
+    log.write(EventId::SettingsRefused, {{"key", "target"}, {"reason", "--target or --routes is required"}});
     return kExitUsage;
   }
   boost::asio::io_context context(1);
--- a/apps/standin_app_runner/main.cc
+++ b/apps/standin_app_runner/main.cc
@@ -1,4 +1,5 @@
-/// @file Stand-in for an application runner. Prints "listening PORT"; SIGTERM finishes its work and ends it.
+/// @file Stand-in for an application runner. Prints "listening PORT"; SIGTERM stops it after the work in
+/// flight.
 
 #include <absl/flags/flag.h>
 #include <fmt/format.h>
@@ -15,13 +16,14 @@
 #include "standins/app_runner/app_runner_server.h"
 
 ABSL_FLAG(std::string, listen, "127.0.0.1:0", "IP:port to listen on; port 0 lets the system choose");
-ABSL_FLAG(std::string, name, "runner", "name that the runner tells");
+ABSL_FLAG(std::string, name, "runner", "name that the runner reports");
 ABSL_FLAG(std::vector<std::string>, operations, (std::vector<std::string>{"order", "booking"}),
           "operations it executes, comma-separated");
-ABSL_FLAG(double, delay_ms, 20, "time from a call's arrival to its effect and answer");
-ABSL_FLAG(double, lose_request_probability, 0, "chance that a call breaks off and nothing runs");
-ABSL_FLAG(double, lose_answer_probability, 0, "chance that a call runs and its answer is lost");
-ABSL_FLAG(std::uint64_t, seed, 0, "seed of the incarnation and of faults; 0: from the time and process id");
+ABSL_FLAG(double, delay_ms, 20, "time from the arrival of a call to its effect and response");
+ABSL_FLAG(double, lose_request_probability, 0, "probability that a call is cut off before it runs");
+ABSL_FLAG(double, lose_answer_probability, 0, "probability that a call runs and its response is lost");
+ABSL_FLAG(std::uint64_t, seed, 0,
+          "seed of the incarnation and of faults; 0: derived from the time and process id");
 
 namespace {
 
@@ -42,7 +44,7 @@
   return options;
 }
 
-bool isUsable(const AppRunnerOptions& options) {
+bool isValid(const AppRunnerOptions& options) {
   const auto is_probability = [](double value) { return value >= 0 && value <= 1; };
   return options.delay >= Duration{0} && is_probability(options.lose_request_probability) &&
          is_probability(options.lose_answer_probability);
@@ -60,15 +62,15 @@
 int main(int argc, char** argv) {
   parseCommandLine(
       "standin_app_runner",
-      "Takes the place of an application runner in tests; never deduplicates. Prints \"listening PORT\". GET "
-      "/v1/executions counts; POST /control sets delay_ms, lose_answers, lose_requests and action.",
+      "Stands in for an application runner in tests; does not deduplicate. Prints \"listening PORT\". GET "
+      "/v1/executions returns counts; POST /control sets delay_ms, lose_answers, lose_requests and action.",
       argc, argv);
 
   StderrEventLog log("standin_app_runner", LogFormat::KeyValue, LogLevel::Info);
   const AppRunnerOptions options = optionsFromFlags();
-  if (!isUsable(options)) {
+  if (!isValid(options)) {
     log.write(EventId::SettingsRefused,
-              {{"reason", "delay_ms must not be below 0 and probabilities must be from 0 to 1"}});
+              {{"reason", "delay_ms must be at least 0 and probabilities must be from 0 to 1"}});
     return kExitUsage;
   }
   boost::asio::io_context context(1);
--- a/apps/standin_engine/main.cc
+++ b/apps/standin_engine/main.cc
@@ -1,4 +1,4 @@
-/// @file Stand-in for a model engine. Prints "listening PORT"; SIGTERM finishes its work and ends it.
+/// @file Stand-in for a model engine. Prints "listening PORT"; SIGTERM stops it after the work in flight.
 
 #include <absl/flags/flag.h>
 #include <fmt/format.h>
@@ -18,27 +18,29 @@
 #include "standins/engine_server/engine_server.h"
 
 ABSL_FLAG(std::string, listen, "127.0.0.1:0", "IP:port to listen on; port 0 lets the system choose");
-ABSL_FLAG(std::string, name, "engine", "name that the engine tells");
-ABSL_FLAG(std::string, role, "mixed", "mixed, prefill or decode; told only");
-ABSL_FLAG(std::string, models, "small:w1", "models at the start: model:weights[:adapter,...];...");
+ABSL_FLAG(std::string, name, "engine", "name that the engine reports");
+ABSL_FLAG(std::string, role, "mixed", "reported role: mixed, prefill or decode");
+ABSL_FLAG(std::string, models, "small:w1", "models loaded at start: model:weights[:adapter,...];...");
 ABSL_FLAG(std::string, weight_store, "", "IP:port of the weight store; empty: loads take weights_load_ms");
-ABSL_FLAG(std::string, kv_store, "", "IP:port of the KV store that gets computed blocks; empty: none");
-ABSL_FLAG(std::uint64_t, seed, 0, "seed of incarnations and gaps; 0: taken from the time and process id");
+ABSL_FLAG(std::string, kv_store, "",
+          "IP:port of the KV store that computed blocks are published to; empty: none");
+ABSL_FLAG(std::uint64_t, seed, 0,
+          "seed of incarnations and event gaps; 0: derived from the time and process id");
 ABSL_FLAG(double, prefill_tokens_per_second, 8000, "prefill speed");
-ABSL_FLAG(std::uint32_t, prefill_chunk_tokens, 512, "tokens prefilled at a time");
+ABSL_FLAG(std::uint32_t, prefill_chunk_tokens, 512, "tokens per prefill chunk");
 ABSL_FLAG(double, prefill_chunk_base_ms, 5, "fixed cost of a prefill chunk");
 ABSL_FLAG(double, decode_step_ms, 20, "decode step with an empty batch");
-ABSL_FLAG(double, decode_step_per_request_ms, 0.4, "growth of the decode step for each request in the batch");
-ABSL_FLAG(double, decode_slowdown_while_prefilling, 1.5, "factor on the decode step beside a prefill");
+ABSL_FLAG(double, decode_step_per_request_ms, 0.4, "increase of the decode step per request in the batch");
+ABSL_FLAG(double, decode_slowdown_while_prefilling, 1.5, "factor on the decode step during a prefill");
 ABSL_FLAG(double, import_tokens_per_second, 100'000, "speed of KV import");
 ABSL_FLAG(double, import_latency_ms, 5, "fixed cost of a KV import");
-ABSL_FLAG(std::uint32_t, batch_limit, 32, "requests that run at once");
+ABSL_FLAG(std::uint32_t, batch_limit, 32, "maximum number of running requests");
 ABSL_FLAG(std::uint32_t, cache_blocks, 6000, "memory of running requests and cached prefixes, in blocks");
-ABSL_FLAG(std::uint32_t, queue_tokens, 40'000, "prompt tokens that may wait");
-ABSL_FLAG(std::uint32_t, queue_requests, 256, "requests that may wait");
-ABSL_FLAG(double, event_gap_probability, 0, "chance that a cache event is lost");
-ABSL_FLAG(double, event_delay_ms, 200, "age of a cache event when readers see it");
-ABSL_FLAG(double, load_lag_ms, 100, "age of the load that is reported");
+ABSL_FLAG(std::uint32_t, queue_tokens, 40'000, "maximum number of queued prompt tokens");
+ABSL_FLAG(std::uint32_t, queue_requests, 256, "maximum number of queued requests");
+ABSL_FLAG(double, event_gap_probability, 0, "probability that a cache event is lost");
+ABSL_FLAG(double, event_delay_ms, 200, "age of a cache event when it becomes visible to readers");
+ABSL_FLAG(double, load_lag_ms, 100, "age of the reported load");
 ABSL_FLAG(double, weights_load_ms, 8000, "time to load weights without a weight store");
 ABSL_FLAG(double, adapter_load_ms, 1000, "time to load an adapter");
 
@@ -87,7 +89,7 @@
   return options;
 }
 
-/// @return the seed of the flag; without one, a seed that differs at each start.
+/// @return the seed of the flag; if it is 0, a seed that differs at each start.
 std::uint64_t seedFromFlags() {
   const std::uint64_t seed = absl::GetFlag(FLAGS_seed);
   if (seed != 0) return seed;
@@ -100,7 +102,7 @@
 int main(int argc, char** argv) {
   parseCommandLine(
       "standin_engine",
-      "Takes the place of a model engine in tests; docs/STANDINS.md states its model. Prints \"listening "
+      "Stands in for a model engine in tests; docs/STANDINS.md documents its model. Prints \"listening "
       "PORT\". POST /control {\"action\":\"crash|freeze|thaw|leave\"} and GET /v1/stats are for tests.",
       argc, argv);
   StderrEventLog log("standin_engine", LogFormat::KeyValue, LogLevel::Info);
--- a/apps/standin_kv_store/main.cc
+++ b/apps/standin_kv_store/main.cc
@@ -14,7 +14,8 @@
 #include "standins/kv_store/kv_store_server.h"
 
 ABSL_FLAG(std::string, listen, "127.0.0.1:0", "IP:port to listen on; port 0 lets the system choose");
-ABSL_FLAG(std::uint32_t, capacity_blocks, 1'000'000, "blocks held; those least recently used go first");
+ABSL_FLAG(std::uint32_t, capacity_blocks, 1'000'000,
+          "maximum number of blocks; the least recently used are evicted first");
 
 namespace {
 
@@ -29,7 +30,7 @@
 int main(int argc, char** argv) {
   parseCommandLine(
       "standin_kv_store",
-      "Takes the place of a KV-cache store in tests: POST /v1/kv/put and /v1/kv/get. Prints \"listening "
+      "Stands in for a KV-cache store in tests: POST /v1/kv/put and /v1/kv/get. Prints \"listening "
       "PORT\".",
       argc, argv);
 
--- a/apps/standin_platform/main.cc
+++ b/apps/standin_platform/main.cc
@@ -17,15 +17,15 @@
 
 ABSL_FLAG(std::string, listen, "127.0.0.1:0", "IP:port to listen on; port 0 lets the system choose");
 ABSL_FLAG(std::string, machines, "", "TOML file with [[machines]]: name, role, pool, address, zone, region");
-ABSL_FLAG(double, machine_list_lag_ms, 2000, "how long a change of a machine takes to be listed");
-ABSL_FLAG(double, table_rate, 500, "table service calls a second");
-ABSL_FLAG(double, objects_rate, 200, "object store calls a second");
-ABSL_FLAG(double, weights_rate, 20, "weight store calls a second");
-ABSL_FLAG(double, machines_rate, 100, "machine list calls a second");
+ABSL_FLAG(double, machine_list_lag_ms, 2000, "delay until a change of a machine is listed");
+ABSL_FLAG(double, table_rate, 500, "table service calls per second");
+ABSL_FLAG(double, objects_rate, 200, "object store calls per second");
+ABSL_FLAG(double, weights_rate, 20, "weight store calls per second");
+ABSL_FLAG(double, machines_rate, 100, "machine list calls per second");
 ABSL_FLAG(std::uint64_t, weights_bytes, 14'000'000'000, "size of each model's weights");
-ABSL_FLAG(double, weights_bytes_per_second, 2e9, "speed of one transfer alone");
-ABSL_FLAG(std::uint32_t, full_speed_weight_loads, 3, "transfers at once before they share the speed");
-ABSL_FLAG(std::uint64_t, seed, 1, "seed of the random choice of lost answers");
+ABSL_FLAG(double, weights_bytes_per_second, 2e9, "speed of a single transfer");
+ABSL_FLAG(std::uint32_t, full_speed_weight_loads, 3, "concurrent transfers that run at full speed");
+ABSL_FLAG(std::uint64_t, seed, 1, "seed of the random choice of lost responses");
 
 namespace {
 
@@ -35,7 +35,7 @@
 constexpr int kExitUsage = 2;
 constexpr int kExitCannotListen = 3;
 
-/// A limit that lets a second's worth of calls come at once.
+/// @return a limit whose burst is the calls of one second.
 RateLimit rateLimit(double per_second) {
   return {per_second, std::max(1.0, per_second)};
 }
@@ -53,15 +53,15 @@
   return options;
 }
 
-/// @return whether every number of the flags is usable.
-bool isUsable(const PlatformOptions& options) {
-  const auto above_zero = [](const RateLimit& limit) { return limit.per_second > 0; };
-  return std::all_of(options.limits.begin(), options.limits.end(), above_zero) &&
+/// @return whether all numbers given as flags are valid.
+bool isValid(const PlatformOptions& options) {
+  const auto is_positive = [](const RateLimit& limit) { return limit.per_second > 0; };
+  return std::all_of(options.limits.begin(), options.limits.end(), is_positive) &&
          options.machine_list_lag >= Duration{0} && options.weights_bytes_per_second > 0 &&
          options.full_speed_weight_loads > 0;
 }
 
-/// @return the machines of the file, or empty after logging what is wrong.
+/// @return the machines of the file, or empty after logging the problems.
 std::optional<std::vector<Machine>> readMachines(const std::string& path, EventLog& log) {
   if (path.empty()) {
     return std::vector<Machine>{};
@@ -85,13 +85,13 @@
 int main(int argc, char** argv) {
   parseCommandLine(
       "standin_platform",
-      "Takes the place of the platform in tests: transactional table, objects, weights and machine list over "
+      "Stands in for the platform in tests: transactional table, objects, weights and machine list over "
       "HTTP. Prints \"listening PORT\". POST /control sets modes, rates and machines.",
       argc, argv);
 
   StderrEventLog log("standin_platform", LogFormat::KeyValue, LogLevel::Info);
   const PlatformOptions options = optionsFromFlags();
-  if (!isUsable(options)) {
+  if (!isValid(options)) {
     log.write(EventId::SettingsRefused, {{"reason", "rates and speeds must be above 0"}});
     return kExitUsage;
   }
--- a/bench/bundle/bundle_bench.cc
+++ b/bench/bundle/bundle_bench.cc
@@ -1,4 +1,4 @@
-/// @file Costs and sizes of bundles at the size to design for: 3,200 tenants and 37 models.
+/// @file Costs and sizes of bundles at the design size of 3,200 tenants and 37 models.
 
 #include <benchmark/benchmark.h>
 #include <fmt/format.h>
@@ -15,13 +15,12 @@
 constexpr int kTenants = 3200;
 constexpr int kModels = 37;
 constexpr int kOperations = 12;
-constexpr int kVersionsADay = 1300;
-constexpr double kSecondsADay = 24 * 3600;
+constexpr int kVersionsPerDay = 1300;
+constexpr double kSecondsPerDay = 24 * 3600;
 
-/// What a version changes.
-enum class Change { None, OneField, OneTenantMore, TwentyTenants };
+/// Change of a bundle version against the version before it.
+enum class Change { None, OneField, AddedTenant, TwentyTenants };
 
-/// What is particular about one document.
 struct DocumentOptions {
   std::uint64_t version = 1;
   Change change = Change::None;
@@ -49,7 +48,7 @@
       index % kOperations);
 }
 
-int changedTenants(Change change) {
+int changedTenantCount(Change change) {
   if (change == Change::OneField) {
     return 1;
   }
@@ -64,8 +63,8 @@
   for (int index = 0; index < kOperations; ++index) {
     text += operationEntry(index);
   }
-  const int tenants = kTenants + (options.change == Change::OneTenantMore ? 1 : 0);
-  const int changed = changedTenants(options.change);
+  const int tenants = kTenants + (options.change == Change::AddedTenant ? 1 : 0);
+  const int changed = changedTenantCount(options.change);
   for (int index = 0; index < tenants; ++index) {
     const bool is_changed = changed > 0 && index % (kTenants / changed) == kTenants / changed / 2;
     text += tenantEntry(index, is_changed ? 8000 : 12000);
@@ -73,9 +72,9 @@
   return text;
 }
 
-/// @return bytes a second that a node takes in when each version is this large.
+/// @return the rate at which a node receives bytes if each version has this size.
 double bytesPerSecond(std::size_t bytes) {
-  return static_cast<double>(bytes) * kVersionsADay / kSecondsADay;
+  return static_cast<double>(bytes) * kVersionsPerDay / kSecondsPerDay;
 }
 
 void makeDelta(benchmark::State& state) {
@@ -92,7 +91,7 @@
 }
 BENCHMARK(makeDelta)
     ->Arg(static_cast<int>(Change::OneField))
-    ->Arg(static_cast<int>(Change::OneTenantMore))
+    ->Arg(static_cast<int>(Change::AddedTenant))
     ->Arg(static_cast<int>(Change::TwentyTenants))
     ->Unit(benchmark::kMillisecond);
 
--- a/bench/engine/engine_bench.cc
+++ b/bench/engine/engine_bench.cc
@@ -1,5 +1,5 @@
-/// @file Cost of the engine client for each streamed token, without and with loopback TCP, and of the engine
-/// stand-in's model, which bounds how fast simulations run.
+/// @file Cost of the engine client per streamed token, without and with loopback TCP, and of the engine
+/// stand-in's model, which limits the speed of simulations.
 
 #include <benchmark/benchmark.h>
 
@@ -29,7 +29,7 @@
          ",\"count\":1,\"text\":\"bab \"}\n\n";
 }
 
-/// Decodes a stream whose events arrive one by one.
+/// Decodes a stream, one event per read.
 void decodeStream(benchmark::State& state) {
   std::vector<std::string> events;
   for (int offset = 0; offset < kTokens; ++offset) events.push_back(tokenEvent(offset));
@@ -46,7 +46,7 @@
 }
 BENCHMARK(decodeStream);
 
-/// Streams over loopback TCP; client and server share one thread, so the figure counts both sides.
+/// Streams over loopback TCP; client and server share one thread, so the result includes both sides.
 void streamOverLoopback(benchmark::State& state) {
   boost::asio::io_context context(1);
   std::error_code error;
@@ -66,11 +66,12 @@
   DispatchCompletion dispatch;
   dispatch.address = "127.0.0.1:" + std::to_string(server->port());
   for (auto _ : state) {
-    bool over = false;
-    const auto stream = client->complete(dispatch, [&over](const BackendEvent& event) {
-      over = over || std::holds_alternative<BackendEnd>(event) || std::holds_alternative<BackendLost>(event);
+    bool finished = false;
+    const auto stream = client->complete(dispatch, [&finished](const BackendEvent& event) {
+      finished =
+          finished || std::holds_alternative<BackendEnd>(event) || std::holds_alternative<BackendLost>(event);
     });
-    while (!over) context.run_one();
+    while (!finished) context.run_one();
   }
   state.SetItemsProcessed(state.iterations() * kTokens);
 }
--- a/bench/gateway/choice_bench.cc
+++ b/bench/gateway/choice_bench.cc
@@ -1,5 +1,5 @@
-/// @file Cost of a gateway's choice of an engine, of news of a cache and of learning a whole cache, by the
-/// number of engines.
+/// @file Cost of a gateway's choice of an engine and of incremental and complete cache updates, by the number
+/// of engines.
 
 #include <benchmark/benchmark.h>
 #include <fmt/format.h>
@@ -12,21 +12,21 @@
 
 constexpr std::size_t kIndexEntries = 250'000;
 constexpr std::uint32_t kSharedTokens = 13'300;
-constexpr std::uint32_t kOwnTokens = 3'720;
-constexpr std::uint32_t kSmallSharedTokens = 92;
-constexpr std::uint32_t kSmallOwnTokens = 291;
-/// Parts that an engine's memory of 152,320 tokens holds: a few long ones and many short ones.
+constexpr std::uint32_t kUniqueTokens = 3'720;
+constexpr std::uint32_t kShortSharedTokens = 92;
+constexpr std::uint32_t kShortUniqueTokens = 291;
+/// Numbers of long and short parts that fill an engine's cache of 152,320 tokens.
 constexpr std::uint64_t kLongParts = 8;
 constexpr std::uint64_t kShortParts = 120;
 constexpr std::uint64_t kLongSubjects = 196;
 constexpr std::uint64_t kShortSubjects = 894;
 constexpr std::uint64_t kFirstShortSubject = 100'000;
-constexpr std::uint64_t kFirstOwnPart = 1'000'000;
+constexpr std::uint64_t kFirstUniquePart = 1'000'000;
 constexpr char kModel[] = "model";
 constexpr char kPool[] = "engines";
 const TimePoint kNow{std::chrono::hours(1)};
 
-/// A fleet whose caches are full of long and short shared parts.
+/// A fleet whose caches are filled with long and short shared parts.
 class Fleet {
 public:
   explicit Fleet(std::size_t engines) : choice_(kIndexEntries, random_) {
@@ -41,45 +41,45 @@
     snapshot_.peer_count = 58;
     snapshot_.share_divisor = 59;
     choice_.onSnapshot(snapshot_);
-    for (std::size_t index = 0; index < engines; ++index) choice_.onCachedParts(wholeCache(index), kNow);
+    for (std::size_t index = 0; index < engines; ++index) choice_.onCachedParts(completeUpdate(index), kNow);
   }
 
-  CachedPartsUpdate wholeCache(std::size_t engine) {
-    CachedPartsUpdate news = newsOf(engine);
-    news.complete = true;
+  CachedPartsUpdate completeUpdate(std::size_t engine) {
+    CachedPartsUpdate update = emptyUpdate(engine);
+    update.complete = true;
     for (std::uint64_t part = 0; part < kLongParts; ++part) {
-      news.parts.push_back(cached(random_.uniform(1, kLongSubjects), kSharedTokens));
+      update.parts.push_back(cachedPart(random_.uniform(1, kLongSubjects), kSharedTokens));
     }
     for (std::uint64_t part = 0; part < kShortParts; ++part) {
       const std::uint64_t subject = random_.uniform(1, kShortSubjects);
-      news.parts.push_back(cached(kFirstShortSubject + subject, kSmallSharedTokens));
+      update.parts.push_back(cachedPart(kFirstShortSubject + subject, kShortSharedTokens));
     }
-    return news;
+    return update;
   }
 
-  /// One part comes and one goes.
-  CachedPartsUpdate change(std::size_t engine) {
-    CachedPartsUpdate news = newsOf(engine);
-    news.parts.push_back(cached(random_.uniform(1, kLongSubjects), kSharedTokens));
-    news.parts.push_back(cached(random_.uniform(1, kLongSubjects), 0));
-    return news;
+  /// @return an update that adds one part and removes one.
+  CachedPartsUpdate incrementalUpdate(std::size_t engine) {
+    CachedPartsUpdate update = emptyUpdate(engine);
+    update.parts.push_back(cachedPart(random_.uniform(1, kLongSubjects), kSharedTokens));
+    update.parts.push_back(cachedPart(random_.uniform(1, kLongSubjects), 0));
+    return update;
   }
 
   ClientRequest request(bool is_long) {
     ClientRequest client;
     client.model = kModel;
-    const std::uint64_t own = kFirstOwnPart + random_.uniform(0, 1U << 20);
+    const std::uint64_t unique_part = kFirstUniquePart + random_.uniform(0, 1U << 20);
     if (is_long) {
-      client.prompt = {{random_.uniform(1, kLongSubjects), kSharedTokens}, {own, kOwnTokens}};
+      client.prompt = {{random_.uniform(1, kLongSubjects), kSharedTokens}, {unique_part, kUniqueTokens}};
     } else {
-      client.prompt = {{kFirstShortSubject + random_.uniform(1, kShortSubjects), kSmallSharedTokens},
-                       {own, kSmallOwnTokens}};
+      client.prompt = {{kFirstShortSubject + random_.uniform(1, kShortSubjects), kShortSharedTokens},
+                       {unique_part, kShortUniqueTokens}};
     }
     for (const PromptPart& part : client.prompt) client.prompt_tokens += part.tokens;
     return client;
   }
 
-  /// The whole way of one request: chosen, sent, first byte, end.
+  /// Runs one request through all steps: choice, dispatch, first byte, end.
   void serve(const ClientRequest& client) {
     ChoiceRequest request;
     request.pool = &configuration_.pools.front();
@@ -97,15 +97,15 @@
   RandomSource& random() { return random_; }
 
 private:
-  static CachedPart cached(std::uint64_t part, std::uint32_t tokens) {
+  static CachedPart cachedPart(std::uint64_t part, std::uint32_t tokens) {
     return {cacheScope("1", ""), kModel, part, tokens};
   }
 
-  CachedPartsUpdate newsOf(std::size_t engine) const {
-    CachedPartsUpdate news;
-    news.slot = snapshot_.backends[engine].view.slot;
-    news.incarnation = snapshot_.backends[engine].view.incarnation;
-    return news;
+  CachedPartsUpdate emptyUpdate(std::size_t engine) const {
+    CachedPartsUpdate update;
+    update.slot = snapshot_.backends[engine].view.slot;
+    update.incarnation = snapshot_.backends[engine].view.incarnation;
+    return update;
   }
 
   void addEngine(EngineSlot slot) {
@@ -155,9 +155,9 @@
   std::size_t engine = 0;
   for (auto _ : state) {
     state.PauseTiming();
-    const CachedPartsUpdate news = fleet.change(engine++ % fleet.engines());
+    const CachedPartsUpdate update = fleet.incrementalUpdate(engine++ % fleet.engines());
     state.ResumeTiming();
-    fleet.choice().onCachedParts(news, kNow);
+    fleet.choice().onCachedParts(update, kNow);
   }
 }
 BENCHMARK(cacheNews)->Arg(12)->Arg(90)->Unit(benchmark::kMicrosecond);
@@ -167,9 +167,9 @@
   std::size_t engine = 0;
   for (auto _ : state) {
     state.PauseTiming();
-    const CachedPartsUpdate news = fleet.wholeCache(engine++ % fleet.engines());
+    const CachedPartsUpdate update = fleet.completeUpdate(engine++ % fleet.engines());
     state.ResumeTiming();
-    fleet.choice().onCachedParts(news, kNow);
+    fleet.choice().onCachedParts(update, kNow);
   }
 }
 BENCHMARK(wholeCache)->Arg(12)->Arg(90)->Unit(benchmark::kMicrosecond);
--- a/bench/placement/placement_bench.cc
+++ b/bench/placement/placement_bench.cc
@@ -1,4 +1,5 @@
-/// @file Cost of a placement decision, of a cached block and of a cache event at the two-year size.
+/// @file Cost of a placement decision, of a cached block and of a cache event at the fleet size planned for
+/// two years ahead.
 
 #include <benchmark/benchmark.h>
 #include <time.h>
@@ -28,16 +29,17 @@
   return blocks;
 }
 
-/// How the engines that hold a catalogue hold it.
-enum class Heads {
-  Whole,   ///< All of them hold all of it.
-  Ragged,  ///< Each has evicted an end of its own: the holders change from block to block.
+/// How much of a catalogue its holders have cached.
+enum class CachedHeads {
+  Whole,   ///< Each holder has all blocks.
+  Ragged,  ///< Each holder lacks a tail of random length, so that the set of holders varies by block.
 };
 
-/// 2,000 engines of one model, an index filled to its bound, and prompts whose catalogue 64 engines hold.
+/// 2,000 engines of one model, an index filled to capacity, and prompts whose catalogue is cached by 64
+/// engines.
 class LargeFleet {
 public:
-  explicit LargeFleet(Heads heads) : heads_(heads) {
+  explicit LargeFleet(CachedHeads heads) : heads_(heads) {
     auto bundle = std::make_shared<Bundle>();
     TenantPolicy tenant;
     tenant.name = "tenant";
@@ -51,7 +53,7 @@
     snapshot.bundle = bundle;
     for (EngineSlot slot = 0; slot < kEngines; ++slot) addEngine(slot);
     addPrompts();
-    while (index->size() < kIndexedBlocks - kEngines) addBackground();
+    while (index->size() < kIndexedBlocks - kEngines) addUnrelatedBlocks();
   }
 
   RoutingSnapshot snapshot;
@@ -61,7 +63,7 @@
   std::vector<std::vector<BlockHash>> prompts;
 
 private:
-  Heads heads_;
+  CachedHeads heads_;
 
   void addEngine(EngineSlot slot) {
     EngineView engine;
@@ -77,55 +79,55 @@
     snapshot.engines.push_back(engine);
     index->setIncarnation(slot, engine.incarnation);
   }
-  void hold(std::span<const BlockHash> blocks, std::size_t holders, Heads heads) {
+  void addHolders(std::span<const BlockHash> blocks, std::size_t holders, CachedHeads heads) {
     for (std::size_t holder = 0; holder < holders; ++holder) {
       const auto slot = static_cast<EngineSlot>(random.uniform(0, kEngines - 1));
-      const std::size_t held = heads == Heads::Whole ? blocks.size() : random.uniform(1, blocks.size());
+      const std::size_t held = heads == CachedHeads::Whole ? blocks.size() : random.uniform(1, blocks.size());
       index->correct(slot, slot + 1U, blocks.first(held), 0, kNow);
     }
   }
   void addPrompts() {
     for (int catalogue = 0; catalogue < 8; ++catalogue) {
       const std::vector<BlockHash> head = randomBlocks(random, kCatalogueBlocks);
-      hold(head, kCatalogueHolders, heads_);
+      addHolders(head, kCatalogueHolders, heads_);
       for (int rules = 0; rules < 16; ++rules) {
         std::vector<BlockHash> prompt = head;
         const std::vector<BlockHash> middle = randomBlocks(random, kRulesBlocks);
         prompt.insert(prompt.end(), middle.begin(), middle.end());
-        hold(prompt, kRulesHolders, Heads::Whole);
+        addHolders(prompt, kRulesHolders, CachedHeads::Whole);
         const std::vector<BlockHash> question = randomBlocks(random, kQuestionBlocks);
         prompt.insert(prompt.end(), question.begin(), question.end());
         prompts.push_back(std::move(prompt));
       }
     }
   }
-  void addBackground() {
+  void addUnrelatedBlocks() {
     const auto slot = static_cast<EngineSlot>(random.uniform(0, kEngines - 1));
     index->correct(slot, slot + 1U, randomBlocks(random, 200), 0, kNow);
   }
 };
 
-LargeFleet& largeFleet(Heads heads) {
-  static LargeFleet whole(Heads::Whole);
-  static LargeFleet ragged(Heads::Ragged);
-  return heads == Heads::Whole ? whole : ragged;
+LargeFleet& largeFleet(CachedHeads heads) {
+  static LargeFleet whole(CachedHeads::Whole);
+  static LargeFleet ragged(CachedHeads::Ragged);
+  return heads == CachedHeads::Whole ? whole : ragged;
 }
 
-/// @return processor time that this thread has used, nanoseconds; other work on the machine is not in it.
+/// @return the CPU time of this thread in nanoseconds. Excludes other work on the machine.
 double threadNanoseconds() {
   timespec used{};
   clock_gettime(CLOCK_THREAD_CPUTIME_ID, &used);
   return static_cast<double>(used.tv_sec) * 1e9 + static_cast<double>(used.tv_nsec);
 }
 
-/// Adds the quantiles of `nanoseconds` to the counters.
-void reportQuantiles(benchmark::State& state, const std::string& name, std::vector<double> nanoseconds) {
+/// Adds the 50th and 99th percentiles of `nanoseconds` to the counters.
+void reportPercentiles(benchmark::State& state, const std::string& name, std::vector<double> nanoseconds) {
   std::sort(nanoseconds.begin(), nanoseconds.end());
   state.counters[name + "_p50_ns"] = nanoseconds[nanoseconds.size() / 2];
   state.counters[name + "_p99_ns"] = nanoseconds[nanoseconds.size() * 99 / 100];
 }
 
-void decide(benchmark::State& state, Heads heads) {
+void decide(benchmark::State& state, CachedHeads heads) {
   LargeFleet& fleet = largeFleet(heads);
   const auto policy = makeCostPlacement();
   PlacementRequest request;
@@ -135,9 +137,9 @@
   request.max_tokens = 100;
   std::vector<double> wall;
   std::vector<double> cpu;
-  std::size_t turn = 0;
+  std::size_t iteration = 0;
   for (auto _ : state) {
-    const std::vector<BlockHash>& prompt = fleet.prompts[turn++ * 37 % fleet.prompts.size()];
+    const std::vector<BlockHash>& prompt = fleet.prompts[iteration++ * 37 % fleet.prompts.size()];
     request.blocks = prompt;
     request.prompt_tokens = static_cast<std::uint32_t>(prompt.size() * kTokensPerBlock);
     const double cpu_start = threadNanoseconds();
@@ -149,24 +151,27 @@
     wall.push_back(std::chrono::duration<double, std::nano>(end - start).count());
     benchmark::DoNotOptimize(decision);
   }
-  reportQuantiles(state, "wall", std::move(wall));
-  reportQuantiles(state, "cpu", std::move(cpu));
+  reportPercentiles(state, "wall", std::move(wall));
+  reportPercentiles(state, "cpu", std::move(cpu));
 }
-BENCHMARK_CAPTURE(decide, whole_heads, Heads::Whole)->Unit(benchmark::kMicrosecond)->Iterations(20'000);
-BENCHMARK_CAPTURE(decide, ragged_heads, Heads::Ragged)->Unit(benchmark::kMicrosecond)->Iterations(20'000);
+BENCHMARK_CAPTURE(decide, whole_heads, CachedHeads::Whole)->Unit(benchmark::kMicrosecond)->Iterations(20'000);
+BENCHMARK_CAPTURE(decide, ragged_heads, CachedHeads::Ragged)
+    ->Unit(benchmark::kMicrosecond)
+    ->Iterations(20'000);
 
-void match(benchmark::State& state, Heads heads) {
+void match(benchmark::State& state, CachedHeads heads) {
   LargeFleet& fleet = largeFleet(heads);
-  std::size_t turn = 0;
+  std::size_t iteration = 0;
   for (auto _ : state) {
-    benchmark::DoNotOptimize(fleet.index->match(fleet.prompts[turn++ * 37 % fleet.prompts.size()], kNow));
+    benchmark::DoNotOptimize(
+        fleet.index->match(fleet.prompts[iteration++ * 37 % fleet.prompts.size()], kNow));
   }
 }
-BENCHMARK_CAPTURE(match, whole_heads, Heads::Whole)->Unit(benchmark::kMicrosecond);
-BENCHMARK_CAPTURE(match, ragged_heads, Heads::Ragged)->Unit(benchmark::kMicrosecond);
+BENCHMARK_CAPTURE(match, whole_heads, CachedHeads::Whole)->Unit(benchmark::kMicrosecond);
+BENCHMARK_CAPTURE(match, ragged_heads, CachedHeads::Ragged)->Unit(benchmark::kMicrosecond);
 
 void bytesPerBlock(benchmark::State& state) {
-  LargeFleet& fleet = largeFleet(Heads::Whole);
+  LargeFleet& fleet = largeFleet(CachedHeads::Whole);
   for (auto _ : state) benchmark::DoNotOptimize(fleet.index->size());
   state.counters["blocks"] = static_cast<double>(fleet.index->size());
   state.counters["bytes"] = static_cast<double>(fleet.index->memoryBytes());
@@ -175,7 +180,7 @@
 }
 BENCHMARK(bytesPerBlock)->Iterations(1);
 
-/// One event that stores and removes one block each, on an index at its bound.
+/// One event that adds one block and removes one, on an index at capacity.
 void cacheEvent(benchmark::State& state) {
   const auto index = makePrefixIndex(kIndexedBlocks);
   RandomSource random(2);
@@ -184,10 +189,10 @@
   std::vector<BlockHash> recent = randomBlocks(random, 4096);
   std::uint64_t sequence = 0;
   for (auto _ : state) {
-    BlockHash& old = recent[sequence % recent.size()];
-    const BlockHash fresh = random.bits();
-    benchmark::DoNotOptimize(index->applyEvent(0, 1, {++sequence, {fresh}, {old}}, kNow));
-    old = fresh;
+    BlockHash& removed = recent[sequence % recent.size()];
+    const BlockHash added = random.bits();
+    benchmark::DoNotOptimize(index->applyEvent(0, 1, {++sequence, {added}, {removed}}, kNow));
+    removed = added;
   }
 }
 BENCHMARK(cacheEvent);
--- a/bench/wire/frame_bench.cc
+++ b/bench/wire/frame_bench.cc
@@ -1,4 +1,5 @@
-/// @file Cost of frames: encoding, decoding, and a loopback connection pair on one thread.
+/// @file Cost of frames: encoding, decoding, and transfer between the two ends of a loopback
+/// connection on one thread.
 
 #include <benchmark/benchmark.h>
 
@@ -11,7 +12,7 @@
 
 using namespace crankspur;
 
-/// A piece as engines stream them: one token of a few bytes.
+/// @return a stream piece as engines typically send it: one token of a few bytes.
 StreamPiece makePiece() {
   return {"0123456789abcdef-000001", 1, 100, 1, " token"};
 }
@@ -28,7 +29,7 @@
 }
 BENCHMARK(decodeStreamPiece);
 
-/// A submit with a prompt of `range` bytes, encoded and decoded.
+/// Encodes and decodes a submit request with a prompt of `range` bytes.
 void carrySubmitRequest(benchmark::State& state) {
   SubmitRequest request;
   request.request_id = "0123456789abcdef-000001";
@@ -39,7 +40,7 @@
 }
 BENCHMARK(carrySubmitRequest)->Arg(1024)->Arg(64 * 1024)->Arg(1024 * 1024);
 
-/// Both ends of a connection in one io_context.
+/// Both ends of a connection, in one io_context.
 struct ConnectionPair {
   ConnectionPair() {
     std::error_code error;
@@ -64,7 +65,7 @@
   std::int64_t received = 0;
 };
 
-/// Frames through a connection, `range` queued in each turn; both ends share the thread.
+/// Sends `range` frames per iteration through a connection; both ends share the thread.
 void framesOverLoopback(benchmark::State& state) {
   ConnectionPair pair;
   const Message message = makePiece();
--- a/bench/wire/http_bench.cc
+++ b/bench/wire/http_bench.cc
@@ -1,5 +1,5 @@
-/// @file Cost of HTTP: whole exchanges on a kept-alive connection, and chunks of a stream, client and server
-/// on one thread.
+/// @file Cost of HTTP: complete exchanges on a keep-alive connection, and chunks of a stream, with client and
+/// server on one thread.
 
 #include <benchmark/benchmark.h>
 
@@ -42,7 +42,7 @@
 }
 BENCHMARK(httpExchange);
 
-/// One iteration is one chunk of 64 bytes, written, sent, received and handed to on_data.
+/// One iteration writes, sends and receives one chunk of 64 bytes, up to its on_data callback.
 void httpStreamChunk(benchmark::State& state) {
   std::shared_ptr<ResponseWriter> stream;
   HttpPair pair([&stream](Request, std::shared_ptr<ResponseWriter> writer) {
--- a/sim/check/fault.cc
+++ b/sim/check/fault.cc
@@ -275,7 +275,7 @@
     setStore(from, to, {standin::ServiceMode::Slow, between(milliseconds(100), milliseconds(1500))});
   }
   if (kind == FaultKind::LostAnswers) {
-    setStore(from, to, {standin::ServiceMode::LoseAnswers, Duration(0), 0, 0.2 + 0.6 * random_.unit()});
+    setStore(from, to, {standin::ServiceMode::LoseResponses, Duration(0), 0, 0.2 + 0.6 * random_.unit()});
   }
 }
 
--- a/sim/check/table_outage.cc
+++ b/sim/check/table_outage.cc
@@ -28,7 +28,7 @@
   outage.majority_lives = random_.chance(kMajorityLivesShare);
   outage.span = {world_.context().queue.now() + kBeforeOutage, world_.context().queue.now() + end};
   world_.context().records.table_outage = outage;
-  const standin::ServiceBehaviour losing{standin::ServiceMode::LoseAnswers, Duration(0), 0,
+  const standin::ServiceBehaviour losing{standin::ServiceMode::LoseResponses, Duration(0), 0,
                                          0.2 + 0.6 * random_.unit()};
   setStore(kBeforeOutage - between(Duration(0), kLostAnswersBefore), kBeforeOutage, losing);
   setStore(kBeforeOutage, end, {standin::ServiceMode::Down});
--- a/sim/world/platform_node.cc
+++ b/sim/world/platform_node.cc
@@ -26,26 +26,26 @@
 }
 
 void PlatformNode::serve(Host& client, const standin::PlatformCall& platform_call,
-                         std::function<void(std::optional<standin::PlatformAnswer>)> done) {
-  call<standin::PlatformAnswer>(
+                         std::function<void(std::optional<standin::PlatformResponse>)> done) {
+  call<standin::PlatformResponse>(
       context_, client, host_, kCallTimeout,
-      [this, platform_call](const std::function<void(standin::PlatformAnswer)>& answer) {
-        standin::PlatformReply reply = model_.call(platform_call, context_.queue.now());
+      [this, platform_call](const std::function<void(standin::PlatformResponse)>& response) {
+        standin::PlatformCallOutcome reply = model_.call(platform_call, context_.queue.now());
         const auto* transaction = std::get_if<TableTransaction>(&platform_call);
-        const bool committed = std::holds_alternative<TransactionCommitted>(reply.answer);
+        const bool committed = std::holds_alternative<TransactionCommitted>(reply.response);
         if (transaction != nullptr && committed && write_observer_) {
           for (const RowWrite& write : transaction->writes) write_observer_(model_.row(write.key));
         }
         if (reply.lost) return;
-        host_.post(kServiceTime + reply.delay, [answer, reply] { answer(reply.answer); });
+        host_.post(kServiceTime + reply.delay, [response, reply] { response(reply.response); });
       },
       std::move(done));
 }
 
 template <typename Answer>
 void PlatformNode::serveFor(Host& client, const standin::PlatformCall& platform_call, Done<Answer> done) {
-  serve(client, platform_call, [done = std::move(done)](std::optional<standin::PlatformAnswer> answer) {
-    Answer* good = answer ? std::get_if<Answer>(&*answer) : nullptr;
+  serve(client, platform_call, [done = std::move(done)](std::optional<standin::PlatformResponse> response) {
+    Answer* good = response ? std::get_if<Answer>(&*response) : nullptr;
     done(good ? std::optional<Answer>(std::move(*good)) : std::nullopt);
   });
 }
@@ -63,12 +63,12 @@
   if (unconditional) transaction.conditions.clear();
   if (!absent_key.empty()) transaction.conditions.push_back({absent_key, 0});
   serve(client, transaction,
-        [key, value, done = std::move(done)](std::optional<standin::PlatformAnswer> answer) {
-          if (!answer) return done(std::nullopt);
-          if (const auto* committed = std::get_if<TransactionCommitted>(&*answer)) {
+        [key, value, done = std::move(done)](std::optional<standin::PlatformResponse> response) {
+          if (!response) return done(std::nullopt);
+          if (const auto* committed = std::get_if<TransactionCommitted>(&*response)) {
             return done(WriteAnswer{true, {key, committed->versions.front().version, value}, false});
           }
-          if (const auto* conflict = std::get_if<TransactionConflict>(&*answer)) {
+          if (const auto* conflict = std::get_if<TransactionConflict>(&*response)) {
             const bool fenced = conflict->rows.size() > 1 && conflict->rows.back().version != 0;
             return done(WriteAnswer{false, conflict->rows.front(), fenced});
           }
--- a/sim/world/platform_node.h
+++ b/sim/world/platform_node.h
@@ -59,7 +59,7 @@
 
 private:
   void serve(Host& client, const standin::PlatformCall& call,
-             std::function<void(std::optional<standin::PlatformAnswer>)> done);
+             std::function<void(std::optional<standin::PlatformResponse>)> done);
   /// Serves a call whose good answer has one type.
   template <typename Answer>
   void serveFor(Host& client, const standin::PlatformCall& call, Done<Answer> done);
--- a/standins/fault_proxy/fault_proxy.cc
+++ b/standins/fault_proxy/fault_proxy.cc
@@ -9,19 +9,19 @@
 
 namespace {
 
-http::Response badRequest(int status, std::string_view reason) {
+http::Response invalidRequest(int status, std::string_view reason) {
   return http::errorResponse(status, errorName(ErrorCode::InvalidRequest), reason, "not_run");
 }
 
-boost::json::object describe(const ProxyRoute& route) {
-  boost::json::object object;
-  object["name"] = route.name();
-  object["port"] = route.port();
-  object["connections"] = route.connections();
-  object["bytes_to_server"] = route.state().bytes_to_server;
-  object["bytes_to_client"] = route.state().bytes_to_client;
-  object["cuts"] = route.state().cuts;
-  return object;
+boost::json::object routeToJson(const ProxyRoute& route) {
+  boost::json::object json;
+  json["name"] = route.name();
+  json["port"] = route.port();
+  json["connections"] = route.connections();
+  json["bytes_to_server"] = route.state().bytes_to_server;
+  json["bytes_to_client"] = route.state().bytes_to_client;
+  json["cuts"] = route.state().cuts;
+  return json;
 }
 
 }  // namespace
@@ -53,11 +53,11 @@
 
 std::error_code FaultProxy::listenControl(const std::string& address) {
   std::error_code error;
-  const auto answer = [this](const http::Request& request,
-                             const std::shared_ptr<http::ResponseWriter>& writer) {
+  const auto on_request = [this](const http::Request& request,
+                                 const std::shared_ptr<http::ResponseWriter>& writer) {
     writer->respond(handle(request));
   };
-  control_ = http::listen(executor_, address, answer, error);
+  control_ = http::listen(executor_, address, on_request, error);
   return error;
 }
 
@@ -70,14 +70,14 @@
 http::Response FaultProxy::handle(const http::Request& request) {
   if (request.path() == "/control" && request.method == "POST") return control(request);
   if (request.path() == "/status" && request.method == "GET") return status();
-  return badRequest(404, "POST /control or GET /status");
+  return invalidRequest(404, "POST /control or GET /status");
 }
 
 http::Response FaultProxy::control(const http::Request& request) {
-  std::string problem;
-  const std::optional<ControlCommand> command = parseControl(request.body, problem);
-  if (!command) return badRequest(400, problem);
-  if (apply(*command) == 0) return badRequest(404, "no such route");
+  std::string reason;
+  const std::optional<ControlCommand> command = parseControl(request.body, reason);
+  if (!command) return invalidRequest(400, reason);
+  if (apply(*command) == 0) return invalidRequest(404, "no such route");
   return status();
 }
 
@@ -93,7 +93,7 @@
 
 http::Response FaultProxy::status() const {
   boost::json::array routes;
-  for (const auto& route : routes_) routes.push_back(describe(*route));
+  for (const auto& route : routes_) routes.push_back(routeToJson(*route));
   return http::jsonResponse(200, boost::json::serialize(boost::json::object{{"routes", routes}}));
 }
 
--- a/standins/fault_proxy/fault_proxy.h
+++ b/standins/fault_proxy/fault_proxy.h
@@ -1,5 +1,6 @@
 #pragma once
-/// @file TCP proxy that puts faults between processes in tests, with an HTTP control port.
+/// @file TCP proxy that injects faults into the connections between processes in tests, with an HTTP control
+/// port.
 
 #include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -15,34 +16,34 @@
 
 class ProxyRoute;
 
-/// A port and where its connections lead.
+/// A listening port and the server that its connections are forwarded to.
 struct RouteOptions {
   std::string name;
   std::string listen;  ///< "IP:port".
   std::string target;  ///< "IP:port".
 };
 
-/// @return the route of "NAME=LISTEN_PORT:IP:PORT", listening on 127.0.0.1, or a nameless one when `text` is
-/// no such thing.
+/// Parses "NAME=LISTEN_PORT:IP:PORT".
+/// @return the route, listening on 127.0.0.1; its name is empty when `text` is malformed.
 RouteOptions parseRoute(const std::string& text);
 
-/// Routes and their control. `POST /control` takes a ControlCommand; `GET /status` shows routes and counts.
+/// The routes and their control server. `POST /control` accepts a ControlCommand; `GET /status` returns the
+/// routes with their counters.
 class FaultProxy {
 public:
-  /// @param seed of the random cuts.
+  /// @param seed seed of the random connection cuts.
   FaultProxy(boost::asio::any_io_executor executor, std::uint64_t seed);
   ~FaultProxy();
 
-  /// Opens a route.
   std::error_code addRoute(const RouteOptions& options);
-  /// Opens the control port at "IP:port".
+  /// @param address "IP:port" of the control server.
   std::error_code listenControl(const std::string& address);
 
-  /// Applies a command to the routes that it names.
-  /// @return how many these are.
+  /// Applies a command to the route that it names, or to all routes.
+  /// @return the number of routes changed.
   std::size_t apply(const ControlCommand& command);
 
-  /// @return the ports of the routes in the order they were added.
+  /// @return the listening ports of the routes, in the order of addRoute().
   std::vector<std::uint16_t> ports() const;
   std::uint16_t controlPort() const { return control_->port(); }
 
--- a/standins/fault_proxy/fault_settings.cc
+++ b/standins/fault_proxy/fault_settings.cc
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr double kLongestDelayMilliseconds = 3'600'000;
+constexpr double kMaxDelayMilliseconds = 3'600'000;
 
 template <typename Value>
-bool store(const std::optional<Value>& value, std::optional<Value>& target) {
+bool storeValue(const std::optional<Value>& value, std::optional<Value>& target) {
   target = value;
   return value.has_value();
 }
@@ -22,38 +22,39 @@
 }
 
 bool storeDelay(const std::optional<double>& milliseconds, std::optional<Duration>& target) {
-  if (!milliseconds || *milliseconds < 0 || *milliseconds > kLongestDelayMilliseconds) return false;
+  if (!milliseconds || *milliseconds < 0 || *milliseconds > kMaxDelayMilliseconds) return false;
   target = Duration(static_cast<Duration::rep>(*milliseconds * 1000));
   return true;
 }
 
-bool storeChance(const std::optional<double>& value, std::optional<double>& target) {
+bool storeProbability(const std::optional<double>& value, std::optional<double>& target) {
   target = value;
   return value && *value >= 0 && *value <= 1;
 }
 
-bool storeShare(const std::optional<double>& value, double& target) {
+bool storeNonZeroProbability(const std::optional<double>& value, double& target) {
   target = value.value_or(0);
   return target > 0 && target <= 1;
 }
 
-/// @return whether the field is known and its value usable.
+/// @return whether the field is known and its value valid.
 bool readField(const boost::json::object& object, std::string_view name, ControlCommand& command) {
   if (name == "route") {
     command.route = stringField(object, name).value_or("");
     return !command.route.empty();
   }
   if (name == "cut_now") return storeFlag(boolField(object, name), command.cut_now);
-  if (name == "silence_open") return storeShare(numberField(object, name), command.silence_open);
+  if (name == "silence_open") return storeNonZeroProbability(numberField(object, name), command.silence_open);
   if (name == "reset") return storeFlag(boolField(object, name), command.reset);
   if (name == "delay_to_server_ms") return storeDelay(numberField(object, name), command.delay_to_server);
   if (name == "delay_to_client_ms") return storeDelay(numberField(object, name), command.delay_to_client);
-  if (name == "refuse") return store(boolField(object, name), command.refuse);
-  if (name == "freeze") return store(boolField(object, name), command.freeze);
-  if (name == "swallow_answers") return store(boolField(object, name), command.swallow_answers);
-  if (name == "cut_after_bytes_to_client") return store(unsignedField(object, name), command.cut_after_bytes);
-  if (name == "bytes_per_second") return store(unsignedField(object, name), command.bytes_per_second);
-  if (name == "cut_chance") return storeChance(numberField(object, name), command.cut_chance);
+  if (name == "refuse") return storeValue(boolField(object, name), command.refuse);
+  if (name == "freeze") return storeValue(boolField(object, name), command.freeze);
+  if (name == "swallow_answers") return storeValue(boolField(object, name), command.swallow_answers);
+  if (name == "cut_after_bytes_to_client")
+    return storeValue(unsignedField(object, name), command.cut_after_bytes);
+  if (name == "bytes_per_second") return storeValue(unsignedField(object, name), command.bytes_per_second);
+  if (name == "cut_chance") return storeProbability(numberField(object, name), command.cut_chance);
   return false;
 }
 
@@ -73,17 +74,17 @@
   if (cut_chance) settings.cut_chance = *cut_chance;
 }
 
-std::optional<ControlCommand> parseControl(std::string_view json, std::string& problem) {
+std::optional<ControlCommand> parseControl(std::string_view json, std::string& reason) {
   const std::optional<boost::json::object> object = parseJsonObject(json);
   if (!object) {
-    problem = "the body must be one JSON object";
+    reason = "the body must be one JSON object";
     return std::nullopt;
   }
   ControlCommand command;
   for (const auto& field : *object) {
     const std::string_view name(field.key().data(), field.key().size());
     if (readField(*object, name, command)) continue;
-    problem = fmt::format("\"{}\" is no field of a control command, or its value is wrong", name);
+    reason = fmt::format("\"{}\" is no field of a control command, or its value is wrong", name);
     return std::nullopt;
   }
   return command;
--- a/standins/fault_proxy/proxied_connection.cc
+++ b/standins/fault_proxy/proxied_connection.cc
@@ -8,9 +8,9 @@
 using asio::ip::tcp;
 
 namespace {
-constexpr std::size_t kQueuedBytes =
-    std::size_t{256} * 1024;  ///< A flow reads no further while more is queued.
-}
+/// Reading from the source stops while at least this much is queued for the sink.
+constexpr std::size_t kMaxQueuedBytes = std::size_t{256} * 1024;
+}  // namespace
 
 ProxiedConnection::ProxiedConnection(tcp::socket client, std::shared_ptr<RouteState> route,
                                      std::function<void(ProxiedConnection*)> on_closed)
@@ -19,7 +19,7 @@
       client_(std::move(client)),
       server_(client_.get_executor()),
       flows_{Flow(client_, server_), Flow(server_, client_)},
-      budget_(route_->settings.cut_after_bytes) {}
+      bytes_until_cut_(route_->settings.cut_after_bytes) {}
 
 void ProxiedConnection::start(const tcp::endpoint& target) {
   server_.async_connect(target, [self = shared_from_this()](boost::system::error_code error) {
@@ -34,7 +34,7 @@
 }
 
 void ProxiedConnection::settingsChanged() {
-  budget_ = route_->settings.cut_after_bytes;
+  bytes_until_cut_ = route_->settings.cut_after_bytes;
   if (!connected_) return;
   for (Flow& flow : flows_) pump(flow);
 }
@@ -62,12 +62,12 @@
   on_closed_(this);
 }
 
-/// Starts whatever the flow may do now.
+/// Starts the reads and writes that the flow is ready for.
 void ProxiedConnection::pump(Flow& flow) {
   if (closed_ || silent_ || route_->settings.freeze) return;
-  if (!flow.reading && !flow.source_ended && flow.queued_bytes < kQueuedBytes) read(flow);
+  if (!flow.reading && !flow.source_ended && flow.queued_bytes < kMaxQueuedBytes) read(flow);
   if (!flow.writing && !flow.queue.empty()) write(flow);
-  if (flow.source_ended && flow.queue.empty() && !flow.writing) passEnd(flow);
+  if (flow.source_ended && flow.queue.empty() && !flow.writing) forwardEnd(flow);
 }
 
 void ProxiedConnection::read(Flow& flow) {
@@ -85,8 +85,8 @@
   if (error && error != asio::error::eof) return cut();
   if (error) flow.source_ended = true;
   if (bytes > 0) {
-    const bool swallowed = settings.swallow_answers && toClient(flow);
-    if (swallowed || route_->random.chance(settings.cut_chance)) return cut();
+    const bool drop_response = settings.swallow_answers && toClient(flow);
+    if (drop_response || route_->random.chance(settings.cut_chance)) return cut();
     enqueue(flow, std::string(flow.chunk.data(), bytes));
   }
   pump(flow);
@@ -95,12 +95,12 @@
 void ProxiedConnection::enqueue(Flow& flow, std::string bytes) {
   const FaultSettings& settings = route_->settings;
   const Duration delay = toClient(flow) ? settings.delay_to_client : settings.delay_to_server;
-  Time due = std::chrono::steady_clock::now() + delay;
+  SteadyTime due = std::chrono::steady_clock::now() + delay;
   if (settings.bytes_per_second > 0) {
-    due = std::max(due, flow.sink_free);
+    due = std::max(due, flow.next_send_time);
     const double seconds = static_cast<double>(bytes.size()) / static_cast<double>(settings.bytes_per_second);
-    flow.sink_free = due + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
-    due = flow.sink_free;
+    flow.next_send_time = due + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
+    due = flow.next_send_time;
   }
   flow.queued_bytes += bytes.size();
   flow.queue.push_back({due, std::move(bytes)});
@@ -110,9 +110,9 @@
   flow.writing = true;
   if (flow.queue.front().due > std::chrono::steady_clock::now()) return waitUntilDue(flow);
   std::string& bytes = flow.queue.front().bytes;
-  if (toClient(flow) && budget_ && bytes.size() >= *budget_) {
-    flow.queued_bytes -= bytes.size() - *budget_;
-    bytes.resize(*budget_);
+  if (toClient(flow) && bytes_until_cut_ && bytes.size() >= *bytes_until_cut_) {
+    flow.queued_bytes -= bytes.size() - *bytes_until_cut_;
+    bytes.resize(*bytes_until_cut_);
   }
   const auto on_written = [self = shared_from_this(), &flow](boost::system::error_code error,
                                                              std::size_t written) {
@@ -135,18 +135,18 @@
   flow.queued_bytes -= bytes;
   flow.queue.pop_front();
   (toClient(flow) ? route_->bytes_to_client : route_->bytes_to_server) += bytes;
-  if (toClient(flow) && budget_) {
-    *budget_ -= std::min<std::uint64_t>(*budget_, bytes);
-    if (*budget_ == 0) {
+  if (toClient(flow) && bytes_until_cut_) {
+    *bytes_until_cut_ -= std::min<std::uint64_t>(*bytes_until_cut_, bytes);
+    if (*bytes_until_cut_ == 0) {
       ++route_->cuts;
-      return close();  // An ordinary close, so that the bytes before the cut arrive.
+      return close();  // A graceful close, so that the bytes before the cut are delivered.
     }
   }
   pump(flow);
 }
 
-/// The source has ended and all its bytes were passed: end the sink's direction, too.
-void ProxiedConnection::passEnd(Flow& flow) {
+/// Shuts down the sink's sending direction after the source has ended and all its bytes were written.
+void ProxiedConnection::forwardEnd(Flow& flow) {
   if (flow.sink_ended) return;
   flow.sink_ended = true;
   boost::system::error_code ignored;
--- a/standins/fault_proxy/proxied_connection.h
+++ b/standins/fault_proxy/proxied_connection.h
@@ -1,5 +1,6 @@
 #pragma once
-/// @file One connection through the fault proxy: a client socket, a server socket and a flow each way.
+/// @file One connection through the fault proxy: a client socket, a server socket and a flow in each
+/// direction.
 
 #include <array>
 #include <boost/asio/ip/tcp.hpp>
@@ -15,51 +16,51 @@
 
 namespace crankspur::standin {
 
-/// Bytes read at once.
+/// Maximum number of bytes of one read.
 inline constexpr std::size_t kChunkBytes = std::size_t{16} * 1024;
 
-/// What a route and its connections share.
+/// State that a route shares with its connections.
 struct RouteState {
   FaultSettings settings;
   RandomSource random;
-  std::uint64_t bytes_to_server = 0;  ///< Passed on so far.
+  std::uint64_t bytes_to_server = 0;  ///< Forwarded so far.
   std::uint64_t bytes_to_client = 0;
   std::uint64_t cuts = 0;  ///< Connections cut by a fault.
 };
 
-/// Copies bytes both ways under the route's faults.
+/// Forwards bytes in both directions, subject to the faults of the route.
 class ProxiedConnection : public std::enable_shared_from_this<ProxiedConnection> {
 public:
-  /// @param on_closed is called once, at the end of the connection.
+  /// @param on_closed called once, when the connection is closed.
   ProxiedConnection(boost::asio::ip::tcp::socket client, std::shared_ptr<RouteState> route,
                     std::function<void(ProxiedConnection*)> on_closed);
 
-  /// Connects to the server and begins to copy.
+  /// Connects to the server, then starts forwarding.
   void start(const boost::asio::ip::tcp::endpoint& target);
-  /// Takes changed settings into account.
+  /// Applies the changed settings of the route.
   void settingsChanged();
-  /// Passes nothing any more, either way and for good; both sockets stay open and are told nothing.
+  /// Stops forwarding in both directions permanently; both sockets stay open, without FIN or RST.
   void silence();
-  /// Resets both sockets at once.
+  /// Closes both sockets with RST and counts a cut.
   void cut();
   /// Closes without counting a cut.
   void close();
 
 private:
-  using Time = std::chrono::steady_clock::time_point;
-  struct Piece {
-    Time due;
+  using SteadyTime = std::chrono::steady_clock::time_point;
+  struct QueuedChunk {
+    SteadyTime due;
     std::string bytes;
   };
-  /// One direction.
+  /// One direction of the connection.
   struct Flow {
     Flow(boost::asio::ip::tcp::socket& from, boost::asio::ip::tcp::socket& to) : source(from), sink(to) {}
     boost::asio::ip::tcp::socket& source;
     boost::asio::ip::tcp::socket& sink;
     boost::asio::steady_timer timer{source.get_executor()};
-    std::deque<Piece> queue;
+    std::deque<QueuedChunk> queue;
     std::size_t queued_bytes = 0;
-    Time sink_free{};  ///< When the bandwidth limit lets the next piece begin.
+    SteadyTime next_send_time{};  ///< Earliest start of the next chunk under the bandwidth limit.
     bool reading = false;
     bool writing = false;
     bool source_ended = false;
@@ -75,17 +76,17 @@
   void write(Flow& flow);
   void waitUntilDue(Flow& flow);
   void onWritten(Flow& flow, boost::system::error_code error, std::size_t bytes);
-  void passEnd(Flow& flow);
+  void forwardEnd(Flow& flow);
 
   std::shared_ptr<RouteState> route_;
   std::function<void(ProxiedConnection*)> on_closed_;
   boost::asio::ip::tcp::socket client_;
   boost::asio::ip::tcp::socket server_;
-  std::array<Flow, 2> flows_;            ///< To the server, to the client.
-  std::optional<std::uint64_t> budget_;  ///< Bytes that may still go to the client before the cut.
+  std::array<Flow, 2> flows_;                     ///< Index 0: to the server; 1: to the client.
+  std::optional<std::uint64_t> bytes_until_cut_;  ///< Bytes still to be sent to the client before the cut.
   bool connected_ = false;
   bool closed_ = false;
-  bool silent_ = false;  ///< Passes nothing any more.
+  bool silent_ = false;  ///< Forwarding has stopped permanently.
 };
 
 }  // namespace crankspur::standin
--- a/standins/fault_proxy/proxy_route.h
+++ b/standins/fault_proxy/proxy_route.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file One route of the fault proxy: its port and its connections.
+/// @file One route of the fault proxy: its listening port and its connections.
 
 #include <boost/asio/steady_timer.hpp>
 #include <memory>
@@ -10,20 +10,18 @@
 
 namespace crankspur::standin {
 
-/// Accepts connections and holds the faults that they share.
+/// Accepts connections and owns the fault settings that they share.
 class ProxyRoute : public std::enable_shared_from_this<ProxyRoute> {
 public:
   ProxyRoute(const boost::asio::any_io_executor& executor, std::string name, std::uint64_t seed);
 
-  /// Begins to listen.
   std::error_code open(const RouteOptions& options);
-  /// Applies a control command.
   void apply(const ControlCommand& command);
-  /// Closes the port and every connection.
+  /// Closes the port and all connections.
   void close();
 
   const std::string& name() const { return name_; }
-  std::uint16_t port() const { return endpoint_.port(); }
+  std::uint16_t port() const { return listen_endpoint_.port(); }
   std::size_t connections() const { return connections_.size(); }
   const RouteState& state() const { return *state_; }
 
@@ -36,8 +34,8 @@
   std::string name_;
   std::shared_ptr<RouteState> state_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer retry_;
-  boost::asio::ip::tcp::endpoint endpoint_;
+  boost::asio::steady_timer reopen_timer_;
+  boost::asio::ip::tcp::endpoint listen_endpoint_;
   boost::asio::ip::tcp::endpoint target_;
   std::unordered_map<ProxiedConnection*, std::shared_ptr<ProxiedConnection>> connections_;
 };
--- a/standins/platform/machine_file.cc
+++ b/standins/platform/machine_file.cc
@@ -43,7 +43,7 @@
   for (const std::shared_ptr<TomlTable>& table : root->getTables("machines")) {
     machines.push_back(readMachine(*table));
     if (!names.insert(machines.back().name).second) {
-      table->report("name", fmt::format("'{}' stands twice", machines.back().name));
+      table->report("name", fmt::format("'{}' is listed twice", machines.back().name));
     }
   }
   root->finish();
--- a/standins/platform/machine_file.h
+++ b/standins/platform/machine_file.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Reads the machines that the platform stand-in lists from a TOML file with [[machines]] entries.
+/// @file Parser of the TOML file with the [[machines]] entries that the platform stand-in lists.
 
 #include <string>
 #include <string_view>
@@ -10,7 +10,7 @@
 
 namespace crankspur::standin {
 
-/// @return the machines; meaningful only when no problem was added.
+/// @return the machines; valid only if nothing was added to `problems`.
 std::vector<Machine> parseMachineFile(std::string_view text, const std::string& file,
                                       std::vector<SettingsProblem>& problems);
 
--- a/standins/platform/platform_control.cc
+++ b/standins/platform/platform_control.cc
@@ -18,7 +18,7 @@
 
 constexpr std::array<const char*, kPlatformServiceCount> kServiceNames = {"table", "objects", "weights",
                                                                           "machines"};
-const std::set<std::string_view> kKnownFields = {
+const std::set<std::string_view> kFieldNames = {
     "service",         "mode",  "delay_ms", "calls",          "probability",
     "rate_per_second", "burst", "machine",  "remove_machine", "machine_list_lag_ms"};
 
@@ -43,73 +43,74 @@
     return ServiceMode::Down;
   }
   if (name == "lose_answers") {
-    return ServiceMode::LoseAnswers;
+    return ServiceMode::LoseResponses;
   }
   return std::nullopt;
 }
 
-/// Checks a control request and collects its changes; applies them only when all are right.
-class ControlReader {
+/// Validates a control request and collects its changes; applies them only if the complete request is valid.
+class ControlRequest {
 public:
-  ControlReader(const json::object& object, PlatformModel& model, TimePoint now)
+  ControlRequest(const json::object& object, PlatformModel& model, TimePoint now)
       : object_(object), model_(model), now_(now) {}
 
-  /// @return empty, or what is wrong.
-  std::string readAndApply() {
-    checkKnownFields();
+  /// @return the validation error; empty if the changes were applied.
+  std::string validateAndApply() {
+    rejectUnknownFields();
     readServices();
     readMachine();
     readRemoval();
     readLag();
-    if (!problem_.empty()) {
-      return problem_;
+    if (!error_.empty()) {
+      return error_;
     }
-    for (const std::function<void()>& change : changes_) {
+    for (const std::function<void()>& change : pending_changes_) {
       change();
     }
     return {};
   }
 
 private:
-  bool has(std::string_view name) const {
+  bool hasField(std::string_view name) const {
     return object_.contains(json::string_view(name.data(), name.size()));
   }
 
-  void checkKnownFields() {
+  void rejectUnknownFields() {
     for (const auto& field : object_) {
       const std::string_view name(field.key().data(), field.key().size());
-      if (kKnownFields.count(name) == 0) {
-        problem_ = fmt::format("'{}' is not a known field", name);
+      if (kFieldNames.count(name) == 0) {
+        error_ = fmt::format("'{}' is not a known field", name);
       }
     }
   }
 
-  /// @return the field, or `fallback` when absent; anything but a number of at least 0 is a problem.
-  double readNumber(std::string_view name, double fallback) {
-    if (!has(name)) {
-      return fallback;
+  /// @return the field, or `default_value` if it is absent or invalid. Reports an error unless it is a number
+  /// of at least 0.
+  double readNumber(std::string_view name, double default_value) {
+    if (!hasField(name)) {
+      return default_value;
     }
     const std::optional<double> number = numberField(object_, name);
     if (!number || !(*number >= 0)) {
-      problem_ = fmt::format("'{}' must be a number of at least 0", name);
-      return fallback;
+      error_ = fmt::format("'{}' must be a number of at least 0", name);
+      return default_value;
     }
     return *number;
   }
 
   void readServices() {
-    if (!has("service")) {
+    if (!hasField("service")) {
       return;
     }
     const std::vector<PlatformService> services =
         servicesByName(stringField(object_, "service").value_or(""));
     if (services.empty()) {
-      problem_ = "'service' must be table, objects, weights, machines or all";
+      error_ = "'service' must be table, objects, weights, machines or all";
     }
-    if (has("mode")) {
+    if (hasField("mode")) {
       readBehaviour(services);
     }
-    if (has("rate_per_second")) {
+    if (hasField("rate_per_second")) {
       readRate(services);
     }
   }
@@ -117,18 +118,18 @@
   void readBehaviour(const std::vector<PlatformService>& services) {
     const std::optional<ServiceMode> mode = modeByName(stringField(object_, "mode").value_or(""));
     if (!mode) {
-      problem_ = "'mode' must be up, slow, down or lose_answers";
+      error_ = "'mode' must be up, slow, down or lose_answers";
       return;
     }
     ServiceBehaviour behaviour;
     behaviour.mode = *mode;
     behaviour.delay = Duration(static_cast<std::int64_t>(readNumber("delay_ms", 0) * 1000));
     behaviour.calls = static_cast<std::uint32_t>(readNumber("calls", 0));
-    behaviour.lose_probability = readNumber("probability", behaviour.lose_probability);
-    if (behaviour.lose_probability > 1.0) {
-      problem_ = "'probability' must be at most 1";
+    behaviour.loss_probability = readNumber("probability", behaviour.loss_probability);
+    if (behaviour.loss_probability > 1.0) {
+      error_ = "'probability' must be at most 1";
     }
-    changes_.emplace_back([this, services, behaviour] {
+    pending_changes_.emplace_back([this, services, behaviour] {
       for (const PlatformService service : services) {
         model_.setBehaviour(service, behaviour);
       }
@@ -139,9 +140,9 @@
     const double rate = readNumber("rate_per_second", 0);
     const RateLimit limit{rate, std::max(1.0, readNumber("burst", rate))};
     if (!(rate > 0)) {
-      problem_ = "'rate_per_second' must be above 0";
+      error_ = "'rate_per_second' must be above 0";
     }
-    changes_.emplace_back([this, services, limit] {
+    pending_changes_.emplace_back([this, services, limit] {
       for (const PlatformService service : services) {
         model_.setRateLimit(service, limit);
       }
@@ -149,44 +150,44 @@
   }
 
   void readMachine() {
-    if (!has("machine")) {
+    if (!hasField("machine")) {
       return;
     }
     const json::value& value = object_.at("machine");
     const std::optional<Machine> machine =
         value.is_object() ? machineFromJson(value.get_object()) : std::nullopt;
     if (!machine) {
-      problem_ = "'machine' is no machine";
+      error_ = "'machine' is no machine";
       return;
     }
-    changes_.emplace_back([this, machine] { model_.putMachine(*machine, now_); });
+    pending_changes_.emplace_back([this, machine] { model_.putMachine(*machine, now_); });
   }
 
   void readRemoval() {
-    if (!has("remove_machine")) {
+    if (!hasField("remove_machine")) {
       return;
     }
     const std::optional<std::string> name = stringField(object_, "remove_machine");
     if (!name) {
-      problem_ = "'remove_machine' must be a string";
+      error_ = "'remove_machine' must be a string";
       return;
     }
-    changes_.emplace_back([this, name] { model_.removeMachine(*name, now_); });
+    pending_changes_.emplace_back([this, name] { model_.removeMachine(*name, now_); });
   }
 
   void readLag() {
-    if (!has("machine_list_lag_ms")) {
+    if (!hasField("machine_list_lag_ms")) {
       return;
     }
     const Duration lag(static_cast<std::int64_t>(readNumber("machine_list_lag_ms", 0) * 1000));
-    changes_.emplace_back([this, lag] { model_.setMachineListLag(lag); });
+    pending_changes_.emplace_back([this, lag] { model_.setMachineListLag(lag); });
   }
 
   const json::object& object_;
   PlatformModel& model_;
   TimePoint now_;
-  std::string problem_;
-  std::vector<std::function<void()>> changes_;
+  std::string error_;
+  std::vector<std::function<void()>> pending_changes_;
 };
 
 }  // namespace
@@ -196,9 +197,9 @@
   if (request.method != "POST" || !object) {
     return http::errorResponse(400, "invalid_request", "POST one JSON object", "not_run");
   }
-  const std::string problem = ControlReader(*object, model, now).readAndApply();
-  if (!problem.empty()) {
-    return http::errorResponse(400, "invalid_request", problem, "not_run");
+  const std::string error = ControlRequest(*object, model, now).validateAndApply();
+  if (!error.empty()) {
+    return http::errorResponse(400, "invalid_request", error, "not_run");
   }
   return http::jsonResponse(200, "{}");
 }
--- a/standins/platform/platform_control.h
+++ b/standins/platform/platform_control.h
@@ -1,9 +1,9 @@
 #pragma once
-/// @file The stand-in's POST /control for tests. The body is a JSON object with any of:
+/// @file POST /control of the platform stand-in, for tests. The body is a JSON object with any of:
 ///   "service": "table|objects|weights|machines|all" together with
-///     "mode": "up|slow|down|lose_answers", optional "delay_ms", "calls" (the mode holds for so many calls),
-///     "probability" (share of answers lost), and/or "rate_per_second" with "burst";
-///   "machine": a machine to add or replace, as the machine list gives it;
+///     "mode": "up|slow|down|lose_answers", optional "delay_ms", "calls" (number of calls that the mode
+///     applies to), "probability" (fraction of responses lost), and/or "rate_per_second" with "burst";
+///   "machine": a machine to add or replace, in the form of the machine list;
 ///   "remove_machine": a name; "machine_list_lag_ms": a number.
 
 #include "http/message.h"
@@ -11,7 +11,7 @@
 
 namespace crankspur::standin {
 
-/// Applies a control request, wholly or not at all.
+/// Applies a control request atomically: an invalid request changes nothing.
 http::Response applyPlatformControl(const http::Request& request, PlatformModel& model, TimePoint now);
 
 }  // namespace crankspur::standin
--- a/standins/platform/platform_http.cc
+++ b/standins/platform/platform_http.cc
@@ -15,16 +15,16 @@
 
 constexpr std::string_view kObjectsPath = "/v1/objects/";
 constexpr std::string_view kWeightsPath = "/v1/weights/";
-constexpr double kDownRetrySeconds = 1.0;
+constexpr double kUnavailableRetrySeconds = 1.0;
 
-http::Response refusal(int status, std::string_view message) {
+http::Response invalidRequest(int status, std::string_view message) {
   return http::errorResponse(status, "invalid_request", message, "not_run");
 }
 
 DecodedCall decodeReadRow(const http::Request& request) {
   const std::string key = request.query("key");
   if (key.empty()) {
-    return refusal(400, "the query has no key");
+    return invalidRequest(400, "the query has no key");
   }
   return ReadRow{key};
 }
@@ -32,7 +32,7 @@
 DecodedCall decodeTransactionCall(const http::Request& request) {
   std::optional<TableTransaction> transaction = decodeTransaction(request.body);
   if (!transaction) {
-    return refusal(400, "the body is no transaction");
+    return invalidRequest(400, "the body is no transaction");
   }
   return std::move(*transaction);
 }
@@ -44,13 +44,13 @@
   if (request.method == "GET") {
     return GetObject{key};
   }
-  return refusal(405, "objects are read with GET and written with PUT");
+  return invalidRequest(405, "objects are read with GET and written with PUT");
 }
 
 DecodedCall decodeLoadWeights(std::string_view rest) {
   const std::size_t slash = rest.find('/');
   if (slash == std::string_view::npos || slash == 0 || slash + 1 == rest.size()) {
-    return refusal(400, "the path must be /v1/weights/MODEL/VERSION");
+    return invalidRequest(400, "the path must be /v1/weights/MODEL/VERSION");
   }
   return LoadWeights{std::string(rest.substr(0, slash)), std::string(rest.substr(slash + 1))};
 }
@@ -64,7 +64,7 @@
   return response;
 }
 
-struct AnswerEncoder {
+struct ResponseEncoder {
   http::Response operator()(const TableRow& row) const { return http::jsonResponse(200, encodeRow(row)); }
   http::Response operator()(const TransactionCommitted& committed) const {
     return http::jsonResponse(200, encodeCommitted(committed));
@@ -86,13 +86,13 @@
   http::Response operator()(const MachineList& list) const {
     return http::jsonResponse(200, encodeMachineList(list));
   }
-  http::Response operator()(const TooManyCalls& refused) const {
+  http::Response operator()(const TooManyCalls& rejected) const {
     return withRetryAfter(http::errorResponse(429, "rate_limited", "too many calls", "not_run"),
-                          refused.retry_after);
+                          rejected.retry_after);
   }
   http::Response operator()(const ServiceDown&) const {
     const auto retry_after =
-        std::chrono::duration_cast<Duration>(std::chrono::duration<double>(kDownRetrySeconds));
+        std::chrono::duration_cast<Duration>(std::chrono::duration<double>(kUnavailableRetrySeconds));
     return withRetryAfter(http::errorResponse(503, "unavailable", "the service is down", "not_run"),
                           retry_after);
   }
@@ -120,8 +120,8 @@
   return http::errorResponse(404, "not_found", "there is no such call", "not_run");
 }
 
-http::Response encodePlatformAnswer(const PlatformAnswer& answer) {
-  return std::visit(AnswerEncoder{}, answer);
+http::Response encodePlatformResponse(const PlatformResponse& response) {
+  return std::visit(ResponseEncoder{}, response);
 }
 
 }  // namespace crankspur::standin
--- a/standins/platform/platform_http.h
+++ b/standins/platform/platform_http.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file HTTP form of the platform stand-in's calls and answers, as docs/ARCHITECTURE.md states them.
+/// @file HTTP encoding of the platform stand-in's calls and responses, as documented in docs/ARCHITECTURE.md.
 
 #include <variant>
 
@@ -8,10 +8,9 @@
 
 namespace crankspur::standin {
 
-/// @return the call, or the error response to a request that is none.
+/// @return the call, or the error response if the request is not a valid call.
 std::variant<PlatformCall, http::Response> decodePlatformCall(const http::Request& request);
 
-/// @return the response that carries an answer.
-http::Response encodePlatformAnswer(const PlatformAnswer& answer);
+http::Response encodePlatformResponse(const PlatformResponse& response);
 
 }  // namespace crankspur::standin
--- a/standins/platform/platform_model.cc
+++ b/standins/platform/platform_model.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-struct ServiceOfCall {
+struct ServiceVisitor {
   PlatformService operator()(const ReadRow&) const { return PlatformService::Table; }
   PlatformService operator()(const TableTransaction&) const { return PlatformService::Table; }
   PlatformService operator()(const PutObject&) const { return PlatformService::Objects; }
@@ -25,7 +25,7 @@
 }  // namespace
 
 PlatformService serviceOf(const PlatformCall& call) {
-  return std::visit(ServiceOfCall{}, call);
+  return std::visit(ServiceVisitor{}, call);
 }
 
 PlatformModel::PlatformModel(PlatformOptions options, std::uint64_t seed) : options_(options), random_(seed) {
@@ -35,9 +35,9 @@
   machine_history_.push_back({TimePoint::min(), {}});
 }
 
-PlatformReply PlatformModel::call(const PlatformCall& call, TimePoint now) {
+PlatformCallOutcome PlatformModel::call(const PlatformCall& call, TimePoint now) {
   ServiceState& service = state(serviceOf(call));
-  const ServiceBehaviour behaviour = takeBehaviour(service);
+  const ServiceBehaviour behaviour = nextBehaviour(service);
   if (behaviour.mode == ServiceMode::Down) {
     return {ServiceDown{}, behaviour.delay, false};
   }
@@ -46,12 +46,13 @@
     return {TooManyCalls{service.bucket.untilNext(now)}, Duration{0}, false};
   }
   ++service.served;
-  PlatformAnswer answer = std::visit([&](const auto& typed) { return perform(typed, now); }, call);
-  const bool lost = behaviour.mode == ServiceMode::LoseAnswers && random_.chance(behaviour.lose_probability);
-  return {std::move(answer), behaviour.delay, lost};
+  PlatformResponse response = std::visit([&](const auto& typed) { return execute(typed, now); }, call);
+  const bool response_lost =
+      behaviour.mode == ServiceMode::LoseResponses && random_.chance(behaviour.loss_probability);
+  return {std::move(response), behaviour.delay, response_lost};
 }
 
-ServiceBehaviour PlatformModel::takeBehaviour(ServiceState& service) {
+ServiceBehaviour PlatformModel::nextBehaviour(ServiceState& service) {
   const ServiceBehaviour behaviour = service.behaviour;
   if (behaviour.calls == 1) {
     service.behaviour = {};
@@ -69,12 +70,12 @@
   state(service).bucket = CallRateLimiter(limit);
 }
 
-PlatformAnswer PlatformModel::perform(const ReadRow& read, TimePoint) {
+PlatformResponse PlatformModel::execute(const ReadRow& read, TimePoint) {
   return row(read.key);
 }
 
-PlatformAnswer PlatformModel::perform(const TableTransaction& transaction, TimePoint) {
-  const auto condition_holds = [this](const RowCondition& condition) { return holds(condition); };
+PlatformResponse PlatformModel::execute(const TableTransaction& transaction, TimePoint) {
+  const auto condition_holds = [this](const RowCondition& condition) { return conditionHolds(condition); };
   if (!std::all_of(transaction.conditions.begin(), transaction.conditions.end(), condition_holds)) {
     TransactionConflict conflict;
     for (const RowCondition& condition : transaction.conditions) {
@@ -91,12 +92,12 @@
   return committed;
 }
 
-PlatformAnswer PlatformModel::perform(const PutObject& put, TimePoint) {
+PlatformResponse PlatformModel::execute(const PutObject& put, TimePoint) {
   objects_[put.key] = put.body;
   return ObjectStored{};
 }
 
-PlatformAnswer PlatformModel::perform(const GetObject& get, TimePoint) {
+PlatformResponse PlatformModel::execute(const GetObject& get, TimePoint) {
   const auto found = objects_.find(get.key);
   if (found == objects_.end()) {
     return NotFound{};
@@ -104,7 +105,7 @@
   return ObjectFound{found->second};
 }
 
-PlatformAnswer PlatformModel::perform(const LoadWeights&, TimePoint now) {
+PlatformResponse PlatformModel::execute(const LoadWeights&, TimePoint now) {
   std::erase_if(weight_load_ends_, [now](TimePoint end) { return end <= now; });
   const auto loads = static_cast<double>(weight_load_ends_.size() + 1);
   const double slowdown = std::max(1.0, loads / options_.full_speed_weight_loads);
@@ -115,12 +116,12 @@
   return WeightsTransfer{options_.weights_bytes, duration};
 }
 
-PlatformAnswer PlatformModel::perform(const ListMachines&, TimePoint now) {
+PlatformResponse PlatformModel::execute(const ListMachines&, TimePoint now) {
   const TimePoint as_of = now - options_.machine_list_lag;
-  const auto later =
+  const auto first_later =
       std::find_if(machine_history_.begin() + 1, machine_history_.end(),
                    [as_of](const MachineSnapshot& snapshot) { return snapshot.since > as_of; });
-  const auto visible = later - 1;
+  const auto visible = first_later - 1;
   MachineList list{toWholeMilliseconds(as_of), visible->machines};
   return list;
 }
@@ -130,7 +131,7 @@
 }
 
 void PlatformModel::putMachine(const Machine& machine, TimePoint now) {
-  std::vector<Machine>& machines = changeMachines(now);
+  std::vector<Machine>& machines = addMachineSnapshot(now);
   const auto same_name = [&machine](const Machine& other) { return other.name == machine.name; };
   const auto found = std::find_if(machines.begin(), machines.end(), same_name);
   if (found == machines.end()) {
@@ -141,10 +142,10 @@
 }
 
 void PlatformModel::removeMachine(const std::string& name, TimePoint now) {
-  std::erase_if(changeMachines(now), [&name](const Machine& machine) { return machine.name == name; });
+  std::erase_if(addMachineSnapshot(now), [&name](const Machine& machine) { return machine.name == name; });
 }
 
-std::vector<Machine>& PlatformModel::changeMachines(TimePoint now) {
+std::vector<Machine>& PlatformModel::addMachineSnapshot(TimePoint now) {
   machine_history_.push_back({now, machine_history_.back().machines});
   return machine_history_.back().machines;
 }
@@ -154,7 +155,7 @@
   return found == rows_.end() ? TableRow{key, 0, ""} : found->second;
 }
 
-bool PlatformModel::holds(const RowCondition& condition) const {
+bool PlatformModel::conditionHolds(const RowCondition& condition) const {
   return row(condition.key).version == condition.version;
 }
 
--- a/standins/platform/platform_model.h
+++ b/standins/platform/platform_model.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Model of the platform's services. Pure state holder: it takes (call, now) and returns the reply; the
-/// stand-in process and the simulation drive it.
+/// @file Model of the platform's services, without I/O or clock: maps (call, now) to the outcome of the call.
+/// Driven by the stand-in process and by the simulation.
 
 #include <map>
 #include <string>
@@ -11,35 +11,35 @@
 
 namespace crankspur::standin {
 
-/// @return the service that takes a call.
+/// @return the service that handles a call.
 PlatformService serviceOf(const PlatformCall& call);
 
-/// The platform.
+/// State of all services of the platform. Not thread-safe.
 class PlatformModel {
 public:
-  /// @param seed decides which answers are lost when only a share is.
+  /// @param seed seed of the random choice of lost responses.
   PlatformModel(PlatformOptions options, std::uint64_t seed);
 
-  /// Makes a call at `now`. Calls come in the order of time.
-  PlatformReply call(const PlatformCall& call, TimePoint now);
+  /// Executes a call. `now` must not decrease from call to call.
+  PlatformCallOutcome call(const PlatformCall& call, TimePoint now);
 
-  /// Sets how a service fares from now on.
+  /// Sets the behaviour of a service for the following calls.
   void setBehaviour(PlatformService service, const ServiceBehaviour& behaviour);
   void setRateLimit(PlatformService service, RateLimit limit);
   void setMachineListLag(Duration lag) { options_.machine_list_lag = lag; }
 
-  /// Sets the machines that are listed at once, without the lag.
+  /// Sets the machines that are listed immediately, without the lag.
   void setInitialMachines(std::vector<Machine> machines);
   /// Adds a machine or replaces the one of the same name; listed after the lag.
   void putMachine(const Machine& machine, TimePoint now);
   /// Removes a machine; it stays listed during the lag.
   void removeMachine(const std::string& name, TimePoint now);
 
-  /// @return a row beside all limits and modes, for checkers.
+  /// @return a row, bypassing rate limits and service modes. For checkers.
   TableRow row(const std::string& key) const;
-  /// @return calls of a service that were neither refused for the rate nor by Down.
+  /// @return the number of calls that were rejected neither by the rate limit nor by ServiceMode::Down.
   std::uint64_t served(PlatformService service) const { return state(service).served; }
-  /// @return calls refused for the rate limit.
+  /// @return the number of calls rejected by the rate limit.
   std::uint64_t rateLimited(PlatformService service) const { return state(service).rate_limited; }
 
 private:
@@ -50,7 +50,7 @@
     std::uint64_t served = 0;
     std::uint64_t rate_limited = 0;
   };
-  /// The machines from an instant on.
+  /// The machines from `since` until the next snapshot.
   struct MachineSnapshot {
     TimePoint since;
     std::vector<Machine> machines;
@@ -60,18 +60,20 @@
   const ServiceState& state(PlatformService service) const {
     return services_[static_cast<std::size_t>(service)];
   }
-  ServiceBehaviour takeBehaviour(ServiceState& service);
+  /// @return the behaviour of the next call, and counts that call.
+  ServiceBehaviour nextBehaviour(ServiceState& service);
 
-  PlatformAnswer perform(const ReadRow& read, TimePoint now);
-  PlatformAnswer perform(const TableTransaction& transaction, TimePoint now);
-  PlatformAnswer perform(const PutObject& put, TimePoint now);
-  PlatformAnswer perform(const GetObject& get, TimePoint now);
-  PlatformAnswer perform(const LoadWeights& load, TimePoint now);
-  PlatformAnswer perform(const ListMachines& list, TimePoint now);
+  PlatformResponse execute(const ReadRow& read, TimePoint now);
+  PlatformResponse execute(const TableTransaction& transaction, TimePoint now);
+  PlatformResponse execute(const PutObject& put, TimePoint now);
+  PlatformResponse execute(const GetObject& get, TimePoint now);
+  PlatformResponse execute(const LoadWeights& load, TimePoint now);
+  PlatformResponse execute(const ListMachines& list, TimePoint now);
 
-  bool holds(const RowCondition& condition) const;
-  /// Starts a snapshot at `now` that can be changed.
-  std::vector<Machine>& changeMachines(TimePoint now);
+  bool conditionHolds(const RowCondition& condition) const;
+  /// Appends a copy of the latest snapshot, valid from `now`.
+  /// @return its machines, to be modified.
+  std::vector<Machine>& addMachineSnapshot(TimePoint now);
 
   PlatformOptions options_;
   RandomSource random_;
@@ -79,7 +81,7 @@
   std::map<std::string, TableRow> rows_;
   std::map<std::string, std::string> objects_;
   std::vector<TimePoint> weight_load_ends_;
-  std::vector<MachineSnapshot> machine_history_;  ///< Oldest first; the first is always visible.
+  std::vector<MachineSnapshot> machine_history_;  ///< Oldest first; the first one has no start time.
 };
 
 }  // namespace crankspur::standin
--- a/standins/platform/platform_server.cc
+++ b/standins/platform/platform_server.cc
@@ -9,21 +9,21 @@
 
 namespace {
 
-constexpr std::size_t kObjectBytes = std::size_t{16} * 1024 * 1024;
+constexpr std::size_t kMaxObjectBytes = std::size_t{16} * 1024 * 1024;
 
-void answer(const PlatformReply& reply, const std::shared_ptr<http::ResponseWriter>& writer) {
-  if (reply.lost) {
+void respond(const PlatformCallOutcome& outcome, const std::shared_ptr<http::ResponseWriter>& writer) {
+  if (outcome.lost) {
     writer->abort();
     return;
   }
-  writer->respond(encodePlatformAnswer(reply.answer));
+  writer->respond(encodePlatformResponse(outcome.response));
 }
 
 }  // namespace
 
 std::error_code PlatformServer::start(const std::string& address) {
   http::ServerLimits limits;
-  limits.body_bytes = kObjectBytes;
+  limits.body_bytes = kMaxObjectBytes;
   std::error_code error;
   server_ = http::listen(
       executor_, address,
@@ -41,21 +41,21 @@
     return;
   }
   const auto decoded = decodePlatformCall(request);
-  if (const auto* refused = std::get_if<http::Response>(&decoded)) {
-    writer->respond(*refused);
+  if (const auto* error_response = std::get_if<http::Response>(&decoded)) {
+    writer->respond(*error_response);
     return;
   }
-  answerLater(model_.call(std::get<PlatformCall>(decoded), clock_.now()), writer);
+  respondAfterDelay(model_.call(std::get<PlatformCall>(decoded), clock_.now()), writer);
 }
 
-void PlatformServer::answerLater(const PlatformReply& reply,
-                                 const std::shared_ptr<http::ResponseWriter>& writer) {
-  if (reply.delay <= Duration{0}) {
-    answer(reply, writer);
+void PlatformServer::respondAfterDelay(const PlatformCallOutcome& outcome,
+                                       const std::shared_ptr<http::ResponseWriter>& writer) {
+  if (outcome.delay <= Duration{0}) {
+    respond(outcome, writer);
     return;
   }
-  const auto timer = std::make_shared<boost::asio::steady_timer>(executor_, reply.delay);
-  timer->async_wait([timer, reply, writer](const boost::system::error_code&) { answer(reply, writer); });
+  const auto timer = std::make_shared<boost::asio::steady_timer>(executor_, outcome.delay);
+  timer->async_wait([timer, outcome, writer](const boost::system::error_code&) { respond(outcome, writer); });
 }
 
 }  // namespace crankspur::standin
--- a/standins/platform/platform_server.h
+++ b/standins/platform/platform_server.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Serves a PlatformModel over HTTP.
+/// @file HTTP server of a PlatformModel.
 
 #include <boost/asio/any_io_executor.hpp>
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace crankspur::standin {
 
-/// A listening platform. Model, clock and server belong to one executor thread.
+/// Serves a PlatformModel. Model, clock and server are used from one executor thread.
 class PlatformServer {
 public:
   PlatformServer(boost::asio::any_io_executor executor, PlatformModel& model, const Clock& clock)
@@ -24,8 +24,9 @@
 
 private:
   void handle(const http::Request& request, const std::shared_ptr<http::ResponseWriter>& writer);
-  /// Answers after the reply's delay.
-  void answerLater(const PlatformReply& reply, const std::shared_ptr<http::ResponseWriter>& writer);
+  /// Sends the response after the delay of `outcome`.
+  void respondAfterDelay(const PlatformCallOutcome& outcome,
+                         const std::shared_ptr<http::ResponseWriter>& writer);
 
   boost::asio::any_io_executor executor_;
   PlatformModel& model_;
--- a/standins/platform/platform_types.h
+++ b/standins/platform/platform_types.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Calls and answers of the platform stand-in: table service, object store, weight store and machine
+/// @file Calls and responses of the platform stand-in: table service, object store, weight store and machine
 /// list.
 
 #include <array>
@@ -22,20 +22,20 @@
 constexpr std::array<PlatformService, kPlatformServiceCount> kPlatformServices = {
     PlatformService::Table, PlatformService::Objects, PlatformService::Weights, PlatformService::Machines};
 
-/// How a service fares.
+/// Availability of a service.
 enum class ServiceMode {
   Up,
-  Slow,         ///< Each answer comes `delay` late.
-  Down,         ///< Refuses every call; nothing takes effect.
-  LoseAnswers,  ///< The call takes effect, but its answer never comes.
+  Slow,           ///< Each response is delayed by `delay`.
+  Down,           ///< Rejects each call without effect.
+  LoseResponses,  ///< The call takes effect, but its response may be lost.
 };
 
-/// Behaviour set for a service.
+/// Injected behaviour of a service.
 struct ServiceBehaviour {
   ServiceMode mode = ServiceMode::Up;
-  Duration delay{0};              ///< Added to each answer, in every mode.
-  std::uint32_t calls = 0;        ///< The mode holds for so many calls, then Up; 0: until set again.
-  double lose_probability = 1.0;  ///< For LoseAnswers: the share of answers that are lost.
+  Duration delay{0};              ///< Delay of each response, in all modes.
+  std::uint32_t calls = 0;        ///< Calls until the service returns to Up; 0: until set again.
+  double loss_probability = 1.0;  ///< For LoseResponses: probability that a response is lost.
 };
 
 struct ReadRow {
@@ -54,7 +54,7 @@
 };
 struct ListMachines {};
 
-/// A call of any of the services.
+/// A call to any of the services.
 using PlatformCall = std::variant<ReadRow, TableTransaction, PutObject, GetObject, LoadWeights, ListMachines>;
 
 struct ObjectStored {};
@@ -62,32 +62,33 @@
   std::string body;
 };
 struct NotFound {};
-/// The service refuses for its rate limit; nothing took effect.
+/// Rejected by the rate limit; nothing took effect.
 struct TooManyCalls {
   Duration retry_after{0};
 };
 /// The service is down; nothing took effect.
 struct ServiceDown {};
 
-using PlatformAnswer =
+using PlatformResponse =
     std::variant<TableRow, TransactionCommitted, TransactionConflict, ObjectStored, ObjectFound, NotFound,
                  WeightsTransfer, MachineList, TooManyCalls, ServiceDown>;
 
-/// What becomes of a call. Its effect, if any, happened when it was made.
-struct PlatformReply {
-  PlatformAnswer answer;
-  Duration delay{0};  ///< Time until the answer leaves.
-  bool lost = false;  ///< The answer never leaves: the connection is cut at `delay`.
+/// Outcome of a call. Its effect, if any, took place when the call was made.
+struct PlatformCallOutcome {
+  PlatformResponse response;
+  Duration delay{0};  ///< Time until the response is sent.
+  bool lost = false;  ///< The response is not sent: the connection is closed after `delay`.
 };
 
-/// Sizes and speeds of the platform.
+/// Capacities and rates of the platform.
 struct PlatformOptions {
   std::array<RateLimit, kPlatformServiceCount> limits = {RateLimit{500.0, 500.0}, RateLimit{200.0, 200.0},
                                                          RateLimit{20.0, 40.0}, RateLimit{100.0, 200.0}};
   Duration machine_list_lag = std::chrono::seconds(2);
   std::uint64_t weights_bytes = 14'000'000'000;
-  double weights_bytes_per_second = 2e9;      ///< One transfer alone.
-  std::uint32_t full_speed_weight_loads = 3;  ///< More transfers at once share the speed of so many.
+  double weights_bytes_per_second = 2e9;  ///< Speed of a single transfer.
+  /// Number of concurrent transfers that run at full speed; more transfers share the bandwidth of this many.
+  std::uint32_t full_speed_weight_loads = 3;
 };
 
 }  // namespace crankspur::standin
--- a/tests/unit/fault_proxy/fault_proxy_test.cc
+++ b/tests/unit/fault_proxy/fault_proxy_test.cc
@@ -22,22 +22,22 @@
     REQUIRE_FALSE(proxy.listenControl("127.0.0.1:0"));
   }
 
-  std::string route() const { return "127.0.0.1:" + std::to_string(proxy.ports().front()); }
+  std::string routeAddress() const { return "127.0.0.1:" + std::to_string(proxy.ports().front()); }
 
   Response control(const std::string& json) {
     const std::string target = "127.0.0.1:" + std::to_string(proxy.controlPort());
     return run({"POST", "/control", {}, json}, target).response;
   }
 
-  Outcome post(const std::string& body) { return run({"POST", "/", {}, body}, route()); }
+  Outcome post(const std::string& body) { return run({"POST", "/", {}, body}, routeAddress()); }
 
-  /// Posts without waiting for the end.
+  /// Sends a POST without waiting for the response.
   void startPost(const std::string& body, std::optional<Outcome>& outcome) {
     ExchangeCallbacks callbacks;
     callbacks.on_done = [&outcome](std::error_code error, SendState state, Response response) {
       outcome = Outcome{error, state, std::move(response)};
     };
-    client->start(route(), {"POST", "/", {}, body}, callbacks);
+    client->start(routeAddress(), {"POST", "/", {}, body}, callbacks);
   }
 
   std::vector<std::string> requests;
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-TEST_CASE("the proxy passes requests and counts their bytes", "[fault_proxy]") {
+TEST_CASE("the proxy forwards requests and counts their bytes", "[fault_proxy]") {
   ProxyFixture fixture;
   CHECK(fixture.post("one").response.body == std::string(1000, 'x'));
   const auto status = boost::json::parse(fixture.control("{}").body);
@@ -54,7 +54,8 @@
   CHECK(status.at("routes").at(0).at("connections").as_int64() == 1);
 }
 
-TEST_CASE("a swallowed answer: the server acted, the client knows nothing", "[fault_proxy]") {
+TEST_CASE("with a dropped response the server has acted and the client reports an unknown outcome",
+          "[fault_proxy]") {
   ProxyFixture fixture;
   fixture.control(R"({"swallow_answers":true})");
   const Outcome outcome = fixture.post("once");
@@ -65,7 +66,7 @@
   CHECK_FALSE(fixture.post("again").error);
 }
 
-TEST_CASE("refused connections send nothing, and the same port opens again", "[fault_proxy]") {
+TEST_CASE("no request is sent over a refused connection, and the same port listens again", "[fault_proxy]") {
   ProxyFixture fixture;
   fixture.control(R"({"refuse":true,"cut_now":true})");
   const Outcome refused = fixture.post("never");
@@ -75,7 +76,7 @@
   CHECK(fixture.requests == std::vector<std::string>{"now"});
 }
 
-TEST_CASE("a frozen route passes nothing until it thaws", "[fault_proxy]") {
+TEST_CASE("a frozen route forwards nothing until the freeze ends", "[fault_proxy]") {
   ProxyFixture fixture;
   CHECK_FALSE(fixture.post("warm").error);
   fixture.control(R"({"freeze":true})");
@@ -88,7 +89,7 @@
   CHECK_FALSE(outcome->error);
 }
 
-TEST_CASE("a connection is cut after the given bytes, by chance, or at once", "[fault_proxy]") {
+TEST_CASE("a connection is cut after the given number of bytes, at random, or immediately", "[fault_proxy]") {
   ProxyFixture fixture;
   SECTION("bytes") {
     fixture.control(R"({"cut_after_bytes_to_client":500})");
@@ -114,7 +115,7 @@
   }
 }
 
-TEST_CASE("delay and bandwidth hold bytes back at least that long", "[fault_proxy]") {
+TEST_CASE("delay and bandwidth limit delay bytes by at least the configured time", "[fault_proxy]") {
   ProxyFixture fixture;
   const bool delay = GENERATE(true, false);
   fixture.control(delay ? R"({"delay_to_server_ms":20,"delay_to_client_ms":20})"
@@ -124,7 +125,7 @@
   CHECK(std::chrono::steady_clock::now() - begin >= std::chrono::milliseconds(40));
 }
 
-TEST_CASE("control commands are checked", "[fault_proxy]") {
+TEST_CASE("control commands are validated", "[fault_proxy]") {
   ProxyFixture fixture;
   CHECK(fixture.control("[]").status == 400);
   CHECK(fixture.control(R"({"frieze":true})").status == 400);
--- a/tests/unit/operator/operator_fixture.h
+++ b/tests/unit/operator/operator_fixture.h
@@ -22,7 +22,7 @@
   TransactionResult compareAndSet(const std::string& key, std::uint64_t version,
                                   const std::string& value) override {
     const TableTransaction transaction{{{key, version}}, {{key, value}}};
-    const standin::PlatformReply reply = model.call(transaction, now);
+    const standin::PlatformCallOutcome reply = model.call(transaction, now);
     if (after_write) {
       after_write();
     }
@@ -30,8 +30,8 @@
   }
 
   PutObjectResult putObject(const std::string& key, const std::string& body) override {
-    const standin::PlatformReply reply = model.call(standin::PutObject{key, body}, now);
-    if (!reply.lost && std::holds_alternative<standin::ObjectStored>(reply.answer)) {
+    const standin::PlatformCallOutcome reply = model.call(standin::PutObject{key, body}, now);
+    if (!reply.lost && std::holds_alternative<standin::ObjectStored>(reply.response)) {
       return ObjectWritten{};
     }
     return ServiceUnavailable{reply.lost, Duration{0}};
@@ -41,11 +41,11 @@
 
   standin::PlatformModel model{{}, 1};
   TimePoint now{std::chrono::seconds(1)};
-  std::function<void()> after_write;  ///< Runs after each compare-and-set, before its answer is seen.
+  std::function<void()> after_write;  ///< Runs after each compare-and-set, before its response is seen.
 
 private:
   template <typename Result, typename... Answers>
-  static Result convert(const standin::PlatformReply& reply) {
+  static Result convert(const standin::PlatformCallOutcome& reply) {
     Result result = ServiceUnavailable{reply.lost, Duration{0}};
     if (reply.lost) {
       return result;
@@ -55,9 +55,9 @@
   }
 
   template <typename Result, typename Answer>
-  static void assign(const standin::PlatformReply& reply, Result& result) {
-    if (const auto* answer = std::get_if<Answer>(&reply.answer)) {
-      result = *answer;
+  static void assign(const standin::PlatformCallOutcome& reply, Result& result) {
+    if (const auto* response = std::get_if<Answer>(&reply.response)) {
+      result = *response;
     }
   }
 };
--- a/tests/unit/operator/roll_test.cc
+++ b/tests/unit/operator/roll_test.cc
@@ -22,7 +22,7 @@
   port.model.setBehaviour(PlatformService::Table, {mode, Duration{0}, calls, 1.0});
 }
 
-/// Loses the answer to the first write after its effect.
+/// Loses the response to the first write after its effect.
 class LoseFirstWrite : public PlatformPort {
 public:
   explicit LoseFirstWrite(ModelPort& inner) : inner_(inner) {}
@@ -53,9 +53,9 @@
   CHECK(roll(port, bodyOf(5, "other"), "ana").kind == Kind::WrongVersion);
   CHECK(roll(port, bodyOf(6), "ana").kind == Kind::Accepted);
   const BundleRow row = present(port);
-  const PlatformReply reply =
+  const PlatformCallOutcome reply =
       port.model.call(GetObject{bundleObjectKey(row.version, row.document_sha256)}, port.now);
-  const auto body = bundleBodyFromRow(row, std::get<ObjectFound>(reply.answer).body);
+  const auto body = bundleBodyFromRow(row, std::get<ObjectFound>(reply.response).body);
   REQUIRE(body);
   CHECK(body->author_signature == "author");
   CHECK_FALSE(bundleBodyFromRow(row, "another document"));
@@ -91,7 +91,7 @@
   LoseFirstWrite lossy(port);
   CHECK(rollBundle(lossy, bodyOf(1), {"ana", "token-ana"}).kind == Kind::Accepted);
   CHECK(port.model.row(bundleRowKey()).version == 1);
-  setTable(port, ServiceMode::LoseAnswers, 2);
+  setTable(port, ServiceMode::LoseResponses, 2);
   CHECK(roll(port, bodyOf(2), "ana").kind == Kind::Accepted);
 }
 
--- a/tests/unit/platform_service/platform_clients_test.cc
+++ b/tests/unit/platform_service/platform_clients_test.cc
@@ -30,7 +30,7 @@
 
 TEST_CASE("a failure says whether the write may have taken effect", "[table_service]") {
   TableFixture fixture;
-  fixture.behave(ServiceMode::LoseAnswers);
+  fixture.behave(ServiceMode::LoseResponses);
   CHECK(std::get<ServiceUnavailable>(fixture.compareAndSet(0, "one")).effect_unknown);
   CHECK(fixture.model.row("k/1").value == "one");
   fixture.behave(ServiceMode::Down);
--- a/tests/unit/standin_platform/platform_model_test.cc
+++ b/tests/unit/standin_platform/platform_model_test.cc
@@ -13,7 +13,7 @@
 
 constexpr TimePoint kStart{1000s};
 
-TableTransaction insert(const std::string& key, std::uint64_t version, const std::string& value) {
+TableTransaction writeRow(const std::string& key, std::uint64_t version, const std::string& value) {
   return {{{key, version}}, {{key, value}}};
 }
 
@@ -23,8 +23,8 @@
   return machine;
 }
 
-std::size_t listed(PlatformModel& model, TimePoint now) {
-  return std::get<MachineList>(model.call(ListMachines{}, now).answer).machines.size();
+std::size_t listedMachineCount(PlatformModel& model, TimePoint now) {
+  return std::get<MachineList>(model.call(ListMachines{}, now).response).machines.size();
 }
 
 http::Response control(PlatformModel& model, const std::string& body) {
@@ -36,51 +36,53 @@
 
 }  // namespace
 
-TEST_CASE("a transaction happens wholly or not at all", "[standin_platform]") {
+TEST_CASE("a transaction is atomic", "[standin_platform]") {
   PlatformModel model({}, 1);
   const TableTransaction both{{{"a", 0}, {"b", 0}}, {{"a", "1"}, {"b", "2"}}};
-  CHECK(std::get<TransactionCommitted>(model.call(both, kStart).answer).versions.size() == 2);
-  const TableTransaction half{{{"a", 1}, {"b", 0}}, {{"a", "x"}, {"b", "y"}}};
-  const auto conflict = std::get<TransactionConflict>(model.call(half, kStart).answer);
+  CHECK(std::get<TransactionCommitted>(model.call(both, kStart).response).versions.size() == 2);
+  const TableTransaction partly_stale{{{"a", 1}, {"b", 0}}, {{"a", "x"}, {"b", "y"}}};
+  const auto conflict = std::get<TransactionConflict>(model.call(partly_stale, kStart).response);
   REQUIRE(conflict.rows.size() == 2);
   CHECK(conflict.rows[1].version == 1);
   CHECK(model.row("a").value == "1");
-  CHECK(std::get<TransactionCommitted>(model.call(insert("a", 1, "3"), kStart).answer).versions[0].version ==
-        2);
+  CHECK(std::get<TransactionCommitted>(model.call(writeRow("a", 1, "3"), kStart).response)
+            .versions[0]
+            .version == 2);
 }
 
-TEST_CASE("a lost answer comes after the effect; a refusal comes without", "[standin_platform]") {
+TEST_CASE("a call with a lost response takes effect; a refused call does not", "[standin_platform]") {
   PlatformModel model({}, 1);
-  model.setBehaviour(PlatformService::Table, {ServiceMode::LoseAnswers, 0s, 1, 1.0});
-  CHECK(model.call(insert("a", 0, "1"), kStart).lost);
+  model.setBehaviour(PlatformService::Table, {ServiceMode::LoseResponses, 0s, 1, 1.0});
+  CHECK(model.call(writeRow("a", 0, "1"), kStart).lost);
   CHECK(model.row("a").version == 1);
   CHECK_FALSE(model.call(ReadRow{"a"}, kStart).lost);
   model.setBehaviour(PlatformService::Table, {ServiceMode::Down, 0s, 0, 1.0});
-  CHECK(std::holds_alternative<ServiceDown>(model.call(insert("a", 1, "2"), kStart).answer));
+  CHECK(std::holds_alternative<ServiceDown>(model.call(writeRow("a", 1, "2"), kStart).response));
   CHECK(model.row("a").version == 1);
 }
 
-TEST_CASE("calls beyond the rate are refused with a true time to come back", "[standin_platform]") {
+TEST_CASE("calls above the rate limit are refused with the exact retry delay", "[standin_platform]") {
   PlatformOptions options;
   options.limits[0] = {10.0, 2.0};
   PlatformModel model(options, 1);
   model.call(ReadRow{"a"}, kStart);
   model.call(ReadRow{"a"}, kStart);
-  const auto refused = std::get<TooManyCalls>(model.call(ReadRow{"a"}, kStart).answer);
+  const auto refused = std::get<TooManyCalls>(model.call(ReadRow{"a"}, kStart).response);
   CHECK(refused.retry_after == 100ms);
   CHECK(std::holds_alternative<TooManyCalls>(
-      model.call(ReadRow{"a"}, kStart + refused.retry_after - 1us).answer));
-  CHECK(std::holds_alternative<TableRow>(model.call(ReadRow{"a"}, kStart + refused.retry_after).answer));
+      model.call(ReadRow{"a"}, kStart + refused.retry_after - 1us).response));
+  CHECK(std::holds_alternative<TableRow>(model.call(ReadRow{"a"}, kStart + refused.retry_after).response));
   CHECK(model.rateLimited(PlatformService::Table) == 2);
 }
 
-TEST_CASE("weights load slower when more than a few load at once", "[standin_platform]") {
+TEST_CASE("weights load slower when more than the full-speed number of loads run concurrently",
+          "[standin_platform]") {
   PlatformOptions options;
   options.weights_bytes = 2'000'000'000;
   options.full_speed_weight_loads = 2;
   PlatformModel model(options, 1);
   const auto load = [&model](TimePoint now) {
-    return std::get<WeightsTransfer>(model.call(LoadWeights{"m", "1"}, now).answer).duration;
+    return std::get<WeightsTransfer>(model.call(LoadWeights{"m", "1"}, now).response).duration;
   };
   CHECK(load(kStart) == 1s);
   CHECK(load(kStart) == 1s);
@@ -89,32 +91,32 @@
   CHECK(load(kStart + 1500ms) == 1s);
 }
 
-TEST_CASE("the machine list lags", "[standin_platform]") {
+TEST_CASE("changes of machines are listed after the lag", "[standin_platform]") {
   PlatformOptions options;
   options.machine_list_lag = 2s;
   PlatformModel model(options, 1);
   model.setInitialMachines({machineNamed("a")});
   model.putMachine(machineNamed("b"), kStart);
   model.removeMachine("a", kStart + 1s);
-  CHECK(listed(model, kStart + 1999ms) == 1);
-  CHECK(listed(model, kStart + 2s) == 2);
-  CHECK(listed(model, kStart + 3s) == 1);
+  CHECK(listedMachineCount(model, kStart + 1999ms) == 1);
+  CHECK(listedMachineCount(model, kStart + 2s) == 2);
+  CHECK(listedMachineCount(model, kStart + 3s) == 1);
 }
 
-TEST_CASE("a control request is applied wholly or refused wholly", "[standin_platform]") {
+TEST_CASE("a control request is applied completely or not at all", "[standin_platform]") {
   PlatformModel model({}, 1);
   CHECK(control(model, R"({"service":"table","mode":"down","delay_ms":-1})").status == 400);
   CHECK(control(model, R"({"service":"tables","mode":"down"})").status == 400);
   CHECK(control(model, R"({"service":"table","mode":"down","machine":{"name":"x"}})").status == 400);
   CHECK(control(model, R"({"services":"table"})").status == 400);
-  CHECK(std::holds_alternative<TableRow>(model.call(ReadRow{"a"}, kStart).answer));
+  CHECK(std::holds_alternative<TableRow>(model.call(ReadRow{"a"}, kStart).response));
   CHECK(control(model, R"({"service":"all","mode":"slow","delay_ms":1.5,"calls":1})").status == 200);
   CHECK(model.call(ReadRow{"a"}, kStart).delay == 1500us);
   CHECK(model.call(ReadRow{"a"}, kStart).delay == 0us);
   CHECK(model.call(ListMachines{}, kStart).delay == 1500us);
 }
 
-TEST_CASE("a machine file is refused with the place", "[standin_platform]") {
+TEST_CASE("an invalid machine file is refused with the position of the error", "[standin_platform]") {
   std::vector<SettingsProblem> problems;
   parseMachineFile("[[machines]]\nname = \"a\"\naddress = \"127.0.0.1:1\"\nrole = \"engin\"\n", "m.toml",
                    problems);
