--- a/sim/check/fault.cc
+++ b/sim/check/fault.cc
@@ -285,7 +285,7 @@
   }
   if (kind == FaultKind::LostAnswers) {
     scheduleStoreBehaviour(from, to,
-                           {standin::ServiceMode::LoseAnswers, Duration(0), 0, 0.2 + 0.6 * random_.unit()});
+                           {standin::ServiceMode::LoseResponses, Duration(0), 0, 0.2 + 0.6 * random_.unit()});
   }
 }
 
--- a/sim/check/table_outage.cc
+++ b/sim/check/table_outage.cc
@@ -28,7 +28,7 @@
   outage.majority_live = random_.chance(kLiveMajorityShare);
   outage.span = {world_.context().queue.now() + kTimeBeforeOutage, world_.context().queue.now() + end};
   world_.context().records.table_outage = outage;
-  const standin::ServiceBehaviour losing_responses{standin::ServiceMode::LoseAnswers, Duration(0), 0,
+  const standin::ServiceBehaviour losing_responses{standin::ServiceMode::LoseResponses, Duration(0), 0,
                                                    0.2 + 0.6 * random_.unit()};
   scheduleStoreBehaviour(kTimeBeforeOutage - randomBetween(Duration(0), kMaxResponseLossBefore),
                          kTimeBeforeOutage, losing_responses);
--- a/sim/world/platform_node.cc
+++ b/sim/world/platform_node.cc
@@ -26,18 +26,18 @@
 }
 
 void PlatformNode::serve(Host& client, const standin::PlatformCall& platform_call,
-                         std::function<void(std::optional<standin::PlatformAnswer>)> done) {
-  call<standin::PlatformAnswer>(
+                         std::function<void(std::optional<standin::PlatformResponse>)> done) {
+  call<standin::PlatformResponse>(
       context_, client, host_, kCallTimeout,
-      [this, platform_call](const std::function<void(standin::PlatformAnswer)>& respond) {
-        standin::PlatformReply reply = model_.call(platform_call, context_.queue.now());
+      [this, platform_call](const std::function<void(standin::PlatformResponse)>& respond) {
+        standin::PlatformCallOutcome reply = model_.call(platform_call, context_.queue.now());
         const auto* transaction = std::get_if<TableTransaction>(&platform_call);
-        const bool committed = std::holds_alternative<TransactionCommitted>(reply.answer);
+        const bool committed = std::holds_alternative<TransactionCommitted>(reply.response);
         if (transaction != nullptr && committed && write_observer_) {
           for (const RowWrite& write : transaction->writes) write_observer_(model_.row(write.key));
         }
         if (reply.lost) return;
-        host_.post(kServiceTime + reply.delay, [respond, reply] { respond(reply.answer); });
+        host_.post(kServiceTime + reply.delay, [respond, reply] { respond(reply.response); });
       },
       std::move(done));
 }
@@ -45,7 +45,7 @@
 template <typename Response>
 void PlatformNode::serveFor(Host& client, const standin::PlatformCall& platform_call,
                             ResponseCallback<Response> done) {
-  serve(client, platform_call, [done = std::move(done)](std::optional<standin::PlatformAnswer> response) {
+  serve(client, platform_call, [done = std::move(done)](std::optional<standin::PlatformResponse> response) {
     Response* typed = response ? std::get_if<Response>(&*response) : nullptr;
     done(typed ? std::optional<Response>(std::move(*typed)) : std::nullopt);
   });
@@ -65,7 +65,7 @@
   if (unconditional) transaction.conditions.clear();
   if (!absent_key.empty()) transaction.conditions.push_back({absent_key, 0});
   serve(client, transaction,
-        [key, value, done = std::move(done)](std::optional<standin::PlatformAnswer> response) {
+        [key, value, done = std::move(done)](std::optional<standin::PlatformResponse> response) {
           if (!response) return done(std::nullopt);
           if (const auto* committed = std::get_if<TransactionCommitted>(&*response)) {
             return done(WriteResponse{true, {key, committed->versions.front().version, value}, false});
--- a/sim/world/platform_node.h
+++ b/sim/world/platform_node.h
@@ -60,7 +60,7 @@
 
 private:
   void serve(Host& client, const standin::PlatformCall& call,
-             std::function<void(std::optional<standin::PlatformAnswer>)> done);
+             std::function<void(std::optional<standin::PlatformResponse>)> done);
   /// Serves a call that succeeds with the type `Response`; any other response is a failure.
   template <typename Response>
   void serveFor(Host& client, const standin::PlatformCall& call, ResponseCallback<Response> done);
--- a/tests/unit/operator/operator_fixture.h
+++ b/tests/unit/operator/operator_fixture.h
@@ -22,7 +22,7 @@
   TransactionResult compareAndSet(const std::string& key, std::uint64_t version,
                                   const std::string& value) override {
     const TableTransaction transaction{{{key, version}}, {{key, value}}};
-    const standin::PlatformReply reply = model.call(transaction, now);
+    const standin::PlatformCallOutcome reply = model.call(transaction, now);
     if (after_write) {
       after_write();
     }
@@ -30,8 +30,8 @@
   }
 
   PutObjectResult putObject(const std::string& key, const std::string& body) override {
-    const standin::PlatformReply reply = model.call(standin::PutObject{key, body}, now);
-    if (!reply.lost && std::holds_alternative<standin::ObjectStored>(reply.answer)) {
+    const standin::PlatformCallOutcome reply = model.call(standin::PutObject{key, body}, now);
+    if (!reply.lost && std::holds_alternative<standin::ObjectStored>(reply.response)) {
       return ObjectWritten{};
     }
     return ServiceUnavailable{reply.lost, Duration{0}};
@@ -45,7 +45,7 @@
 
 private:
   template <typename Result, typename... Responses>
-  static Result convert(const standin::PlatformReply& reply) {
+  static Result convert(const standin::PlatformCallOutcome& reply) {
     Result result = ServiceUnavailable{reply.lost, Duration{0}};
     if (reply.lost) {
       return result;
@@ -55,8 +55,8 @@
   }
 
   template <typename Result, typename Response>
-  static void assign(const standin::PlatformReply& reply, Result& result) {
-    if (const auto* response = std::get_if<Response>(&reply.answer)) {
+  static void assign(const standin::PlatformCallOutcome& reply, Result& result) {
+    if (const auto* response = std::get_if<Response>(&reply.response)) {
       result = *response;
     }
   }
--- a/tests/unit/platform_service/platform_clients_test.cc
+++ b/tests/unit/platform_service/platform_clients_test.cc
@@ -30,7 +30,7 @@
 
 TEST_CASE("a failure states whether the write may have taken effect", "[table_service]") {
   TableFixture fixture;
-  fixture.setMode(ServiceMode::LoseAnswers);
+  fixture.setMode(ServiceMode::LoseResponses);
   CHECK(std::get<ServiceUnavailable>(fixture.compareAndSet(0, "one")).effect_unknown);
   CHECK(fixture.model.row("k/1").value == "one");
   fixture.setMode(ServiceMode::Down);
