--- a/tests/clean_build/check_test.py
+++ b/tests/clean_build/check_test.py
@@ -1,8 +1,8 @@
-"""A build that uses what a clean machine does not hold is found, one way after another.
+"""Tests that the clean build check finds each use of a file that a clean machine does not have.
 
-A landing failed to build on clean machines: two names under `packages` were unknown to apt and a third brought another
-version of a library than the build asked for. All builds before had run where other lists were installed already.
-Each case here builds a small project under trace against a list of packages of its own.
+Guards against builds that fail only on clean machines, as happened when two names under `packages` were unknown to apt
+and a third provided another version of a library than the build required: earlier builds had run on machines with other
+packages installed. Each test builds a small project under strace with its own list of packages.
 """
 
 import shutil
@@ -14,7 +14,7 @@
 ROOT = Path(__file__).resolve().parents[2]
 sys.path.insert(0, str(ROOT / "tools/clean_build"))
 
-from build_trace import give_to_unprivileged_user  # noqa: E402
+from build_trace import chown_to_unprivileged_user  # noqa: E402
 from check import check_checkout  # noqa: E402
 from debian_packages import PackageError, require_package_lists, resolve_closure  # noqa: E402
 from deployment import Deployment, DeploymentError, read_deployment  # noqa: E402
@@ -37,7 +37,7 @@
         (self.checkout / name).write_text(text, encoding="utf-8")
 
     def findings(self, packages, build, programs=(), templates=()):
-        give_to_unprivileged_user(self.checkout)
+        chown_to_unprivileged_user(self.checkout)
         deployment = Deployment(build, tuple(packages), tuple(programs), tuple(templates))
         return check_checkout(self.checkout, deployment, resolve_closure(packages))
 
@@ -55,7 +55,7 @@
     def test_a_build_of_listed_packages_has_no_findings(self):
         self.assertEqual(self.cmake_findings(TOOLCHAIN), [])
 
-    def test_a_name_that_apt_does_not_know(self):
+    def test_a_name_unknown_to_apt(self):
         with self.assertRaisesRegex(PackageError, "Unable to locate package libprometheus-cpp-dev"):
             resolve_closure([*TOOLCHAIN, "libprometheus-cpp-dev"])
 
@@ -63,7 +63,7 @@
         self.assert_only(self.cmake_findings(TOOLCHAIN, source="#include <zlib.h>\n" + HELLO),
                          "zlib1g-dev is used", "/usr/include/zlib.h")
 
-    def test_a_header_of_a_package_that_a_listed_one_brings(self):
+    def test_a_header_of_a_dependency_of_a_listed_package(self):
         found = self.cmake_findings([*TOOLCHAIN, "prometheus-cpp-dev"],
                                     source="#include <prometheus/counter.h>\n#include <zlib.h>\n" + HELLO)
         self.assertEqual(found, [])
@@ -76,24 +76,24 @@
                                     "extern \"C\" unsigned XXH_versionNumber();\nint main() { return XXH_versionNumber() == 0; }\n")
         self.assertTrue(any(finding.startswith("libxxhash-dev is used") for finding in found), found)
 
-    def test_a_library_found_in_another_version_than_the_listed_one(self):
+    def test_a_library_in_another_version_than_the_listed_one(self):
         found = self.cmake_findings([*TOOLCHAIN, "libboost-dev"], "find_package(Boost 1.81 REQUIRED)",
                                     "#include <boost/version.hpp>\n" + HELLO)
         self.assertTrue(any(finding.startswith("libboost1.81-dev is used") for finding in found), found)
 
-    def test_a_listed_package_that_nothing_uses(self):
+    def test_an_unused_listed_package(self):
         self.assert_only(self.cmake_findings([*TOOLCHAIN, "libfmt-dev"]), "libfmt-dev is listed and not used")
 
-    def test_a_program_that_only_a_recommended_package_brings(self):
-        # cmake recommends make and does not depend on it.
+    def test_a_program_of_a_recommended_package(self):
+        # cmake recommends make but does not depend on it.
         self.assert_only(self.cmake_findings(["g++", "cmake"]), "make is used", "/usr/bin/gmake")
 
-    def test_a_compiler_launcher_of_the_machine(self):
+    def test_a_compiler_launcher_of_the_host(self):
         found = self.cmake_findings(TOOLCHAIN, build=f"CCACHE_DIR=$PWD/target/cache CMAKE_CXX_COMPILER_LAUNCHER=ccache; "
                                     "export CCACHE_DIR CMAKE_CXX_COMPILER_LAUNCHER; " + CMAKE_BUILD)
         self.assertTrue(any(finding.startswith("ccache is used") for finding in found), found)
 
-    def test_a_code_generator_of_the_machine(self):
+    def test_a_code_generator_of_the_host(self):
         found = self.findings([], "curl --version > version.txt")
         self.assertTrue(any(finding.startswith("curl is used") for finding in found), found)
 
@@ -101,17 +101,17 @@
         with tempfile.TemporaryDirectory() as folder:
             header = Path(folder) / "local.h"
             header.write_text("", encoding="utf-8")
-            give_to_unprivileged_user(Path(folder))
+            chown_to_unprivileged_user(Path(folder))
             self.assert_only(self.findings([], f"cat {header}"), f"{header} is used and belongs to no package")
 
     def test_a_download(self):
         self.assert_only(self.findings([], "bash -c 'echo > /dev/tcp/127.0.0.1/9' || true"), "calls another host")
 
-    def test_a_home_that_can_be_written(self):
+    def test_a_write_to_the_home_directory(self):
         found = self.findings([], 'mkdir -p "$HOME/.cache"')
         self.assert_only(found, "the build failed as an ordinary user without a home", "/nonexistent")
 
-    def test_a_program_that_the_build_does_not_leave(self):
+    def test_a_program_that_the_build_does_not_produce(self):
         self.assert_only(self.findings([], "true", programs=["target/hello"]), "target/hello: the build leaves no such program")
 
     def test_a_program_that_cannot_start(self):
@@ -125,7 +125,7 @@
 
     def test_a_machine_without_package_lists(self):
         with tempfile.TemporaryDirectory() as lists:
-            # No source either, so that nothing can be fetched.
+            # Without sources, so that no lists can be fetched.
             options = ["-o", f"Dir::State::lists={lists}", "-o", "Dir::Cache::srcpkgcache=",
                        "-o", "Dir::Etc::sourcelist=/dev/null", "-o", "Dir::Etc::sourceparts=/dev/null"]
             with self.assertRaisesRegex(PackageError, "apt has no package lists"):
@@ -139,11 +139,11 @@
             path.write_text(text, encoding="utf-8")
             return read_deployment(path)
 
-    def test_a_whole_file(self):
+    def test_complete_file(self):
         deployment = self.read('build = "make"\npackages = ["g++"]\n[roles.a]\nrun = "target/a --x"\ntemplate = "a.toml"\n')
         self.assertEqual(deployment, Deployment("make", ("g++",), ("target/a",), ("a.toml",)))
 
-    def test_bad_input_is_named(self):
+    def test_errors_name_the_invalid_input(self):
         for text, error in (
             ("build = ", "cannot be read"),
             ("packages = []", "build: a command line is required"),
--- a/tests/deploy/settings_template_test.py
+++ b/tests/deploy/settings_template_test.py
@@ -1,7 +1,7 @@
-"""The settings that a platform makes of deploy/node.toml are read by the gateway.
+"""Tests that the gateway accepts the settings that a platform creates by expanding deploy/node.toml.
 
-No other test of ours fills the template; unit tests read settings of their own, and only users' machines would meet a
-gap that is misspelt.
+No other test expands the template: unit tests use their own settings, so a misspelt placeholder would fail only on the
+machines of users.
 """
 
 import os
@@ -15,7 +15,7 @@
 ROOT = Path(__file__).resolve().parents[2]
 GATEWAY = Path(sys.argv.pop()).resolve()
 
-MACHINE = {
+MACHINE_FIELDS = {
     "nodeName": "front-a-1",
     "zone": "hall-a",
     "region": "north",
@@ -31,12 +31,12 @@
     "platform": {"address": "10.200.1.7:8784"},
 }
 
-SECTION = re.compile(r"\{\{([#^])([\w.]+)\}\}(.*?)\{\{/\2\}\}", re.DOTALL)
-GAP = re.compile(r"\{\{([\w.,]+)\}\}")
+SECTION_PATTERN = re.compile(r"\{\{([#^])([\w.]+)\}\}(.*?)\{\{/\2\}\}", re.DOTALL)
+PLACEHOLDER = re.compile(r"\{\{([\w.,]+)\}\}")
 
 
-def look_up(fields, name):
-    """Returns the value under a dotted name, or None."""
+def find_field(fields, name):
+    """Returns the value of a dotted field name, or None."""
     value = fields
     for part in name.split("."):
         if isinstance(value, list):
@@ -46,26 +46,26 @@
     return value
 
 
-def fill(template, fields):
-    """Fills sections (once, or once for each entry of a list) and gaps, as a platform does."""
+def expand(template, fields):
+    """Expands sections (once, or once per list entry) and placeholders, as a platform does."""
 
     def section(match):
         kind, name, body = match.groups()
-        value = look_up(fields, name)
+        value = find_field(fields, name)
         if kind == "^":
-            return "" if value else fill(body, fields)
+            return "" if value else expand(body, fields)
         if isinstance(value, list):
             last = len(value) - 1
-            filled = (body.replace("{{.}}", str(entry)).replace("{{,}}", "" if number == last else ",")
+            expanded = (body.replace("{{.}}", str(entry)).replace("{{,}}", "" if number == last else ",")
                       for number, entry in enumerate(value))
-            return "".join(fill(text, fields) for text in filled)
-        return fill(body, fields) if value not in (None, False) else ""
+            return "".join(expand(text, fields) for text in expanded)
+        return expand(body, fields) if value not in (None, False) else ""
 
-    def gap(match):
-        value = look_up(fields, match[1])
+    def placeholder(match):
+        value = find_field(fields, match[1])
         return "" if value is None else str(value)
 
-    return GAP.sub(gap, SECTION.sub(section, template))
+    return PLACEHOLDER.sub(placeholder, SECTION_PATTERN.sub(section, template))
 
 
 def without(fields, *names):
@@ -76,39 +76,39 @@
     template = (ROOT / "deploy/node.toml").read_text(encoding="utf-8")
 
     def check(self, fields):
-        """Returns what the gateway says of the filled template: exit status and output."""
+        """Runs the gateway's settings check on the expanded template. Returns its exit status and output."""
         with tempfile.NamedTemporaryFile("w", suffix=".toml") as settings:
-            settings.write(fill(self.template, fields))
+            settings.write(expand(self.template, fields))
             settings.flush()
             environment = {"PATH": os.environ["PATH"], "CRANKSPUR_CONFIG": settings.name}
-            checked = subprocess.run([GATEWAY, "--check"], env=environment, capture_output=True, text=True, timeout=20,
+            completed = subprocess.run([GATEWAY, "--check"], env=environment, capture_output=True, text=True, timeout=20,
                                      check=False)
-        return checked.returncode, checked.stdout + checked.stderr
+        return completed.returncode, completed.stdout + completed.stderr
 
-    def assert_sound(self, fields):
+    def assert_accepted(self, fields):
         status, output = self.check(fields)
         self.assertEqual(status, 0, output)
 
     def test_all_fields(self):
-        self.assert_sound(MACHINE)
+        self.assert_accepted(MACHINE_FIELDS)
 
     def test_first_machine_has_no_seeds(self):
-        self.assert_sound(MACHINE | {"seeds": []})
+        self.assert_accepted(MACHINE_FIELDS | {"seeds": []})
 
-    def test_contracts_that_are_not_in_force_leave_their_bounds_out(self):
-        self.assert_sound(MACHINE | {"bounds": {}})
+    def test_bounds_of_inactive_contracts_are_omitted(self):
+        self.assert_accepted(MACHINE_FIELDS | {"bounds": {}})
 
-    def test_keys_that_do_not_fail_closed(self):
-        self.assert_sound(MACHINE | {"bounds": MACHINE["bounds"] | {"failClosed": False}})
+    def test_keys_not_failing_closed(self):
+        self.assert_accepted(MACHINE_FIELDS | {"bounds": MACHINE_FIELDS["bounds"] | {"failClosed": False}})
 
-    def test_limits_that_are_not_stated(self):
-        self.assert_sound(MACHINE | {"limits": {}})
+    def test_missing_limits(self):
+        self.assert_accepted(MACHINE_FIELDS | {"limits": {}})
 
-    def test_a_role_without_directory_and_readiness_check(self):
-        self.assert_sound(MACHINE | {"listen": without(MACHINE["listen"], "ready", "directory")})
+    def test_missing_directory_and_readiness_addresses(self):
+        self.assert_accepted(MACHINE_FIELDS | {"listen": without(MACHINE_FIELDS["listen"], "ready", "directory")})
 
-    def test_a_missing_name_is_refused(self):
-        status, output = self.check(without(MACHINE, "nodeName"))
+    def test_missing_name_is_rejected(self):
+        status, output = self.check(without(MACHINE_FIELDS, "nodeName"))
         self.assertEqual(status, 2, output)
         self.assertIn("name", output)
 
--- a/tests/fuzz/bundle_fuzzer.cc
+++ b/tests/fuzz/bundle_fuzzer.cc
@@ -1,5 +1,4 @@
-/// @file Fuzz target of bundle documents: either a bundle or a list of problems, never both and never
-/// neither.
+/// @file Fuzz target for bundle documents. Parsing must return either a bundle or a list of problems.
 
 #include "bundle/bundle.h"
 #include "fuzz_input.h"
--- a/tests/fuzz/chat_request_fuzzer.cc
+++ b/tests/fuzz/chat_request_fuzzer.cc
@@ -1,5 +1,5 @@
-/// @file Fuzz target of caller requests: the first line is the target, the second a header value, the rest
-/// the body.
+/// @file Fuzz target for caller requests. The first line of the input is the request target, the second a
+/// header value, the rest the body.
 
 #include "caller/chat_request.h"
 #include "caller/request_headers.h"
--- a/tests/fuzz/engine_answer_fuzzer.cc
+++ b/tests/fuzz/engine_answer_fuzzer.cc
@@ -1,4 +1,4 @@
-/// @file Fuzz target of engine answers: JSON bodies and completion streams.
+/// @file Fuzz target for engine responses: JSON bodies and completion streams.
 
 #include "engine/completion_decoder.h"
 #include "engine/engine_messages.h"
--- a/tests/fuzz/event_stream_fuzzer.cc
+++ b/tests/fuzz/event_stream_fuzzer.cc
@@ -1,4 +1,4 @@
-/// @file Fuzz target of the event stream parser: the events do not depend on where the stream is split.
+/// @file Fuzz target for the event stream parser. The events must not depend on how the stream is chunked.
 
 #include <string>
 #include <vector>
@@ -10,20 +10,20 @@
 
 namespace {
 
-constexpr std::size_t kLimit = 256;
+constexpr std::size_t kMaxEventBytes = 256;
 
 struct Events {
-  bool usable = true;
+  bool valid = true;
   std::vector<std::string> values;
 };
 
 Events parse(std::string_view stream, std::size_t piece_size) {
   Events events;
-  http::EventStreamParser parser(kLimit);
+  http::EventStreamParser parser(kMaxEventBytes);
   const auto collect = [&events](std::string_view event) { events.values.emplace_back(event); };
-  while (events.usable && !stream.empty()) {
+  while (events.valid && !stream.empty()) {
     const std::string_view piece = stream.substr(0, piece_size);
-    events.usable = parser.feed(piece, collect);
+    events.valid = parser.feed(piece, collect);
     stream.remove_prefix(piece.size());
   }
   return events;
@@ -34,8 +34,8 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string_view stream = fuzz::asText(data, size);
   const Events by_byte = parse(stream, 1);
-  const Events whole = parse(stream, stream.size());
-  if (by_byte.usable && whole.usable) fuzz::check(by_byte.values == whole.values);
-  for (const std::string& event : whole.values) fuzz::check(event.size() <= kLimit);
+  const Events unsplit = parse(stream, stream.size());
+  if (by_byte.valid && unsplit.valid) fuzz::check(by_byte.values == unsplit.values);
+  for (const std::string& event : unsplit.values) fuzz::check(event.size() <= kMaxEventBytes);
   return 0;
 }
--- a/tests/fuzz/frame_fuzzer.cc
+++ b/tests/fuzz/frame_fuzzer.cc
@@ -1,4 +1,4 @@
-/// @file Fuzz target of the frame decoder: what decodes must encode and decode to the same again.
+/// @file Fuzz target for the frame decoder. A decoded frame must survive an encode/decode round trip.
 
 #include "fuzz_input.h"
 #include "internal_protocol/codec.h"
@@ -13,9 +13,9 @@
     if (!decoded.message) break;
     fuzz::check(decoded.error == ErrorCode::Ok && decoded.consumed > 0);
     const std::string frame = encodeFrame(*decoded.message);
-    const DecodedFrame again = decodeFrame(frame);
-    fuzz::check(again.message && again.consumed == frame.size());
-    fuzz::check(encodeFrame(*again.message) == frame);
+    const DecodedFrame redecoded = decodeFrame(frame);
+    fuzz::check(redecoded.message && redecoded.consumed == frame.size());
+    fuzz::check(encodeFrame(*redecoded.message) == frame);
     rest.remove_prefix(decoded.consumed);
   }
   return 0;
--- a/tests/fuzz/http_server_fuzzer.cc
+++ b/tests/fuzz/http_server_fuzzer.cc
@@ -1,4 +1,4 @@
-/// @file Fuzz target of the HTTP server: any bytes of a client end in an answer or a closed connection.
+/// @file Fuzz target for the HTTP server. Any client input must end in a response or a closed connection.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -12,28 +12,28 @@
 
 namespace {
 
-void answer(const http::Request& request, const std::shared_ptr<http::ResponseWriter>& writer) {
+void handleRequest(const http::Request& request, const std::shared_ptr<http::ResponseWriter>& writer) {
   if (request.path() != "/stream") return writer->respond({200, request.headers, request.query("value")});
   writer->begin(200, request.headers);
   writer->write(request.body);
   writer->end();
 }
 
-/// One server that lives for the whole run.
+/// A server shared by all inputs of the run.
 struct Fixture {
   Fixture() {
     std::error_code error;
     http::ServerLimits limits;
     limits.header_bytes = 1024;
     limits.body_bytes = 1024;
-    server = http::listen(context.get_executor(), "127.0.0.1:0", &answer, error, limits);
+    server = http::listen(context.get_executor(), "127.0.0.1:0", &handleRequest, error, limits);
     fuzz::check(!error);
   }
   asio::io_context context{1};
   std::unique_ptr<http::Server> server;
 };
 
-/// Connects without blocking: the fuzzer's own timer signal interrupts a blocking connect().
+/// Connects asynchronously, because libFuzzer's timer signal interrupts a blocking connect().
 void connect(asio::ip::tcp::socket& socket, Fixture& fixture) {
   bool connected = false;
   socket.async_connect({asio::ip::address_v4::loopback(), fixture.server->port()},
--- a/tests/fuzz/platform_answer_fuzzer.cc
+++ b/tests/fuzz/platform_answer_fuzzer.cc
@@ -1,4 +1,4 @@
-/// @file Fuzz target of what the platform's services answer: rows, transactions and the machine list.
+/// @file Fuzz target for responses of the platform's services: rows, transactions and the machine list.
 
 #include "fuzz_input.h"
 #include "machine_list/machine_codec.h"
--- a/tests/fuzz/signature_fuzzer.cc
+++ b/tests/fuzz/signature_fuzzer.cc
@@ -1,5 +1,6 @@
-/// @file Fuzz target of signatures. Lines of the input: a base64 text, author signature, approver signature;
-/// then the document. No input can be accepted under keys that the target does not hold.
+/// @file Fuzz target for signatures. The first three lines of the input are a base64 text, the author's and
+/// the approver's signature; the rest is the document. No input may verify, because the private keys are
+/// unknown.
 
 #include "bundle/bundle.h"
 #include "bundle/signing.h"
@@ -9,7 +10,7 @@
 
 namespace {
 
-/// Public keys that were made without private ones.
+/// @return public keys that were chosen without corresponding private keys.
 TrustedKeys makeKeys() {
   TrustedKeys keys;
   keys.authors = {encodeBase64(std::string(31, '\x5a') + '\x15')};
--- a/tests/soak/checks_test.py
+++ b/tests/soak/checks_test.py
@@ -1,4 +1,4 @@
-"""Each check of the soak is shown able to fail: one planted violation for each promise."""
+"""Tests that each check of the soak detects a violation of its guarantee, and accepts sound records."""
 
 import sys
 import unittest
@@ -8,7 +8,7 @@
 for folder in ("platform/standin", "tools/soak"):
     sys.path.insert(0, str(ROOT / folder))
 
-from checks import broken_promises, refused_without_need, repeated_in_spite_of_ends  # noqa: E402
+from checks import find_repeated_crashes, find_unneeded_refusals, find_violations  # noqa: E402
 from client import Attempt, Kind  # noqa: E402
 from runner import End, Run  # noqa: E402
 
@@ -18,7 +18,7 @@
 ANSWER = Kind("/answer/", streaming=True, repeatable=False, answer_events=3)
 
 
-def answered(kind, name="a", **changes):
+def make_attempt(kind, name="a", **changes):
     attempt = Attempt(name, kind, "key", "tenant", "127.0.0.1:1", 10.0, status=200, sealed=True, whole=True)
     if kind.streaming:
         attempt.event_ids = [1, 2, 3]
@@ -30,86 +30,87 @@
     return attempt
 
 
-def run(name="a", runner="r1", **changes):
-    made = Run(name, runner, 10.1, "tenant", False, 1, "w1")
+def make_run(name="a", runner="r1", **changes):
+    run = Run(name, runner, 10.1, "tenant", False, 1, "w1")
     for field, value in changes.items():
-        setattr(made, field, value)
-    return made
+        setattr(run, field, value)
+    return run
 
 
-def judge(attempts, runs, revoked=None):
-    return broken_promises(attempts, runs, revoked or {}, 5.0, 1000.0)
+def check(attempts, runs, revoked=None):
+    return find_violations(attempts, runs, revoked or {}, 5.0, 1000.0)
 
 
 class ChecksTest(unittest.TestCase):
-    def assert_broken(self, word, attempts, runs, revoked=None):
-        problems = judge(attempts, runs, revoked)
+    def assert_violation(self, text, attempts, runs, revoked=None):
+        problems = check(attempts, runs, revoked)
         self.assertEqual(len(problems), 1, problems)
-        self.assertIn(word, problems[0])
+        self.assertIn(text, problems[0])
 
-    def test_sound_answers_break_nothing(self):
-        attempts = [answered(kind, kind.route) for kind in (ORDER, LOOK, REVIEW, ANSWER)]
-        self.assertEqual(judge(attempts, [run(kind.route) for kind in (ORDER, LOOK, REVIEW, ANSWER)]), [])
+    def test_sound_responses(self):
+        attempts = [make_attempt(kind, kind.route) for kind in (ORDER, LOOK, REVIEW, ANSWER)]
+        self.assertEqual(check(attempts, [make_run(kind.route) for kind in (ORDER, LOOK, REVIEW, ANSWER)]), [])
 
-    def test_a_second_run_of_an_order(self):
-        self.assert_broken("ran 2 times", [answered(ORDER)], [run(), run(runner="r2")])
-        self.assertEqual(judge([answered(LOOK)], [run(), run(runner="r2")]), [])
+    def test_second_run_of_a_non_repeatable_request(self):
+        self.assert_violation("ran 2 times", [make_attempt(ORDER)], [make_run(), make_run(runner="r2")])
+        self.assertEqual(check([make_attempt(LOOK)], [make_run(), make_run(runner="r2")]), [])
 
-    def test_a_request_that_ends_runners_again_and_again(self):
-        known = [End(7, f"r{number}", float(number), number + 0.1) for number in range(3)]
+    def test_request_that_keeps_crashing_runners(self):
+        first_crashes = [End(7, f"r{number}", float(number), number + 0.1) for number in range(3)]
         repeats = [End(7, f"s{number}", 5.2 + number, 5.3 + number) for number in range(4)]
-        self.assertEqual(repeated_in_spite_of_ends(known + repeats[:3]), [])
-        self.assertEqual(len(repeated_in_spite_of_ends(known + repeats)), 1)
-        others = [End(8, "s", 9.0, 9.1) for _ in range(2)]
-        self.assertEqual(repeated_in_spite_of_ends(known + repeats[:3] + others), [])
-
-    def test_a_refusal_while_new_connections_work(self):
-        refused = answered(LOOK, status=503, sealed=False, retry_after="0.1", texts=[])
-        self.assertEqual(len(refused_without_need([refused])), 1)
-        # A runner's own refusal is not the gateway's, and what has no answer was not refused.
-        self.assertEqual(refused_without_need([answered(LOOK), answered(LOOK, status=0), answered(LOOK, status=503)]), [])
-
-    def test_a_refusal_of_what_ran(self):
-        refused = answered(ORDER, status=503, sealed=False, retry_after="0.1", texts=[])
-        self.assert_broken("not run", [refused], [run()])
-        self.assertEqual(judge([refused], []), [])
-
-    def test_a_refusal_without_a_time_to_come_back(self):
-        self.assert_broken("time to come back", [answered(LOOK, status=503, sealed=False, texts=[])], [])
-
-    def test_an_answer_to_another_request(self):
-        self.assert_broken("another request", [answered(LOOK, texts=[{"attempt": "b"}])], [run()])
-
-    def test_a_success_that_no_runner_gave(self):
-        self.assert_broken("mark", [answered(LOOK, sealed=False)], [run()])
-
-    def test_streams_out_of_order_short_or_joined(self):
-        self.assert_broken("not in order", [answered(REVIEW, event_ids=[1, 3, 3])], [run()])
-        self.assert_broken("complete after", [answered(REVIEW, event_ids=[1, 2])], [run()])
-        joined = answered(ANSWER)
+        self.assertEqual(find_repeated_crashes(first_crashes + repeats[:3]), [])
+        self.assertEqual(len(find_repeated_crashes(first_crashes + repeats)), 1)
+        other_crashes = [End(8, "s", 9.0, 9.1) for _ in range(2)]
+        self.assertEqual(find_repeated_crashes(first_crashes + repeats[:3] + other_crashes), [])
+
+    def test_rejection_while_new_connections_work(self):
+        rejected = make_attempt(LOOK, status=503, sealed=False, retry_after="0.1", texts=[])
+        self.assertEqual(len(find_unneeded_refusals([rejected])), 1)
+        # A rejection by the runner is not the gateway's, and an attempt without a response was not rejected.
+        self.assertEqual(find_unneeded_refusals(
+            [make_attempt(LOOK), make_attempt(LOOK, status=0), make_attempt(LOOK, status=503)]), [])
+
+    def test_rejection_of_a_request_that_ran(self):
+        rejected = make_attempt(ORDER, status=503, sealed=False, retry_after="0.1", texts=[])
+        self.assert_violation("not run", [rejected], [make_run()])
+        self.assertEqual(check([rejected], []), [])
+
+    def test_rejection_without_retry_after(self):
+        self.assert_violation("time to come back", [make_attempt(LOOK, status=503, sealed=False, texts=[])], [])
+
+    def test_response_to_another_request(self):
+        self.assert_violation("another request", [make_attempt(LOOK, texts=[{"attempt": "b"}])], [make_run()])
+
+    def test_success_without_a_runner(self):
+        self.assert_violation("mark", [make_attempt(LOOK, sealed=False)], [make_run()])
+
+    def test_streams_out_of_order_incomplete_or_joined(self):
+        self.assert_violation("not in order", [make_attempt(REVIEW, event_ids=[1, 3, 3])], [make_run()])
+        self.assert_violation("complete after", [make_attempt(REVIEW, event_ids=[1, 2])], [make_run()])
+        joined = make_attempt(ANSWER)
         joined.texts[2] = {"attempt": "a", "run": "r2", "last": 3}
-        self.assert_broken("joins", [joined], [run()])
+        self.assert_violation("joins", [joined], [make_run()])
 
-    def test_a_cut_stream_is_allowed_as_cut_only(self):
-        self.assertEqual(judge([answered(REVIEW, event_ids=[1, 2], whole=False)], [run()]), [])
+    def test_cut_stream_not_marked_complete_is_allowed(self):
+        self.assertEqual(check([make_attempt(REVIEW, event_ids=[1, 2], whole=False)], [make_run()]), [])
 
-    def test_another_tenant_and_a_key_shown(self):
-        self.assert_broken("the key is tenant's", [answered(LOOK)], [run(tenant="other")])
-        self.assert_broken("shown the key", [answered(LOOK)], [run(showed_key=True)])
+    def test_wrong_tenant_and_disclosed_key(self):
+        self.assert_violation("the key is tenant's", [make_attempt(LOOK)], [make_run(tenant="other")])
+        self.assert_violation("shown the key", [make_attempt(LOOK)], [make_run(showed_key=True)])
 
-    def test_a_key_that_was_taken_away(self):
-        self.assert_broken("taken away", [answered(LOOK, sent_at=20.0)], [run()], {"key": 14.0})
-        self.assertEqual(judge([answered(LOOK, sent_at=18.0)], [run()], {"key": 14.0}), [])
+    def test_revoked_key(self):
+        self.assert_violation("taken away", [make_attempt(LOOK, sent_at=20.0)], [make_run()], {"key": 14.0})
+        self.assertEqual(check([make_attempt(LOOK, sent_at=18.0)], [make_run()], {"key": 14.0}), [])
 
-    def test_more_back_ends_than_attempts_allow(self):
-        self.assert_broken("back ends", [answered(LOOK)], [run(runner=f"r{number}") for number in range(3)])
+    def test_too_many_back_ends(self):
+        self.assert_violation("back ends", [make_attempt(LOOK)], [make_run(runner=f"r{number}") for number in range(3)])
 
-    def test_a_request_that_no_client_sent(self):
-        self.assert_broken("no client sent", [], [run()])
+    def test_run_of_an_unknown_request(self):
+        self.assert_violation("no client sent", [], [make_run()])
 
     def test_no_recovery(self):
-        attempts = [answered(LOOK, str(number), sent_at=2000.0, status=0, texts=[]) for number in range(10)]
-        self.assert_broken("after the faults", attempts, [])
+        attempts = [make_attempt(LOOK, str(number), sent_at=2000.0, status=0, texts=[]) for number in range(10)]
+        self.assert_violation("after the faults", attempts, [])
 
 
 if __name__ == "__main__":
--- a/tests/unit/load/load_test.cc
+++ b/tests/unit/load/load_test.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-Bundle bundle() {
+Bundle makeBundle() {
   Bundle value;
   ModelPolicy model;
   model.name = "desk";
@@ -23,7 +23,7 @@
   return value;
 }
 
-CallOutcome outcome(Verdict verdict, int milliseconds) {
+CallOutcome makeOutcome(Verdict verdict, int milliseconds) {
   CallOutcome value;
   value.verdict = verdict;
   value.tenant = "t";
@@ -36,31 +36,31 @@
 }  // namespace
 
 TEST_CASE("the same seed gives the same requests, whose prefixes nest", "[load]") {
-  const Bundle held = bundle();
-  Workload one(held, "key-", {});
-  Workload two(held, "key-", {});
-  std::map<std::string, std::string> heads;
+  const Bundle bundle = makeBundle();
+  Workload workload(bundle, "key-", {});
+  Workload same_seed_workload(bundle, "key-", {});
+  std::map<std::string, std::string> head_by_tenant;
   std::map<std::string, int> tenants;
-  for (int number = 0; number < 300; ++number) {
-    const PlannedRequest request = one.next();
-    REQUIRE(request.prompt() == two.next().prompt());
+  for (int index = 0; index < 300; ++index) {
+    const PlannedRequest request = workload.next();
+    REQUIRE(request.prompt() == same_seed_workload.next().prompt());
     CHECK(request.api_key == "key-" + request.tenant);
-    const auto [known, added] = heads.try_emplace(request.tenant, request.head);
-    CHECK(known->second == request.head);
+    const auto [entry, inserted] = head_by_tenant.try_emplace(request.tenant, request.head);
+    CHECK(entry->second == request.head);
     ++tenants[request.tenant];
   }
   CHECK(tenants["first"] > tenants["second"]);
   CHECK(tenants["second"] > tenants["third"]);
-  CHECK(heads["first"] != heads["second"]);
+  CHECK(head_by_tenant["first"] != head_by_tenant["second"]);
 }
 
 TEST_CASE("a report counts each verdict and takes times of whole answers only", "[load]") {
   LoadRunResult result;
   result.duration = std::chrono::seconds(2);
-  for (int number = 1; number <= 100; ++number) result.outcomes.push_back(outcome(Verdict::Whole, number));
-  result.outcomes.push_back(outcome(Verdict::Wrong, 5000));
-  result.outcomes.push_back(outcome(Verdict::Cut, 5000));
-  result.outcomes.push_back(outcome(Verdict::Refused, 5000));
+  for (int index = 1; index <= 100; ++index) result.outcomes.push_back(makeOutcome(Verdict::Whole, index));
+  result.outcomes.push_back(makeOutcome(Verdict::Wrong, 5000));
+  result.outcomes.push_back(makeOutcome(Verdict::Cut, 5000));
+  result.outcomes.push_back(makeOutcome(Verdict::Refused, 5000));
   const LoadSummary all = summarize(result).front();
   CHECK(all.requests == 103);
   CHECK(all.whole == 100);
--- a/tools/build.sh
+++ b/tools/build.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Configures and builds into the folder named by the first argument; further arguments go to cmake.
-# CRANKSPUR_TARGET names the one target to build; default: all.
-# Compiles through ccache where it is installed.
+# Configures and builds into the folder given as first argument; further arguments are passed to cmake.
+# CRANKSPUR_TARGET: the target to build; default: all.
+# Uses ccache if it is installed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${1:-build}
--- a/tools/clean_build/build_trace.py
+++ b/tools/clean_build/build_trace.py
@@ -1,4 +1,4 @@
-"""Runs commands under strace and tells which files and programs they used and whom they called."""
+"""Runs commands under strace and records the files and programs that they use and their network connections."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 OPENED = re.compile(r'^open(?:at2?)?\((?:AT_FDCWD<(?P<folder>[^>]*)>, )?"(?P<path>[^"]*)", .* = \d+<(?P<real>[^>]*)>')
 EXECUTED = re.compile(r'^execve(?:at)?\((?:AT_FDCWD<[^>]*>, )?"(?P<path>[^"]*)", .* = 0$')
 CONNECTED = re.compile(r"^connect\(.*sin6?_addr|^connect\(.*inet_addr|^connect\(.*inet_pton")
-#: An unprivileged account that owns nothing; used where the check itself runs as root.
+#: Unprivileged account that owns no files; used when the check runs as root.
 UNPRIVILEGED_USER = "nobody"
 UNPRIVILEGED_GROUP = "nogroup"
 
 
 @dataclass
 class Usage:
-    """What commands used of the machine."""
+    """Files and network connections that commands used."""
 
-    #: Absolute paths of files opened and programs executed, with each symbolic link on the way.
+    #: Absolute paths of opened files and executed programs, including the symbolic links that led to them.
     paths: set[str] = field(default_factory=set)
-    #: System calls that addressed another process by IP.
+    #: connect() calls to IP addresses.
     connections: set[str] = field(default_factory=set)
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """How a traced command ended."""
+    """Result of a traced command."""
 
     status: int
     output: str
@@ -41,56 +41,56 @@
 
 
 def run_traced(command: Sequence[str], folder: Path, usage: Usage, timeout_seconds: float) -> Outcome:
-    """Runs a command as an ordinary user without a home and adds what it used to `usage`.
+    """Runs a command as an unprivileged user without a home directory and adds the files it used to `usage`.
 
-    Raises subprocess.TimeoutExpired if it takes longer than `timeout_seconds`.
+    Raises subprocess.TimeoutExpired if the command takes longer than `timeout_seconds`.
     """
     identity = {"user": UNPRIVILEGED_USER, "group": UNPRIVILEGED_GROUP, "extra_groups": []} if os.geteuid() == 0 else {}
     environment = {"PATH": "/usr/bin:/bin", "HOME": "/nonexistent", "LANG": "C.UTF-8"}
     with tempfile.TemporaryDirectory() as logs, tempfile.TemporaryFile("w+", errors="replace") as output:
-        give_to_unprivileged_user(Path(logs))
+        chown_to_unprivileged_user(Path(logs))
         tracer = ["strace", "--follow-forks", "--output-separately", "--seccomp-bpf", "--quiet=all", "--decode-fds=path",
                   "--string-limit=4096", "--signal=none", "--trace=execve,execveat,open,openat,openat2,connect",
                   f"--output={logs}/calls"]
         started = time.monotonic()
         before = resource.getrusage(resource.RUSAGE_CHILDREN)
-        ended = subprocess.run([*tracer, *command], cwd=folder, env=environment, stdin=subprocess.DEVNULL, stdout=output,
+        completed = subprocess.run([*tracer, *command], cwd=folder, env=environment, stdin=subprocess.DEVNULL, stdout=output,
                                stderr=subprocess.STDOUT, timeout=timeout_seconds, check=False, **identity)
         after = resource.getrusage(resource.RUSAGE_CHILDREN)
         wall_seconds = time.monotonic() - started
         for log in Path(logs).iterdir():
-            read_calls(log.read_text(errors="replace"), usage)
+            parse_strace_log(log.read_text(errors="replace"), usage)
         output.seek(0)
         return Outcome(
-            status=ended.returncode,
+            status=completed.returncode,
             output=output.read(),
             wall_seconds=wall_seconds,
             processor_seconds=after.ru_utime + after.ru_stime - before.ru_utime - before.ru_stime,
         )
 
 
-def give_to_unprivileged_user(folder: Path) -> None:
-    """Makes a folder usable by the account that traced commands run under."""
+def chown_to_unprivileged_user(folder: Path) -> None:
+    """Makes a folder accessible to the account that runs traced commands."""
     if os.geteuid() == 0:
         subprocess.run(["chown", "--recursive", f"{UNPRIVILEGED_USER}:{UNPRIVILEGED_GROUP}", str(folder)], check=True)
 
 
-def read_calls(log: str, usage: Usage) -> None:
-    """Adds the successful opens and executions, and all attempts to connect, of one process's log."""
+def parse_strace_log(log: str, usage: Usage) -> None:
+    """Adds the successful opens and executions and all attempts to connect in the strace log of one process."""
     for line in log.splitlines():
         if opened := OPENED.match(line):
-            named = os.path.join(opened["folder"] or "/", opened["path"])
-            usage.paths.update(_links_on_the_way(named))
+            requested = os.path.join(opened["folder"] or "/", opened["path"])
+            usage.paths.update(_resolve_links(requested))
             usage.paths.add(opened["real"])
         elif executed := EXECUTED.match(line):
             if executed["path"].startswith("/"):
-                usage.paths.update(_links_on_the_way(executed["path"]))
+                usage.paths.update(_resolve_links(executed["path"]))
         elif CONNECTED.match(line):
             usage.connections.add(line)
 
 
-def _links_on_the_way(path: str) -> set[str]:
-    """Returns a path, the target of each symbolic link it leads through, and the file at the end."""
+def _resolve_links(path: str) -> set[str]:
+    """Returns the path, the path of each symbolic link that it resolves through, and the final file."""
     found: set[str] = set()
     path = os.path.normpath(path) if ".." not in path else os.path.join(
         os.path.realpath(os.path.dirname(path)), os.path.basename(path))
--- a/tools/clean_build/check.py
+++ b/tools/clean_build/check.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""Fails when the deployment's build uses anything that a clean machine with its listed packages does not hold.
+"""Fails when the deployment's build uses a file that a clean machine with the listed packages does not have.
 
-Runs the build line of deploy/system.toml in a fresh clone of HEAD, as an ordinary user without a home, and compares
-every file and program it used with the closure of the listed packages. Exit status: 0 nothing found, 1 findings or a
-failed build, 2 the check itself could not run.
+Runs the build command of deploy/system.toml in a new clone of HEAD, as an unprivileged user without a home directory,
+and compares all files and programs that it uses with the closure of the listed packages. Exit status: 0 no findings,
+1 findings or a failed build, 2 the check itself could not run.
 
 Usage: tools/clean_build/check.py [--show-packages]
 """
@@ -18,29 +18,29 @@
 import tempfile
 from pathlib import Path
 
-from build_trace import Usage, give_to_unprivileged_user, run_traced
+from build_trace import Usage, chown_to_unprivileged_user, run_traced
 from debian_packages import PackageError, installed_versions, owners_of, require_package_lists, resolve_closure
 from deployment import Deployment, DeploymentError, read_deployment
 
 DEPLOYMENT_FILE = "deploy/system.toml"
-#: The platform's limits of a build and of a settings template.
+#: The platform's limits for a build and for a settings template.
 BUILD_LIMIT_SECONDS = 15 * 60
 TEMPLATE_LIMIT_BYTES = 64 * 1024
 START_LIMIT_SECONDS = 10
-#: Nothing below these is part of a package: interfaces of the kernel and files that a machine generates for itself.
-NOT_PACKAGED = ("/proc/", "/sys/", "/dev/", "/etc/")
-#: Time zones and translated messages: programs read them where they are present and do the same work without them.
-OPTIONAL_DATA = ("/usr/share/zoneinfo/", "/usr/share/locale/", "/usr/lib/locale/")
-#: Files of one package that a finding names.
-EXAMPLES = 3
+#: Files that belong to no package: kernel interfaces and files generated on the machine.
+UNPACKAGED_PREFIXES = ("/proc/", "/sys/", "/dev/", "/etc/")
+#: Time zones and translations: programs read them if present and work the same without them.
+OPTIONAL_DATA_PREFIXES = ("/usr/share/zoneinfo/", "/usr/share/locale/", "/usr/lib/locale/")
+#: Maximum number of files of one package named in a finding.
+MAX_EXAMPLES = 3
 
 
 def check_checkout(checkout: Path, deployment: Deployment, closure: dict[str, str], show_packages: bool = False) -> list[str]:
-    """Builds a checkout under trace and returns what keeps the same build from working on a clean machine."""
+    """Builds a checkout under strace and returns the findings that would break the build on a clean machine."""
     usage = Usage()
-    failures = build(checkout, deployment, usage)
+    failures = run_build(checkout, deployment, usage)
     owners = owners_of(system_files(usage, checkout))
-    findings = failures + unlisted_files(usage, checkout, owners, closure)
+    findings = failures + find_unlisted_files(usage, checkout, owners, closure)
     findings += [f"the build calls another host or service: {call}" for call in sorted(usage.connections)]
     used = set().union(*owners.values())
     if not failures:
@@ -52,8 +52,8 @@
     return findings
 
 
-def build(checkout: Path, deployment: Deployment, usage: Usage) -> list[str]:
-    """Runs the build line and starts each program that it has to leave."""
+def run_build(checkout: Path, deployment: Deployment, usage: Usage) -> list[str]:
+    """Runs the build command and starts each program that it must produce."""
     outcome = run_traced(["sh", "-c", deployment.build], checkout, usage, BUILD_LIMIT_SECONDS)
     print(f"build: status {outcome.status}, {outcome.wall_seconds:.0f} s, {outcome.processor_seconds:.0f} s of processor"
           " time, tracing included", flush=True)
@@ -61,16 +61,16 @@
         return ["the build failed as an ordinary user without a home; its last lines:\n" + last_lines(outcome.output)]
     findings = []
     for program in deployment.programs:
-        findings += start(checkout, program, usage)
+        findings += check_program(checkout, program, usage)
     for template in deployment.templates:
         path = checkout / template
         if not path.is_file() or path.stat().st_size >= TEMPLATE_LIMIT_BYTES:
-            findings.append(f"{template}: no settings template of less than {TEMPLATE_LIMIT_BYTES} bytes stands there")
+            findings.append(f"{template}: no settings template of less than {TEMPLATE_LIMIT_BYTES} bytes found")
     return findings
 
 
-def start(checkout: Path, program: str, usage: Usage) -> list[str]:
-    """Starts a program for its version, so that the shared libraries it loads are known."""
+def check_program(checkout: Path, program: str, usage: Usage) -> list[str]:
+    """Runs `program --version` to record the shared libraries that the program loads."""
     if not os.access(checkout / program, os.X_OK):
         return [f"{program}: the build leaves no such program"]
     outcome = run_traced([str(checkout / program), "--version"], checkout, usage, START_LIMIT_SECONDS)
@@ -80,37 +80,37 @@
 
 
 def system_files(usage: Usage, checkout: Path) -> set[str]:
-    """Returns the files used that have to come from a package."""
-    apart = (f"{checkout}/", *NOT_PACKAGED, *OPTIONAL_DATA)
-    return {path for path in usage.paths if not path.startswith(apart) and os.path.isfile(path)}
+    """Returns the used files that must come from a package."""
+    excluded = (f"{checkout}/", *UNPACKAGED_PREFIXES, *OPTIONAL_DATA_PREFIXES)
+    return {path for path in usage.paths if not path.startswith(excluded) and os.path.isfile(path)}
 
 
-def unlisted_files(usage: Usage, checkout: Path, owners: dict[str, set[str]], closure: dict[str, str]) -> list[str]:
-    """Names the packages in use that a clean machine does not hold, and files that no package owns."""
+def find_unlisted_files(usage: Usage, checkout: Path, owners: dict[str, set[str]], closure: dict[str, str]) -> list[str]:
+    """Returns findings for used packages that a clean machine does not have and for files that no package owns."""
     by_package: dict[str, list[str]] = {}
     findings = []
     for path in sorted(system_files(usage, checkout)):
         if path not in owners:
-            # An alternative's link belongs to no package; the file it leads to does.
+            # Links of the alternatives system belong to no package; their targets do.
             if not (os.path.islink(path) and os.readlink(path).startswith("/etc/alternatives/")):
                 findings.append(f"{path} is used and belongs to no package")
         elif not owners[path] & closure.keys():
             by_package.setdefault(" or ".join(sorted(owners[path])), []).append(path)
     for package, paths in by_package.items():
         findings.append(f"{package} is used and neither listed nor brought by a listed package, as for "
-                        f"{', '.join(paths[:EXAMPLES])} ({len(paths)} files); list it or drop the dependency")
+                        f"{', '.join(paths[:MAX_EXAMPLES])} ({len(paths)} files); list it or drop the dependency")
     return findings
 
 
 def report_versions(packages: set[str], closure: dict[str, str]) -> None:
-    """Prints listed packages whose version here is not the one that a clean machine would get."""
+    """Prints listed packages whose installed version differs from the version on a clean machine."""
     for package, version in sorted(installed_versions(packages).items()):
         if version != closure[package]:
             print(f"note: {package} is {version} here and {closure[package]} on a clean machine")
 
 
 def print_packages(owners: dict[str, set[str]]) -> None:
-    """Prints every package that the build used, with the number of files and one of them."""
+    """Prints each package that the build used, with the number of files and an example."""
     files: dict[str, list[str]] = {}
     for path, names in owners.items():
         for name in names:
@@ -124,16 +124,16 @@
 
 
 def fresh_clone(repository: Path, folder: Path) -> Path:
-    """Clones HEAD into a folder that the unprivileged user owns."""
+    """Clones HEAD into a folder owned by the unprivileged user."""
     checkout = folder / "checkout"
     subprocess.run(["git", "clone", "--quiet", "--depth=1", repository.as_uri(), str(checkout)], check=True)
-    give_to_unprivileged_user(folder)
+    chown_to_unprivileged_user(folder)
     return checkout
 
 
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    parser.add_argument("--show-packages", action="store_true", help="print every package that the build used")
+    parser.add_argument("--show-packages", action="store_true", help="print all packages that the build used")
     arguments = parser.parse_args()
     repository = Path(__file__).resolve().parents[2]
     folder = Path(tempfile.mkdtemp(prefix="clean-build-"))
--- a/tools/clean_build/debian_packages.py
+++ b/tools/clean_build/debian_packages.py
@@ -1,7 +1,7 @@
-"""What a clean Debian machine holds with a list of packages, and which installed package owns a file.
+"""Queries Debian packages: the closure of a list of packages on a clean machine, and the owners of installed files.
 
-The first is resolved from apt's lists against an empty package database, so it does not depend on what this machine
-has installed.
+The closure is resolved from apt's lists against an empty package database, so it does not depend on the packages
+installed on this machine.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from collections.abc import Iterable, Sequence
 
 INSTALL_LINE = re.compile(r"^Inst (\S+) \((\S+)")
-#: Paths in one call of dpkg-query.
-OWNER_BATCH = 500
-# No package is installed; the cache of this other database must not replace the machine's own.
+#: Maximum number of paths in one call of dpkg-query.
+OWNER_BATCH_SIZE = 500
+# A database without installed packages. Its cache must not overwrite the machine's own cache.
 _EMPTY_DATABASE = ("-o", "Dir::State::status=/dev/null", "-o", "Dir::Cache::pkgcache=")
 
 
 class PackageError(Exception):
-    """apt or dpkg could not answer; the text says why and what to do."""
+    """A query of apt or dpkg failed; the message states the reason and a remedy."""
 
 
 def _run(command: Sequence[str]) -> subprocess.CompletedProcess[str]:
@@ -28,7 +28,7 @@
 
 
 def require_package_lists(apt_options: Sequence[str] = ()) -> None:
-    """Makes sure that apt has package lists: fetches them as root, raises PackageError for other users."""
+    """Ensures that apt has package lists: fetches them if run as root, raises PackageError otherwise."""
     if _has_package_lists(apt_options):
         return
     if os.geteuid() != 0:
@@ -39,8 +39,8 @@
 
 
 def resolve_closure(packages: Iterable[str], apt_options: Sequence[str] = ()) -> dict[str, str]:
-    """Returns the version of each package that a clean machine holds: the listed ones, what they depend on and
-    Debian's essential packages, without recommended ones. Raises PackageError if apt does not know a name."""
+    """Returns the version of each package on a clean machine: the listed packages, their dependencies and Debian's
+    essential packages, without recommended packages. Raises PackageError if a name is unknown to apt."""
     result = _run(["apt-get", *apt_options, *_EMPTY_DATABASE, "--simulate", "--no-install-recommends", "install",
                    "?essential", *packages])
     if result.returncode != 0:
@@ -51,30 +51,30 @@
 
 
 def owners_of(paths: Iterable[str]) -> dict[str, set[str]]:
-    """Returns the installed packages that own each path; a path that none owns is left out."""
+    """Returns the installed packages that own each path; paths without an owner are omitted."""
     owners: dict[str, set[str]] = {}
-    paths_of_alias: dict[str, set[str]] = {}
+    paths_by_alias: dict[str, set[str]] = {}
     for path in paths:
-        for alias in _merged_aliases(path):
-            paths_of_alias.setdefault(alias, set()).add(path)
-    candidates = sorted(paths_of_alias)
-    for start in range(0, len(candidates), OWNER_BATCH):
-        batch = [re.sub(r"([\[\]*?\\])", r"\\\1", path) for path in candidates[start : start + OWNER_BATCH]]
-        # Status 1 says that some path has no owner.
+        for alias in _usrmerge_aliases(path):
+            paths_by_alias.setdefault(alias, set()).add(path)
+    candidates = sorted(paths_by_alias)
+    for start in range(0, len(candidates), OWNER_BATCH_SIZE):
+        batch = [re.sub(r"([\[\]*?\\])", r"\\\1", path) for path in candidates[start : start + OWNER_BATCH_SIZE]]
+        # Status 1: some path has no owner.
         result = _run(["dpkg-query", "--search", *batch])
         if result.returncode not in (0, 1):
-            raise PackageError(f"dpkg-query cannot name owners of files:\n{result.stderr.strip()}")
+            raise PackageError(f"dpkg-query cannot determine the owners of files:\n{result.stderr.strip()}")
         for line in result.stdout.splitlines():
             names, separator, path = line.partition(": ")
             if not separator or line.startswith("diversion by "):
                 continue
-            for used in paths_of_alias.get(path, ()):
+            for used in paths_by_alias.get(path, ()):
                 owners.setdefault(used, set()).update(_without_architecture(name) for name in names.split(", "))
     return owners
 
 
 def installed_versions(packages: Iterable[str]) -> dict[str, str]:
-    """Returns the version of each of these packages that is installed here."""
+    """Returns the installed version of each of the packages."""
     names = sorted(packages)
     if not names:
         return {}
@@ -91,7 +91,7 @@
     return package.partition(":")[0]
 
 
-def _merged_aliases(path: str) -> tuple[str, ...]:
-    """Packages still name files below /bin, /sbin and /lib that stand below /usr on a merged system."""
-    other = path.removeprefix("/usr") if path.startswith("/usr/") else "/usr" + path
-    return (path, other)
+def _usrmerge_aliases(path: str) -> tuple[str, ...]:
+    """Returns the path with and without /usr: on a merged-/usr system, packages may list /usr/bin/x as /bin/x."""
+    alias = path.removeprefix("/usr") if path.startswith("/usr/") else "/usr" + path
+    return (path, alias)
--- a/tools/clean_build/deployment.py
+++ b/tools/clean_build/deployment.py
@@ -1,4 +1,4 @@
-"""Reads what the deployment says of its build: the command line, the packages and the programs it has to leave."""
+"""Reads the build section of a deployment file: the build command, the packages and the programs to produce."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-# Debian policy 5.6.1.
+# Debian Policy, section 5.6.1.
 PACKAGE_NAME = re.compile(r"[a-z0-9][a-z0-9+.-]+")
 
 
 class DeploymentError(Exception):
-    """The deployment's file cannot be used; the text names the file and the key."""
+    """The deployment file is invalid; the message names the file and the key."""
 
 
 @dataclass(frozen=True)
 class Deployment:
-    """How a platform builds the product on a machine that holds the listed packages only."""
+    """How a platform builds the product on a machine that has only the listed packages."""
 
     build: str
     packages: tuple[str, ...]
-    #: Program of each role, relative to the checkout.
+    #: Programs of the roles, relative to the checkout.
     programs: tuple[str, ...]
     #: Settings templates, relative to the checkout.
     templates: tuple[str, ...]
 
 
 def read_deployment(path: Path) -> Deployment:
-    """Reads a deployment's file; raises DeploymentError for whatever keeps it from being used."""
+    """Reads a deployment file; raises DeploymentError if it cannot be read or is invalid."""
     try:
         document = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
--- a/tools/install_packages.sh
+++ b/tools/install_packages.sh
@@ -1,9 +1,10 @@
 #!/usr/bin/env bash
-# Installs the Debian 12 packages that building, testing and linting need: those of the deployment's build and the tools
-# of developers. Run as root (or through sudo).
+# Installs the Debian 12 packages needed to build, test and lint: those of the deployment's build and developer tools.
+# Run as root or with sudo available.
 set -euo pipefail
 cd "$(dirname "$0")/.."
-# What the gateway's build needs is listed once, for the platform too: a name that apt does not know fails here.
+# The packages of the gateway's build are listed only in deploy/system.toml, which the platform reads too; a name that
+# is unknown to apt fails here.
 mapfile -t packages < <(sed -n 's/^packages = \[\(.*\)\]$/\1/p' deploy/system.toml | grep -o '[a-z0-9][a-z0-9+.-]*')
 if [ "${#packages[@]}" -eq 0 ]; then
   echo "deploy/system.toml: no line that begins with packages = ["
--- a/tools/load/added_time.cc
+++ b/tools/load/added_time.cc
@@ -6,17 +6,17 @@
 
 namespace {
 
-struct Way {
+struct LatencySamples {
   std::vector<double> first_token;
   std::vector<double> total;
 };
 
-void add(Way& way, const CallOutcome& outcome) {
-  way.first_token.push_back(toMilliseconds(outcome.first_token));
-  way.total.push_back(toMilliseconds(outcome.total));
+void add(LatencySamples& samples, const CallOutcome& outcome) {
+  samples.first_token.push_back(toMilliseconds(outcome.first_token));
+  samples.total.push_back(toMilliseconds(outcome.total));
 }
 
-std::string line(const char* name, const Percentiles& direct, const Percentiles& routed) {
+std::string formatRow(const char* name, const Percentiles& direct, const Percentiles& routed) {
   return fmt::format(
       "{:12} direct p50 {:8.3f} p95 {:8.3f} p99 {:8.3f}   routed p50 {:8.3f} p95 {:8.3f} p99 {:8.3f}"
       "   added p50 {:7.3f} p95 {:7.3f} p99 {:7.3f}   upper bound p99 {:7.3f}\n",
@@ -27,37 +27,38 @@
 }  // namespace
 
 AddedTime measureAddedTime(const Bundle& bundle, const LoadRunOptions& options, const std::string& engine) {
-  LoadRunOptions both = options;
-  both.targets.clear();
+  LoadRunOptions combined = options;
+  combined.targets.clear();
   for (const Target& target : options.targets) {
-    both.targets.push_back(target);
-    both.targets.push_back({TargetKind::Engine, engine});
+    combined.targets.push_back(target);
+    combined.targets.push_back({TargetKind::Engine, engine});
   }
-  const LoadRunResult result = runLoad(bundle, both);
-  Way direct;
-  Way routed;
-  AddedTime measured;
+  const LoadRunResult result = runLoad(bundle, combined);
+  LatencySamples direct;
+  LatencySamples routed;
+  AddedTime added_time;
   for (const CallOutcome& outcome : result.outcomes) {
     if (outcome.verdict != Verdict::Whole) {
-      ++measured.bad_answers;
+      ++added_time.incomplete_responses;
     } else {
       add(outcome.target == TargetKind::Engine ? direct : routed, outcome);
     }
   }
-  measured.direct_requests = direct.total.size();
-  measured.routed_requests = routed.total.size();
-  measured.direct_first_token = percentilesOf(std::move(direct.first_token));
-  measured.routed_first_token = percentilesOf(std::move(routed.first_token));
-  measured.direct_total = percentilesOf(std::move(direct.total));
-  measured.routed_total = percentilesOf(std::move(routed.total));
-  return measured;
+  added_time.direct_requests = direct.total.size();
+  added_time.routed_requests = routed.total.size();
+  added_time.direct_first_token = computePercentiles(std::move(direct.first_token));
+  added_time.routed_first_token = computePercentiles(std::move(routed.first_token));
+  added_time.direct_total = computePercentiles(std::move(direct.total));
+  added_time.routed_total = computePercentiles(std::move(routed.total));
+  return added_time;
 }
 
-std::string addedTimeReport(const AddedTime& measured) {
+std::string formatAddedTime(const AddedTime& added_time) {
   return fmt::format("whole answers: {} direct, {} routed; not whole: {}; times in ms\n",
-                     measured.direct_requests, measured.routed_requests, measured.bad_answers) +
-         line("first token", measured.direct_first_token, measured.routed_first_token) +
-         line("whole answer", measured.direct_total, measured.routed_total) +
+                     added_time.direct_requests, added_time.routed_requests,
+                     added_time.incomplete_responses) +
+         formatRow("first token", added_time.direct_first_token, added_time.routed_first_token) +
+         formatRow("whole answer", added_time.direct_total, added_time.routed_total) +
          "added: difference of the percentiles; upper bound: routed p99 less direct p50\n";
 }
 
--- a/tools/load/added_time.h
+++ b/tools/load/added_time.h
@@ -1,6 +1,6 @@
 #pragma once
-/// @file The time that sidecar and router add: the same requests straight to an engine and through sidecar
-/// and router to the same engine, in one open-loop run that alternates between both ways.
+/// @file Measures the latency that sidecar and router add: one open-loop run sends requests of the same
+/// workload alternately straight to an engine and through sidecar and router to the same engine.
 
 #include <cstdint>
 #include <string>
@@ -10,21 +10,22 @@
 
 namespace crankspur::load {
 
-/// What was measured. Times of single requests cannot be subtracted from each other, so percentiles are.
+/// Result of a measurement. Direct and routed requests do not form pairs, so the added time is computed as
+/// a difference of percentiles.
 struct AddedTime {
   std::uint64_t direct_requests = 0;
   std::uint64_t routed_requests = 0;
-  std::uint64_t bad_answers = 0;  ///< All that were not whole, either way.
+  std::uint64_t incomplete_responses = 0;  ///< Direct and routed.
   Percentiles direct_first_token;
   Percentiles routed_first_token;
   Percentiles direct_total;
   Percentiles routed_total;
 };
 
-/// @param options the sidecars; half of requests_per_second goes each way.
+/// @param options its targets are the sidecars; half of the requests go to them, half to the engine.
 /// @param engine "IP:port" of the only engine behind the sidecars.
 AddedTime measureAddedTime(const Bundle& bundle, const LoadRunOptions& options, const std::string& engine);
 
-std::string addedTimeReport(const AddedTime& measured);
+std::string formatAddedTime(const AddedTime& added_time);
 
 }  // namespace crankspur::load
--- a/tools/load/load_call.cc
+++ b/tools/load/load_call.cc
@@ -14,24 +14,24 @@
 
 namespace json = boost::json;
 
-constexpr Duration kIdleLimit = std::chrono::seconds(60);
+constexpr Duration kIdleTimeout = std::chrono::seconds(60);
 
-/// @return the string at `name`, or an empty one.
-std::string textAt(const json::object& object, const char* name) {
+/// @return the string field `name`, or an empty string.
+std::string stringField(const json::object& object, const char* name) {
   const json::value* value = object.if_contains(name);
   return value != nullptr && value->is_string() ? std::string(value->get_string()) : std::string();
 }
 
-std::uint64_t numberAt(const json::object& object, const char* name) {
+std::uint64_t integerField(const json::object& object, const char* name) {
   const json::value* value = object.if_contains(name);
-  json::error_code failure;
-  return value == nullptr ? 0 : value->to_number<std::uint64_t>(failure);
+  json::error_code conversion_error;
+  return value == nullptr ? 0 : value->to_number<std::uint64_t>(conversion_error);
 }
 
-/// One request on its way.
+/// A request in flight.
 class LoadCall : public std::enable_shared_from_this<LoadCall> {
 public:
-  LoadCall(TargetKind kind, const PlannedRequest& request, TimePoint planned_start, CallDone done)
+  LoadCall(TargetKind kind, const PlannedRequest& request, TimePoint planned_start, OutcomeCallback done)
       : kind_(kind), planned_start_(planned_start), done_(std::move(done)) {
     outcome_.tenant = request.tenant;
     outcome_.target = kind;
@@ -50,7 +50,7 @@
       self->onDone(error);
     };
     http::ExchangeOptions options;
-    options.idle_timeout = kIdleLimit;
+    options.idle_timeout = kIdleTimeout;
     client.start(address, std::move(request), std::move(callbacks), options);
   }
 
@@ -73,12 +73,12 @@
 
   void onEvent(std::string_view event) {
     if (event == "[DONE]") {
-      whole_ = true;
+      complete_ = true;
       return;
     }
-    json::error_code failure;
-    const json::value value = json::parse(json::string_view(event.data(), event.size()), failure);
-    if (failure || !value.is_object()) return;
+    json::error_code parse_error;
+    const json::value value = json::parse(json::string_view(event.data(), event.size()), parse_error);
+    if (parse_error || !value.is_object()) return;
     const json::object& object = value.get_object();
     if (object.contains("error")) {
       error_body_ = event;
@@ -92,32 +92,33 @@
   void onChunk(const json::object& chunk) {
     if (const json::value* usage = chunk.if_contains("usage"); usage != nullptr && usage->is_object()) {
       const json::object& fields = usage->get_object();
-      outcome_.prompt_tokens = static_cast<std::uint32_t>(numberAt(fields, "prompt_tokens"));
+      outcome_.prompt_tokens = static_cast<std::uint32_t>(integerField(fields, "prompt_tokens"));
       const json::value* details = fields.if_contains("prompt_tokens_details");
       if (details != nullptr && details->is_object()) {
-        outcome_.cached_tokens = static_cast<std::uint32_t>(numberAt(details->get_object(), "cached_tokens"));
+        outcome_.cached_tokens =
+            static_cast<std::uint32_t>(integerField(details->get_object(), "cached_tokens"));
       }
     }
     const json::value* choices = chunk.if_contains("choices");
     if (choices == nullptr || !choices->is_array() || choices->get_array().empty()) return;
     const json::value& choice = choices->get_array()[0];
     const json::value* delta = choice.is_object() ? choice.get_object().if_contains("delta") : nullptr;
-    if (delta != nullptr && delta->is_object()) takeText(textAt(delta->get_object(), "content"));
+    if (delta != nullptr && delta->is_object()) appendText(stringField(delta->get_object(), "content"));
   }
 
   void onEngineEvent(const json::object& event) {
-    const std::string type = textAt(event, "type");
+    const std::string type = stringField(event, "type");
     if (type == "accepted") {
-      outcome_.prompt_tokens = static_cast<std::uint32_t>(numberAt(event, "prompt_tokens"));
-      outcome_.cached_tokens = static_cast<std::uint32_t>(numberAt(event, "cached_tokens"));
+      outcome_.prompt_tokens = static_cast<std::uint32_t>(integerField(event, "prompt_tokens"));
+      outcome_.cached_tokens = static_cast<std::uint32_t>(integerField(event, "cached_tokens"));
     } else if (type == "tokens") {
-      takeText(textAt(event, "text"));
+      appendText(stringField(event, "text"));
     } else if (type == "end") {
-      whole_ = true;
+      complete_ = true;
     }
   }
 
-  void takeText(const std::string& text) {
+  void appendText(const std::string& text) {
     if (text.empty()) return;
     if (outcome_.first_token == Duration::zero()) outcome_.first_token = elapsed();
     text_ += text;
@@ -125,12 +126,12 @@
 
   void onDone(std::error_code error) {
     outcome_.total = elapsed();
-    outcome_.answer_tokens = expected_.token_count;
+    outcome_.completion_tokens = expected_.token_count;
     if (!error_body_.empty()) {
-      judgeError();
+      classifyError();
     } else if (status_ == 0 || (status_ != 200 && error)) {
       outcome_.verdict = Verdict::NoAnswer;
-    } else if (!whole_) {
+    } else if (!complete_) {
       outcome_.verdict = Verdict::Cut;
     } else {
       outcome_.verdict = text_ == expected_.text ? Verdict::Whole : Verdict::Wrong;
@@ -138,26 +139,26 @@
     done_(outcome_);
   }
 
-  void judgeError() {
-    json::error_code failure;
-    const json::value value = json::parse(error_body_, failure);
+  void classifyError() {
+    json::error_code parse_error;
+    const json::value value = json::parse(error_body_, parse_error);
     const json::value* detail =
-        !failure && value.is_object() ? value.get_object().if_contains("error") : nullptr;
-    const bool typed = detail != nullptr && detail->is_object();
-    outcome_.error_code = typed ? textAt(detail->get_object(), "code") : "unreadable";
-    const bool not_run = typed && textAt(detail->get_object(), "ran") == "not_run";
+        !parse_error && value.is_object() ? value.get_object().if_contains("error") : nullptr;
+    const bool structured = detail != nullptr && detail->is_object();
+    outcome_.error_code = structured ? stringField(detail->get_object(), "code") : "unreadable";
+    const bool not_run = structured && stringField(detail->get_object(), "ran") == "not_run";
     outcome_.verdict = not_run ? Verdict::Refused : Verdict::Failed;
   }
 
   TargetKind kind_;
   TimePoint planned_start_;
-  CallDone done_;
+  OutcomeCallback done_;
   SteadyClock clock_;
   standin::ExpectedAnswer expected_;
   CallOutcome outcome_;
   http::EventStreamParser parser_;
   int status_ = 0;
-  bool whole_ = false;
+  bool complete_ = false;
   std::string text_;
   std::string error_body_;
 };
@@ -210,7 +211,7 @@
 }
 
 void startCall(http::Client& client, const Target& target, const PlannedRequest& request,
-               std::uint64_t number, TimePoint planned_start, CallDone done) {
+               std::uint64_t number, TimePoint planned_start, OutcomeCallback done) {
   const auto call = std::make_shared<LoadCall>(target.kind, request, planned_start, std::move(done));
   http::Request message =
       target.kind == TargetKind::Sidecar ? sidecarRequest(request) : engineRequest(request, number);
--- a/tools/load/load_call.h
+++ b/tools/load/load_call.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file One request of the load tool: sends it, reads its stream, judges the answer.
+/// @file Sends one request of the load tool, reads its stream and checks the response.
 
 #include <functional>
 #include <memory>
@@ -11,20 +11,20 @@
 
 namespace crankspur::load {
 
-/// How a request ended, seen from outside.
+/// Result of a request as the client sees it.
 enum class Verdict {
-  Whole,     ///< Every byte is as expected and the stream says that it is whole.
-  Wrong,     ///< The stream says that it is whole, but bytes are not as expected.
-  Cut,       ///< The stream ended without a word.
-  Refused,   ///< An error that says not run.
-  Failed,    ///< An error that says unknown or ran.
+  Whole,     ///< The stream ended as complete and every byte is as expected.
+  Wrong,     ///< The stream ended as complete, but bytes differ from the expected text.
+  Cut,       ///< The stream ended without an end marker or an error.
+  Refused,   ///< An error that states that the request was not run.
+  Failed,    ///< An error that states that the request ran or may have run.
   NoAnswer,  ///< No HTTP response.
 };
 
-/// @return the verdict's name in reports.
+/// @return the name of the verdict in reports.
 const char* verdictName(Verdict verdict);
 
-/// Kind of a target: each has its own form of request and answer.
+/// Kind of a target, which determines the format of requests and responses.
 enum class TargetKind { Sidecar, Engine };
 
 /// Outcome of one request.
@@ -32,12 +32,12 @@
   Verdict verdict = Verdict::NoAnswer;
   TargetKind target = TargetKind::Sidecar;
   std::string tenant;
-  std::string error_code;  ///< Of an error answer.
+  std::string error_code;  ///< Code of an error response.
   std::string engine;
   std::uint32_t prompt_tokens = 0;
   std::uint32_t cached_tokens = 0;
-  std::uint64_t answer_tokens = 0;
-  Duration first_token{0};  ///< From the planned start; 0 when no text came.
+  std::uint64_t completion_tokens = 0;
+  Duration first_token{0};  ///< From the planned start; 0: no text was received.
   Duration total{0};        ///< From the planned start.
 };
 
@@ -47,12 +47,12 @@
   std::string address;  ///< "IP:port".
 };
 
-using CallDone = std::function<void(const CallOutcome&)>;
+using OutcomeCallback = std::function<void(const CallOutcome&)>;
 
-/// Sends a request; `done` is called once on the client's executor.
-/// @param planned_start the instant the request should have been sent at: lateness of the load tool counts as
-/// latency, so that a slow server cannot hide behind it.
+/// Sends a request. `done` is called once, on the client's executor.
+/// @param planned_start when the request was scheduled. Latency counts from this time, so that a send delayed
+/// by a slow server still counts (no coordinated omission).
 void startCall(http::Client& client, const Target& target, const PlannedRequest& request,
-               std::uint64_t number, TimePoint planned_start, CallDone done);
+               std::uint64_t number, TimePoint planned_start, OutcomeCallback done);
 
 }  // namespace crankspur::load
--- a/tools/load/load_run.cc
+++ b/tools/load/load_run.cc
@@ -13,22 +13,22 @@
 
 namespace {
 
-/// One thread of a run with its own workload, connections and outcomes.
-class LoadThread {
+/// One thread of a run, with its own workload, connections and outcomes.
+class LoadWorker {
 public:
-  LoadThread(const Bundle& bundle, const LoadRunOptions& options, std::uint32_t index, TimePoint start)
+  LoadWorker(const Bundle& bundle, const LoadRunOptions& options, std::uint32_t index, TimePoint start)
       : options_(options),
         rate_(options.requests_per_second / options.threads),
         index_(index),
         end_(start + options.duration),
         next_start_(start),
         workload_(bundle, options.key_prefix, workloadOptions(options, index)),
-        gaps_(options.workload.seed * 1000 + index),
+        interarrival_random_(options.workload.seed * 1000 + index),
         timer_(context_),
         client_(http::makeClient(context_.get_executor())) {}
 
   void run() {
-    planNext();
+    scheduleNext();
     armTimer();
     context_.run();
   }
@@ -43,18 +43,18 @@
     return workload;
   }
 
-  void planNext() {
-    next_start_ += Duration(static_cast<Duration::rep>(gaps_.exponential(1.0 / rate_) * 1e6));
+  void scheduleNext() {
+    next_start_ += Duration(static_cast<Duration::rep>(interarrival_random_.exponential(1.0 / rate_) * 1e6));
   }
 
   void armTimer() {
     if (next_start_ >= end_) return;
     expireAt(timer_, next_start_, clock_.now());
     timer_.async_wait([this](boost::system::error_code) {
-      // Every request that is due leaves now, also those that a busy moment made late.
+      // Sends every request that is due, including those that are late because the thread was busy.
       while (next_start_ <= clock_.now() && next_start_ < end_) {
         send(next_start_);
-        planNext();
+        scheduleNext();
       }
       armTimer();
     });
@@ -81,7 +81,7 @@
   TimePoint end_;
   TimePoint next_start_;
   Workload workload_;
-  RandomSource gaps_;
+  RandomSource interarrival_random_;
   SteadyClock clock_;
   boost::asio::io_context context_{1};
   boost::asio::steady_timer timer_;
@@ -96,9 +96,9 @@
 
 LoadRunResult runLoad(const Bundle& bundle, const LoadRunOptions& options) {
   const TimePoint start = SteadyClock().now();
-  std::vector<std::unique_ptr<LoadThread>> workers;
+  std::vector<std::unique_ptr<LoadWorker>> workers;
   for (std::uint32_t index = 0; index < options.threads; ++index) {
-    workers.push_back(std::make_unique<LoadThread>(bundle, options, index, start));
+    workers.push_back(std::make_unique<LoadWorker>(bundle, options, index, start));
   }
   std::vector<std::thread> threads;
   threads.reserve(workers.size());
--- a/tools/load/load_run.h
+++ b/tools/load/load_run.h
@@ -1,5 +1,6 @@
 #pragma once
-/// @file An open-loop run: requests leave at drawn instants whether or not earlier ones were answered.
+/// @file An open-loop run: requests are sent as a Poisson process, whether or not earlier ones have
+/// completed.
 
 #include <cstdint>
 #include <string>
@@ -12,23 +13,23 @@
 
 /// Options of one run.
 struct LoadRunOptions {
-  std::vector<Target> targets;  ///< Requests go to them in turn.
+  std::vector<Target> targets;  ///< Used in round-robin order.
   double requests_per_second = 10;
   Duration duration = std::chrono::seconds(10);
   std::uint32_t threads = 2;
-  std::uint32_t maximum_outstanding = 10'000;  ///< Over all threads; a request beyond it is not sent.
+  std::uint32_t maximum_outstanding = 10'000;  ///< Over all threads; requests above the limit are not sent.
   std::string key_prefix;
   WorkloadOptions workload;
 };
 
-/// What a run gave.
+/// Result of a run.
 struct LoadRunResult {
   std::vector<CallOutcome> outcomes;
-  std::uint64_t not_sent = 0;  ///< Planned requests that maximum_outstanding held back.
-  Duration duration{0};        ///< From the first planned start to the last.
+  std::uint64_t not_sent = 0;  ///< Scheduled requests dropped because of maximum_outstanding.
+  Duration duration{0};        ///< Time in which requests were scheduled.
 };
 
-/// Runs to the end: every request that was sent has its outcome.
+/// Returns when every request that was sent has an outcome.
 LoadRunResult runLoad(const Bundle& bundle, const LoadRunOptions& options);
 
 }  // namespace crankspur::load
--- a/tools/load/main.cc
+++ b/tools/load/main.cc
@@ -1,4 +1,4 @@
-/// @file Open-loop load against sidecars, with a check of every byte of every answer.
+/// @file Open-loop load generator for sidecars that checks every byte of every response.
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -19,26 +19,25 @@
 #include "tools/load/report.h"
 
 ABSL_FLAG(std::vector<std::string>, sidecars, {}, "comma-separated IP:port of sidecars");
-ABSL_FLAG(std::string, bundle, "",
-          "the bundle in force: tenants in the order of their popularity, and models");
-ABSL_FLAG(std::string, key_prefix, "demo-key-", "the API key of a tenant is this and its name");
-ABSL_FLAG(double, rate, 20, "requests a second over all tenants");
-ABSL_FLAG(double, duration_s, 10, "how long requests are sent");
-ABSL_FLAG(std::uint32_t, threads, 2, "threads that send");
+ABSL_FLAG(std::string, bundle, "", "the active bundle, with its tenants in descending order of request rate");
+ABSL_FLAG(std::string, key_prefix, "demo-key-", "prefix of API keys; the tenant's name follows it");
+ABSL_FLAG(double, rate, 20, "requests per second over all tenants");
+ABSL_FLAG(double, duration_s, 10, "time in which requests are sent, in seconds");
+ABSL_FLAG(std::uint32_t, threads, 2, "number of sending threads");
 ABSL_FLAG(std::uint32_t, maximum_outstanding, 10'000,
-          "requests without an answer; further ones are not sent");
+          "limit of requests in flight; requests above it are not sent");
 ABSL_FLAG(std::uint64_t, seed, 1, "seed of the workload");
 ABSL_FLAG(double, tenant_skew, 1.0, "Zipf exponent over tenants");
 ABSL_FLAG(double, middle_skew, 0.8, "Zipf exponent over middles (franchises, families)");
-ABSL_FLAG(std::uint32_t, head_tokens, 2000, "tokens of the head that a tenant's requests to a model share");
+ABSL_FLAG(std::uint32_t, head_tokens, 2000, "tokens of the head shared by a tenant's requests to a model");
 ABSL_FLAG(std::uint32_t, middles, 20, "middles for each tenant and model");
 ABSL_FLAG(std::uint32_t, middle_tokens, 600, "tokens of a middle");
-ABSL_FLAG(std::uint32_t, tail_tokens, 40, "tokens of a request's own tail");
+ABSL_FLAG(std::uint32_t, tail_tokens, 40, "tokens of the tail unique to a request");
 ABSL_FLAG(std::uint32_t, answer_tokens, 32, "max_tokens of each request");
-ABSL_FLAG(std::string, csv, "", "file for the report as comma-separated values");
+ABSL_FLAG(std::string, csv, "", "output file of the report as comma-separated values");
 ABSL_FLAG(std::string, added_time, "",
-          "IP:port of the only engine behind the sidecars: measures the time that sidecar "
-          "and router add, against requests straight to the engine");
+          "IP:port of the only engine behind the sidecars: measures the latency that sidecar "
+          "and router add, compared with requests sent straight to the engine");
 
 namespace {
 
@@ -46,10 +45,10 @@
 using namespace crankspur::load;
 
 constexpr int kExitOk = 0;
-constexpr int kExitBadAnswers = 1;
+constexpr int kExitBadResponses = 1;
 constexpr int kExitUsage = 2;
 
-int refuse(const std::string& reason) {
+int reportError(const std::string& reason) {
   fmt::print(stderr, "crankspur_load: {}\n", reason);
   return kExitUsage;
 }
@@ -57,12 +56,12 @@
 std::shared_ptr<const Bundle> readBundle(const std::string& path) {
   const std::optional<std::string> text = readFile(path);
   if (!text) {
-    refuse("cannot read the bundle " + path);
+    reportError("cannot read the bundle " + path);
     return nullptr;
   }
   std::vector<SettingsProblem> problems;
   auto bundle = parseBundle(*text, path, problems);
-  for (const SettingsProblem& problem : problems) refuse(problem.toString());
+  for (const SettingsProblem& problem : problems) reportError(problem.toString());
   return bundle;
 }
 
@@ -87,8 +86,8 @@
   return options;
 }
 
-/// @return what is wrong with the options, or an empty string.
-std::string checkOptions(const LoadRunOptions& options) {
+/// @return the problem with the options, or an empty string.
+std::string validateOptions(const LoadRunOptions& options) {
   if (options.targets.empty()) return "--sidecars is missing";
   if (options.requests_per_second <= 0 || options.duration <= Duration::zero()) {
     return "--rate and --duration_s must be above 0";
@@ -97,14 +96,14 @@
   return options.workload.middles == 0 ? "--middles must be above 0" : "";
 }
 
-int runPlainLoad(const Bundle& bundle, const LoadRunOptions& options) {
+int runAndReport(const Bundle& bundle, const LoadRunOptions& options) {
   const LoadRunResult result = runLoad(bundle, options);
   const std::vector<LoadSummary> summaries = summarize(result);
-  fmt::print("{}", textReport(result, summaries));
+  fmt::print("{}", formatTextReport(result, summaries));
   if (const std::string path = absl::GetFlag(FLAGS_csv); !path.empty())
-    std::ofstream(path) << csvReport(summaries);
+    std::ofstream(path) << formatCsvReport(summaries);
   const LoadSummary& all = summaries.front();
-  return all.wrong + all.cut + all.no_answer == 0 && all.whole > 0 ? kExitOk : kExitBadAnswers;
+  return all.wrong + all.cut + all.no_answer == 0 && all.whole > 0 ? kExitOk : kExitBadResponses;
 }
 
 }  // namespace
@@ -114,19 +113,19 @@
   usage.version_string = [] { return std::string("crankspur_load ") + CRANKSPUR_VERSION + "\n"; };
   absl::SetFlagsUsageConfig(usage);
   absl::SetProgramUsageMessage(
-      "Sends requests at a given rate, whether or not earlier ones were answered, and checks every byte of "
+      "Sends requests at a given rate, whether or not earlier ones have completed, and checks every byte of "
       "each "
-      "answer against the engine stand-in's text.\n"
-      "Exit status: 0 no wrong, cut or missing answer; 1 otherwise; 2 flags wrong.");
+      "response against the expected text of the engine stand-in.\n"
+      "Exit status: 0 no wrong, cut or missing response; 1 otherwise; 2 invalid flags.");
   absl::ParseCommandLine(argc, argv);
   const std::shared_ptr<const Bundle> bundle = readBundle(absl::GetFlag(FLAGS_bundle));
   if (!bundle) return kExitUsage;
   const LoadRunOptions options = optionsFromFlags();
-  const std::string reason = checkOptions(options);
-  if (!reason.empty()) return refuse(reason);
+  const std::string reason = validateOptions(options);
+  if (!reason.empty()) return reportError(reason);
   const std::string engine = absl::GetFlag(FLAGS_added_time);
-  if (engine.empty()) return runPlainLoad(*bundle, options);
-  const AddedTime measured = measureAddedTime(*bundle, options, engine);
-  fmt::print("{}", addedTimeReport(measured));
-  return measured.bad_answers == 0 ? kExitOk : kExitBadAnswers;
+  if (engine.empty()) return runAndReport(*bundle, options);
+  const AddedTime added_time = measureAddedTime(*bundle, options, engine);
+  fmt::print("{}", formatAddedTime(added_time));
+  return added_time.incomplete_responses == 0 ? kExitOk : kExitBadResponses;
 }
--- a/tools/load/measure.sh
+++ b/tools/load/measure.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Starts a bench site on loopback (1 zone) and runs crankspur_load against it.
+# Starts a benchmark site with one zone on loopback and runs crankspur_load against it.
 # Usage: tools/load/measure.sh BUILD_FOLDER added_time|load ENGINES ROUTERS SIDECARS [flags of crankspur_load...]
-# Engines answer at once (no prefill time, short decode steps), so that the project's own share shows.
+# Engines respond immediately (no prefill time, short decode steps), so that routing dominates the latency.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 bin=$1/bin
@@ -13,31 +13,31 @@
 source tools/processes.sh
 
 for number in $(seq "$engines"); do
-  start "engine-$number" standin_engine --name="engine-$number" --models=bench-chat:w1 \
+  start_process "engine-$number" standin_engine --name="engine-$number" --models=bench-chat:w1 \
     --prefill_tokens_per_second=100000000 --prefill_chunk_tokens=100000 --prefill_chunk_base_ms=0 \
     --decode_step_ms=1 --decode_step_per_request_ms=0 --decode_slowdown_while_prefilling=1 \
     --batch_limit=64 --cache_blocks=1000000 --queue_tokens=100000000 --queue_requests=100000
-  machine bench "engine-$number" engine bench z1 r1
+  add_machine bench "engine-$number" engine bench z1 r1
 done
-start platform standin_platform --machines="$work/bench.machines.toml"
+start_process platform standin_platform --machines="$work/bench.machines.toml"
 platform="127.0.0.1:$(port platform)"
-make_keys
+generate_keys
 router_addresses=()
 admins=()
 for number in $(seq "$routers"); do
-  start_router "router-$number" z1 r1 "$platform" "$(join "${router_addresses[@]}")"
+  start_router "router-$number" z1 r1 "$platform" "$(join_by_comma "${router_addresses[@]}")"
   router_addresses+=("127.0.0.1:$(port "router-$number")")
   admins+=("127.0.0.1:$(admin_port "router-$number")")
 done
 sidecar_addresses=()
 for number in $(seq "$sidecars"); do
-  start_sidecar "sidecar-$number" z1 r1 "$platform" "$(join "${router_addresses[@]}")"
+  start_sidecar "sidecar-$number" z1 r1 "$platform" "$(join_by_comma "${router_addresses[@]}")"
   sidecar_addresses+=("127.0.0.1:$(port "sidecar-$number")")
 done
-roll_bundle tools/load/bench.bundle.toml "$platform" "$(join "${admins[@]}")"
+roll_bundle tools/load/bench.bundle.toml "$platform" "$(join_by_comma "${admins[@]}")"
 for number in $(seq "$sidecars"); do wait_healthy "sidecar-$number"; done
 
-arguments=(--sidecars="$(join "${sidecar_addresses[@]}")" --bundle=tools/load/bench.bundle.toml "$@")
+arguments=(--sidecars="$(join_by_comma "${sidecar_addresses[@]}")" --bundle=tools/load/bench.bundle.toml "$@")
 if [ "$mode" = added_time ]; then
   [ "$engines" -eq 1 ] || { echo "added_time needs exactly one engine"; exit 2; }
   arguments+=(--added_time="127.0.0.1:$(port engine-1)")
--- a/tools/load/report.cc
+++ b/tools/load/report.cc
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Collects outcomes of one row.
-struct Row {
+/// Collects the outcomes of one row of the report.
+struct RowBuilder {
   LoadSummary summary;
   std::vector<double> first_token;
   std::vector<double> total;
@@ -49,8 +49,8 @@
   }
 
   LoadSummary finish(Duration duration) {
-    summary.first_token = percentilesOf(std::move(first_token));
-    summary.total = percentilesOf(std::move(total));
+    summary.first_token = computePercentiles(std::move(first_token));
+    summary.total = computePercentiles(std::move(total));
     summary.requests_per_second = static_cast<double>(summary.whole) / toSeconds(duration);
     return summary;
   }
@@ -58,11 +58,11 @@
 
 }  // namespace
 
-Percentiles percentilesOf(std::vector<double> milliseconds) {
+Percentiles computePercentiles(std::vector<double> milliseconds) {
   if (milliseconds.empty()) return {};
   std::sort(milliseconds.begin(), milliseconds.end());
-  const auto rank = [&milliseconds](double share) {
-    const double position = std::ceil(share * static_cast<double>(milliseconds.size()));
+  const auto rank = [&milliseconds](double fraction) {
+    const double position = std::ceil(fraction * static_cast<double>(milliseconds.size()));
     return milliseconds[static_cast<std::size_t>(std::max(position, 1.0)) - 1];
   };
   return {rank(0.50), rank(0.95), rank(0.99), milliseconds.back()};
@@ -73,12 +73,12 @@
 }
 
 std::vector<LoadSummary> summarize(const LoadRunResult& result) {
-  Row all;
+  RowBuilder all;
   all.summary.name = "all";
-  std::map<std::string, Row> tenants;
+  std::map<std::string, RowBuilder> tenants;
   for (const CallOutcome& outcome : result.outcomes) {
     all.add(outcome);
-    Row& row = tenants[outcome.tenant];
+    RowBuilder& row = tenants[outcome.tenant];
     row.summary.name = outcome.tenant;
     row.add(outcome);
   }
@@ -87,7 +87,7 @@
   return summaries;
 }
 
-std::string textReport(const LoadRunResult& result, const std::vector<LoadSummary>& summaries) {
+std::string formatTextReport(const LoadRunResult& result, const std::vector<LoadSummary>& summaries) {
   std::string text =
       fmt::format("{:24} {:>8} {:>8} {:>6} {:>5} {:>8} {:>7} {:>9} {:>8} {:>9} {:>9} {:>9} {:>9}\n", "tenant",
                   "requests", "whole", "wrong", "cut", "refused", "failed", "no_answer", "hit_rate",
@@ -112,7 +112,7 @@
   return text;
 }
 
-std::string csvReport(const std::vector<LoadSummary>& summaries) {
+std::string formatCsvReport(const std::vector<LoadSummary>& summaries) {
   std::string text =
       "tenant,requests,whole,wrong,cut,refused,failed,no_answer,prompt_tokens,cached_tokens,hit_rate,"
       "whole_per_second,ttft_p50_ms,ttft_p95_ms,ttft_p99_ms,ttft_max_ms,total_p50_ms,total_p95_ms,total_p99_"
@@ -122,7 +122,7 @@
         "{},{},{},{},{},{},{},{},{},{},{:.4f},{:.2f},{:.3f},{:.3f},{:.3f},{:.3f},{:.3f},{:.3f},{:.3f}\n",
         row.name, row.requests, row.whole, row.wrong, row.cut, row.refused, row.failed, row.no_answer,
         row.prompt_tokens, row.cached_tokens, row.hitRate(), row.requests_per_second, row.first_token.p50,
-        row.first_token.p95, row.first_token.p99, row.first_token.highest, row.total.p50, row.total.p95,
+        row.first_token.p95, row.first_token.p99, row.first_token.maximum, row.total.p50, row.total.p95,
         row.total.p99);
   }
   return text;
--- a/tools/load/report.h
+++ b/tools/load/report.h
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Reports of runs, as text and as comma-separated values.
+/// @file Reports of load runs as text and as comma-separated values.
 
 #include <string>
 #include <vector>
@@ -8,18 +8,18 @@
 
 namespace crankspur::load {
 
-/// Percentiles of one duration, in milliseconds.
+/// Percentiles of a latency, in milliseconds.
 struct Percentiles {
   double p50 = 0;
   double p95 = 0;
   double p99 = 0;
-  double highest = 0;
+  double maximum = 0;
 };
 
-/// @return the percentiles of the values (nearest rank); zeros when there is none.
-Percentiles percentilesOf(std::vector<double> milliseconds);
+/// @return nearest-rank percentiles of the values; zeros when there are no values.
+Percentiles computePercentiles(std::vector<double> milliseconds);
 
-/// Sums of a run, or of one tenant's part of it.
+/// Totals of a run or of one tenant's requests.
 struct LoadSummary {
   std::string name;
   std::uint64_t requests = 0;
@@ -29,20 +29,20 @@
   std::uint64_t refused = 0;
   std::uint64_t failed = 0;
   std::uint64_t no_answer = 0;
-  std::uint64_t prompt_tokens = 0;  ///< Of whole answers.
+  std::uint64_t prompt_tokens = 0;  ///< Of complete responses.
   std::uint64_t cached_tokens = 0;
-  double requests_per_second = 0;  ///< Whole answers over the run's duration.
-  Percentiles first_token;         ///< Of whole answers.
+  double requests_per_second = 0;  ///< Complete responses per second of the run.
+  Percentiles first_token;         ///< Of complete responses.
   Percentiles total;
 
-  /// @return cached over prompt tokens.
+  /// @return the ratio of cached to prompt tokens.
   double hitRate() const;
 };
 
-/// @return the sums of all requests first, then those of each tenant by name.
+/// @return the totals of all requests, followed by those of each tenant in order of name.
 std::vector<LoadSummary> summarize(const LoadRunResult& result);
 
-std::string textReport(const LoadRunResult& result, const std::vector<LoadSummary>& summaries);
-std::string csvReport(const std::vector<LoadSummary>& summaries);
+std::string formatTextReport(const LoadRunResult& result, const std::vector<LoadSummary>& summaries);
+std::string formatCsvReport(const std::vector<LoadSummary>& summaries);
 
 }  // namespace crankspur::load
--- a/tools/load/workload.cc
+++ b/tools/load/workload.cc
@@ -42,13 +42,13 @@
   }
 }
 
-std::size_t ZipfSampler::draw(RandomSource& random) const {
+std::size_t ZipfSampler::sample(RandomSource& random) const {
   const double point = random.unit() * cumulative_.back();
   const auto found = std::upper_bound(cumulative_.begin(), cumulative_.end(), point);
   return std::min(static_cast<std::size_t>(found - cumulative_.begin()), cumulative_.size() - 1);
 }
 
-std::string wordsOf(std::uint64_t seed, std::uint32_t tokens) {
+std::string generateText(std::uint64_t seed, std::uint32_t tokens) {
   RandomSource random(seed);
   std::string text = fmt::format("{} ", toHex(seed));
   const std::size_t bytes = std::size_t{tokens} * kBytesPerToken;
@@ -66,12 +66,12 @@
 
 const std::string& Workload::sharedText(const std::string& name, std::uint32_t tokens) {
   std::string& text = texts_[name];
-  if (text.empty()) text = wordsOf(hashBytes(name), tokens);
+  if (text.empty()) text = generateText(hashBytes(name), tokens);
   return text;
 }
 
 PlannedRequest Workload::next() {
-  const TenantPolicy& tenant = bundle_.tenants[tenantsWithModels(bundle_)[tenants_.draw(random_)]];
+  const TenantPolicy& tenant = bundle_.tenants[tenantsWithModels(bundle_)[tenants_.sample(random_)]];
   const std::string& model_name = tenant.models[random_.uniform(0, tenant.models.size() - 1)];
   const ModelPolicy* model = bundle_.findModel(model_name);
   const std::string scope = tenant.name + "/" + model_name;
@@ -81,8 +81,8 @@
   request.model = model_name;
   request.weights_version = model == nullptr ? "" : model->weights_version;
   request.head = sharedText(scope, options_.head_tokens);
-  request.middle = sharedText(fmt::format("{}/{}", scope, middles_.draw(random_)), options_.middle_tokens);
-  request.tail = wordsOf(combineHashes(options_.seed, ++sequence_), options_.tail_tokens);
+  request.middle = sharedText(fmt::format("{}/{}", scope, middles_.sample(random_)), options_.middle_tokens);
+  request.tail = generateText(combineHashes(options_.seed, ++sequence_), options_.tail_tokens);
   request.max_tokens = options_.answer_tokens;
   return request;
 }
--- a/tools/load/workload.h
+++ b/tools/load/workload.h
@@ -1,6 +1,7 @@
 #pragma once
-/// @file Seeded workloads of nested prefixes: a head that many requests share (parts catalogue, park policy),
-/// a middle that some share (franchise rules, one family's history) and a tail of each request's own.
+/// @file Seeded workloads with nested prefixes: a head shared by many requests (parts catalogue, park
+/// policy), a middle shared by some (franchise rules, one family's history) and a tail unique to each
+/// request.
 
 #include <cstdint>
 #include <map>
@@ -18,10 +19,10 @@
   double tenant_skew = 1.0;           ///< Exponent of the Zipf distribution over tenants.
   double middle_skew = 0.8;           ///< Exponent of the Zipf distribution over middles.
   std::uint32_t head_tokens = 2000;   ///< Shared by all requests of a tenant to a model.
-  std::uint32_t middles = 20;         ///< Middles for each tenant and model.
-  std::uint32_t middle_tokens = 600;  ///< Shared by requests of one middle.
-  std::uint32_t tail_tokens = 40;     ///< Of the request alone.
-  std::uint32_t answer_tokens = 32;   ///< Asked for as max_tokens.
+  std::uint32_t middles = 20;         ///< Number of middles per tenant and model.
+  std::uint32_t middle_tokens = 600;  ///< Shared by the requests with this middle.
+  std::uint32_t tail_tokens = 40;     ///< Unique to the request.
+  std::uint32_t answer_tokens = 32;   ///< The max_tokens of each request.
 };
 
 /// One request to send.
@@ -36,27 +37,27 @@
   std::string tail;    ///< Third message, role user.
   std::uint32_t max_tokens = 0;
 
-  /// @return the body of the chat-completions request, streamed.
+  /// @return the body of a streaming chat completions request.
   std::string chatBody() const;
-  /// @return the canonical prompt that the engine gets.
+  /// @return the canonical prompt that the engine receives.
   std::string prompt() const;
 };
 
-/// Draws an index below the number of weights by their shares.
+/// Samples indexes below `count` from a Zipf distribution.
 class ZipfSampler {
 public:
   ZipfSampler(std::size_t count, double exponent);
-  std::size_t draw(RandomSource& random) const;
+  std::size_t sample(RandomSource& random) const;
 
 private:
   std::vector<double> cumulative_;
 };
 
-/// Generator of requests. The same seed gives the same requests.
+/// Generates requests; the same seed gives the same requests.
 class Workload {
 public:
-  /// @param bundle tenants in the order of their popularity, with the models they use.
-  /// @param key_prefix the API key of a tenant is this and its name.
+  /// @param bundle its tenants are in descending order of request rate; must outlive this object.
+  /// @param key_prefix the API key of a tenant is this prefix followed by its name.
   Workload(const Bundle& bundle, std::string key_prefix, WorkloadOptions options);
   PlannedRequest next();
 
@@ -70,10 +71,10 @@
   ZipfSampler tenants_;
   ZipfSampler middles_;
   std::uint64_t sequence_ = 0;
-  std::map<std::string, std::string> texts_;  ///< By what the text stands for.
+  std::map<std::string, std::string> texts_;  ///< Shared texts by scope, such as "tenant/model".
 };
 
-/// @return words of about `tokens` tokens, a function of the arguments alone.
-std::string wordsOf(std::uint64_t seed, std::uint32_t tokens);
+/// @return a text of about `tokens` tokens that depends only on the arguments.
+std::string generateText(std::uint64_t seed, std::uint32_t tokens);
 
 }  // namespace crankspur::load
--- a/tools/processes.sh
+++ b/tools/processes.sh
@@ -1,6 +1,6 @@
 # Functions for scripts that start processes on loopback; to be sourced after `set -euo pipefail`.
-# Needs: bin (folder of the programs). Gives: work (scratch folder). At exit every started process is stopped by
-# its id, and the scratch folder goes.
+# Input: bin (folder of the programs). Output: work (scratch folder). On exit, all started processes are stopped by
+# their ids and the scratch folder is removed.
 work=$(mktemp -d)
 pids=()
 
@@ -18,8 +18,8 @@
 }
 trap stop_all EXIT
 
-# start NAME PROGRAM ARGUMENTS...: starts a process and waits until it prints that it listens.
-start() {
+# start_process NAME PROGRAM ARGUMENTS...: starts a process and waits for its "listening" line.
+start_process() {
   local name=$1
   shift
   : >"$work/$name.out"
@@ -30,38 +30,38 @@
     kill -0 "$!" 2>/dev/null || break
     sleep 0.05
   done
-  echo "$name does not listen"
+  echo "$name did not start listening"
   return 1
 }
 port() { sed -n 's/^listening \([0-9]*\).*/\1/p' "$work/$1.out"; }
 admin_port() { sed -n 's/.* admin \([0-9]*\).*/\1/p' "$work/$1.out"; }
-join() { local IFS=,; echo "$*"; }
+join_by_comma() { local IFS=,; echo "$*"; }
 
-# machine SITE NAME ROLE POOL ZONE REGION: adds a started process to the site's machine list.
-machine() {
+# add_machine SITE NAME ROLE POOL ZONE REGION: adds a running process to the site's machine list.
+add_machine() {
   printf '[[machines]]\nname = "%s"\nrole = "%s"\npool = "%s"\naddress = "127.0.0.1:%s"\nzone = "%s"\nregion = "%s"\n' \
     "$2" "$3" "$4" "$(port "$2")" "$5" "$6" >>"$work/$1.machines.toml"
 }
 
-# make_keys: sets author and approver to fresh public keys; the private ones are in the scratch folder.
-make_keys() {
+# generate_keys: sets author and approver to new public keys; the private keys are in the scratch folder.
+generate_keys() {
   author=$("$bin/crankspurctl" keygen --out="$work/author" | tail -n 1)
   approver=$("$bin/crankspurctl" keygen --out="$work/approver" | tail -n 1)
 }
 
 # start_router NAME ZONE REGION PLATFORM PEERS [ARGUMENTS...]
 start_router() {
-  start "$1" crankspur_router --name="$1" --zone="$2" --region="$3" --listen=127.0.0.1:0 --admin=127.0.0.1:0 \
+  start_process "$1" crankspur_router --name="$1" --zone="$2" --region="$3" --listen=127.0.0.1:0 --admin=127.0.0.1:0 \
     --platform="$4" --peers="$5" --author_keys="$author" --approver_keys="$approver" "${@:6}"
 }
 
 # start_sidecar NAME ZONE REGION PLATFORM ROUTERS [ARGUMENTS...]
 start_sidecar() {
-  start "$1" crankspur_sidecar --name="$1" --zone="$2" --region="$3" --listen=127.0.0.1:0 --admin=127.0.0.1:0 \
+  start_process "$1" crankspur_sidecar --name="$1" --zone="$2" --region="$3" --listen=127.0.0.1:0 --admin=127.0.0.1:0 \
     --platform="$4" --routers="$5" --author_keys="$author" --approver_keys="$approver" "${@:6}"
 }
 
-# roll_bundle FILE PLATFORM ADMINS: checks, signs, approves and rolls; waits until every router holds it.
+# roll_bundle FILE PLATFORM ADMINS: checks, signs, approves and rolls out a bundle; waits until all routers have it.
 roll_bundle() {
   local document
   document="$work/$(basename "$(dirname "$1")").$(basename "$1")"
@@ -74,7 +74,7 @@
   "$bin/crankspurctl" bundle status --platform="$2" --routers="$3" --wait_s=20
 }
 
-# wait_healthy NAME: waits until the admin port of a router or sidecar says that it serves.
+# wait_healthy NAME: waits until the admin port of a router or sidecar reports that it is healthy.
 wait_healthy() {
   for _ in $(seq 200); do
     [ "$(curl -s -o /dev/null -w '%{http_code}' "127.0.0.1:$(admin_port "$1")/healthz")" = 200 ] && return
--- a/tools/sanitized_tests.sh
+++ b/tools/sanitized_tests.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs tests of a sanitized build. A report of any process fails them, also of one whose end no test looks at:
-# processes are killed in tests, and others take over their work.
-# Tests listed in KNOWN-RED.txt are printed, not run.
+# Runs tests of a sanitized build. Fails on a sanitizer report of any process, including those whose exit status no test
+# checks: tests kill processes and let others take over.
+# Tests listed in KNOWN-RED.txt are printed and not run.
 # Usage: tools/sanitized_tests.sh BUILD_FOLDER TEST_REGEX
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -15,7 +15,7 @@
 export UBSAN_OPTIONS="log_path=$reports/undefined:print_stacktrace=1"
 export TSAN_OPTIONS="log_path=$reports/thread"
 status=0
-pass_over_known_red "$build"
+exclude_known_red "$build"
 ctest --test-dir "$build" --parallel 6 --output-on-failure --no-tests=error -R "$tests" "${exclude[@]}" || status=$?
 if [ -n "$(ls -A "$reports")" ]; then
   echo "sanitizer reports:"
--- a/tools/soak/soak.py
+++ b/tools/soak/soak.py
@@ -1,12 +1,13 @@
 #!/usr/bin/env python3
-"""Fault soak: real gateway processes on loopback, faults from outside them, promises checked from what clients
-and runners saw.
+"""Fault soak: runs gateway processes on loopback, injects faults from outside and checks the gateways' guarantees from
+the records of clients and runners.
 
     tools/soak/soak.py --seconds 60 --seed 1 [--build build] [--keep FOLDER]
 
-Between the gateways and everything behind them stands the fault proxy. The schedule of faults comes from the seed and
-is printed as it happens. When a promise breaks, settings, schedule and all logs stay in the folder that the last line
-names. Ends only processes that it started. Exit status: 0 all promises held, 1 one broke, 2 it could not run.
+All connections from the gateways to the store and the runners pass the fault proxy. The schedule of faults is derived
+from the seed and printed as it runs. When a guarantee is violated, settings, schedule and all logs are kept in the
+folder named by the last line. Stops only processes that it started. Exit status: 0 all guarantees held, 1 a violation,
+2 it could not run.
 """
 
 import argparse
@@ -24,7 +25,7 @@
 ROOT = Path(__file__).resolve().parents[2]
 sys.path.insert(0, str(ROOT / "platform" / "standin"))
 
-from checks import broken_promises, refused_without_need, repeated_in_spite_of_ends  # noqa: E402
+from checks import find_repeated_crashes, find_unneeded_refusals, find_violations  # noqa: E402
 from client import Attempt, Kind, look_up, make_attempt  # noqa: E402
 from http_text import head_bytes, read_body, read_head  # noqa: E402
 from runner import Runner  # noqa: E402
@@ -32,17 +33,17 @@
 
 GATEWAYS = 3
 ENGINES = 3
-ENGINES_THAT_END = 9  # Where requests that end engines are played alone.
-ENDING_REQUESTS = 2  # At most so many at once.
+CRASHING_ENGINES = 9  # Number of engines when requests that crash engines are the selected fault.
+MAX_CRASHING_REQUESTS = 2  # Concurrent requests that crash engines.
 APPLICATION_RUNNERS = 2
 RUNNER_HOST = "127.0.0.2"  # Differs from the proxy's address, whose ports the kernel chooses.
 REQUESTS_PER_S = 40
-REVOKED_SHARE = 0.15  # Of the requests, with keys that were taken away.
+REVOKED_KEY_SHARE = 0.15  # Share of requests that use revoked keys.
 DEADLINE_S = 3.0
 KEY_VALIDITY_S = 5.0
-QUIET_S = 6.0  # Without faults at the end, so that recovery can be judged.
-START_S = 10.0
-DRAIN_S = 8.0
+QUIET_PERIOD_S = 6.0  # Time without faults at the end, to check recovery.
+START_TIMEOUT_S = 10.0
+DRAIN_LIMIT_S = 8.0
 MODEL = "model"
 KINDS = [
     Kind("/order/", streaming=False, repeatable=False),
@@ -50,24 +51,24 @@
     Kind("/review/", streaming=True, repeatable=True, answer_events=20),
     Kind("/answer/", streaming=True, repeatable=False, answer_events=12),
 ]
-# Kinds that can be played alone; with silent connections alone refusals break a promise.
-ALONE_FAULTS = ("silent_connections", "ending_requests", "ending_requests_and_restarts")
+# Faults that --only can select; with silent_connections, any rejection by a gateway is a violation.
+SINGLE_FAULTS = ("silent_connections", "ending_requests", "ending_requests_and_restarts")
 
 
-def free_ports(count):
-    """Returns ports that nothing listens on, on any loopback address."""
+def find_free_ports(count):
+    """Returns ports that are free on all loopback addresses."""
     sockets = [socket.socket() for _ in range(count)]
-    for one in sockets:
-        one.bind(("127.0.0.1", 0))
-    ports = [one.getsockname()[1] for one in sockets]
-    for one in sockets:
-        one.close()
+    for listener in sockets:
+        listener.bind(("127.0.0.1", 0))
+    ports = [listener.getsockname()[1] for listener in sockets]
+    for listener in sockets:
+        listener.close()
     return ports
 
 
 def choose_runner_endpoints(count):
-    """Returns host and port of each runner, before any of them listens."""
-    return [(RUNNER_HOST, port) for port in free_ports(count)]
+    """Returns the host and port of each runner, before any runner listens."""
+    return [(RUNNER_HOST, port) for port in find_free_ports(count)]
 
 
 class Gateway:
@@ -79,7 +80,7 @@
         self._program, self._folder = program, folder
         self.ports = ports
         self.process = None
-        self.expected_end = False
+        self.expected_exit = False
         seeds = ", ".join(f'"127.0.0.{11 + other}:{ports["gossip"]}"' for other in range(GATEWAYS))
         lines = [f'name = "{self.name}"', 'zone = "zone-a"', 'region = "r"', f'platform = "{store_address}"']
         lines += [f'{key} = "{self.host}:{port}"' for key, port in ports.items()]
@@ -91,13 +92,13 @@
         log = open(self._folder / f"{self.name}.log", "ab")
         self.process = await asyncio.create_subprocess_exec(
             str(self._program), f"--settings={self._settings}", stdout=log, stderr=log, start_new_session=True)
-        self.expected_end = False  # Only now: the process before may have been killed.
+        self.expected_exit = False  # Reset only now: the previous process may have been killed.
         log.close()
 
-    async def wait_until_up(self):
-        """Waits until the process answers on its readiness address, whatever it says."""
-        until = time.monotonic() + START_S
-        while time.monotonic() < until:
+    async def wait_until_listening(self):
+        """Waits until the process accepts connections at its readiness address."""
+        deadline = time.monotonic() + START_TIMEOUT_S
+        while time.monotonic() < deadline:
             try:
                 _, writer = await asyncio.open_connection(self.host, self.ports["readiness"])
                 writer.close()
@@ -106,10 +107,10 @@
                 await asyncio.sleep(0.05)
 
     async def wait_until_ready(self):
-        """Waits until the process says that it is ready: it has a configuration."""
-        await self.wait_until_up()
-        until = time.monotonic() + START_S
-        while time.monotonic() < until:
+        """Waits until the process reports that it is ready, which requires a configuration."""
+        await self.wait_until_listening()
+        deadline = time.monotonic() + START_TIMEOUT_S
+        while time.monotonic() < deadline:
             reader, writer = await asyncio.open_connection(self.host, self.ports["readiness"])
             writer.write(head_bytes("GET /readyz HTTP/1.1", {"Host": "r"}))
             head = await read_head(reader)
@@ -119,18 +120,18 @@
             await asyncio.sleep(0.05)
         raise RuntimeError(f"{self.name} is not ready after the start")
 
-    def send(self, number):
+    def send_signal(self, number):
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
 
-    async def end(self, number):
-        """Ends the process by a signal and waits for it."""
-        self.expected_end = True
-        self.send(number)
+    async def terminate(self, number):
+        """Sends a signal that stops the process and waits for its exit."""
+        self.expected_exit = True
+        self.send_signal(number)
         try:
-            return await asyncio.wait_for(self.process.wait(), DRAIN_S + 2)
+            return await asyncio.wait_for(self.process.wait(), DRAIN_LIMIT_S + 2)
         except asyncio.TimeoutError:
-            self.send(signal.SIGKILL)
+            self.send_signal(signal.SIGKILL)
             await self.process.wait()
             return None
 
@@ -140,7 +141,7 @@
 
 
 class Proxy:
-    """The fault proxy, with a route for the store and one for each runner."""
+    """The fault proxy process, with a route to the store and one to each runner."""
 
     def __init__(self):
         self.process = None
@@ -154,7 +155,7 @@
             str(program), f"--routes={routes}", stdout=asyncio.subprocess.PIPE, stderr=log, start_new_session=True)
         log.close()
         while len(self.ports) < len(targets) or not self._control:
-            line = (await asyncio.wait_for(self.process.stdout.readline(), START_S)).decode()
+            line = (await asyncio.wait_for(self.process.stdout.readline(), START_TIMEOUT_S)).decode()
             words = line.split()
             if "control" in words:
                 self._control = int(words[words.index("control") + 1])
@@ -162,43 +163,43 @@
             if not line:
                 raise RuntimeError("the fault proxy ended")
 
-    async def set(self, **behaviour):
+    async def configure(self, **behaviour):
         reader, writer = await asyncio.open_connection("127.0.0.1", self._control)
         body = json.dumps(behaviour).encode()
         fields = {"Host": "p", "Content-Type": "application/json", "Content-Length": str(len(body))}
         writer.write(head_bytes("POST /control HTTP/1.1", fields) + body)
         head = await read_head(reader)
-        answer = await read_body(reader, head.headers)
+        response = await read_body(reader, head.headers)
         writer.close()
         if head.first[1] != "200":
-            raise RuntimeError(f"the fault proxy refused {behaviour}: {answer.decode()}")
+            raise RuntimeError(f"the fault proxy refused {behaviour}: {response.decode()}")
 
 
 class Soak:
     def __init__(self, options, folder):
         self.options, self.folder = options, folder
-        self.random = random.Random(options.seed + 3)  # Of the traffic.
-        self.began_at = time.monotonic()
+        self.random = random.Random(options.seed + 3)  # For the clients' traffic.
+        self.started_at = time.monotonic()
         self.store = Store(random.Random(options.seed + 1))
         self.proxy = Proxy()
         self.gateways, self.engines, self.runners, self.runs, self.attempts = [], [], [], [], []
         self.problems, self.ends, self.ending_parts = [], [], set()
-        self.ending = asyncio.Semaphore(ENDING_REQUESTS)
+        self.ending = asyncio.Semaphore(MAX_CRASHING_REQUESTS)
         self.keys = {"key-a": "tenant-a", "key-b": "tenant-b"}
-        self.revoked = {}  # Key to the time when its revocation was accepted.
+        self.revoked = {}  # Key -> time when its revocation was accepted.
         self.configuration_version = 0
         self.weights = 1
         self.schedule = open(folder / "schedule.log", "w")
 
-    def note(self, text):
-        line = f"{time.monotonic() - self.began_at:8.3f} {text}"
+    def log_event(self, text):
+        line = f"{time.monotonic() - self.started_at:8.3f} {text}"
         print(line, flush=True)
         self.schedule.write(line + "\n")
         self.schedule.flush()
 
-    # The operator.
+    # Actions of an operator.
 
-    def configure(self, generator):
+    def publish_configuration(self, generator):
         self.configuration_version += generator.randint(1, 3)
         routes = []
         for kind in KINDS:
@@ -216,17 +217,17 @@
         document["limits"] = {"headerTimeoutMs": 3000, "idleTimeoutMs": 15000}
         self.store.put("op", "config", json.dumps(document).encode())
 
-    def name_weights(self):
+    def publish_weights(self):
         self.weights += 1
         self.store.put("op", f"version/{MODEL}", json.dumps({"model": MODEL, "version": self.weights}).encode())
 
-    # Start and end.
+    # Start and stop.
 
     async def start(self):
         build = ROOT / self.options.build / "bin"
         store_port = await self.store.start("127.0.0.1", 0)
         generator = random.Random(self.options.seed + 2)
-        engines = ENGINES_THAT_END if self.options.only.startswith("ending_requests") else ENGINES
+        engines = CRASHING_ENGINES if self.options.only.startswith("ending_requests") else ENGINES
         ending = (self.ending_parts, self.ends)
         self.engines = [Runner(self.store, "engines", MODEL, 16, self.runs, generator, *ending) for _ in range(engines)]
         self.runners = [Runner(self.store, "app", "", 12, self.runs, generator) for _ in range(APPLICATION_RUNNERS)]
@@ -234,27 +235,27 @@
         targets = {"store": f"127.0.0.1:{store_port}"}
         targets |= {f"runner{index}": f"{host}:{port}" for index, (host, port) in enumerate(endpoints)}
         await self.proxy.start(build / "fault_proxy", targets, self.folder)
-        self.configure(self.random)
+        self.publish_configuration(self.random)
         self.store.put("op", f"version/{MODEL}", json.dumps({"model": MODEL, "version": 1}).encode())
         for index, runner in enumerate(self.engines + self.runners):
             runner.route = f"runner{index}"
             await runner.start(*endpoints[index], f"127.0.0.1:{self.proxy.ports[runner.route]}")
         names = ["front", "readiness", "directory", "metrics", "gossip"]
-        ports = dict(zip(names, free_ports(len(names))))
+        ports = dict(zip(names, find_free_ports(len(names))))
         address = f"127.0.0.1:{self.proxy.ports['store']}"
         program = build / "crankspur_gateway"
         self.gateways = [Gateway(number, ports, address, self.folder, program) for number in range(GATEWAYS)]
         for gateway in self.gateways:
             await gateway.start()
-        for gateway in self.gateways:  # One that has no configuration yet refuses, and may.
+        for gateway in self.gateways:  # Until it has a configuration, a gateway may reject requests.
             await gateway.wait_until_ready()
-        await self.wait_until_served()
+        await self.wait_until_serving()
 
-    async def wait_until_served(self):
-        until = time.monotonic() + START_S
-        while time.monotonic() < until:
+    async def wait_until_serving(self):
+        deadline = time.monotonic() + START_TIMEOUT_S
+        while time.monotonic() < deadline:
             await asyncio.sleep(0.1)
-            attempt = await self.one_attempt(KINDS[1], "key-a")
+            attempt = await self.run_attempt(KINDS[1], "key-a")
             if attempt.status == 200:
                 return
         raise RuntimeError("no gateway serves after the start")
@@ -262,8 +263,8 @@
     async def stop(self):
         for gateway in self.gateways:
             if gateway.process is not None:
-                gateway.send(signal.SIGCONT)
-                await gateway.end(signal.SIGTERM)
+                gateway.send_signal(signal.SIGCONT)
+                await gateway.terminate(signal.SIGTERM)
         if self.proxy.process is not None:
             self.proxy.process.terminate()
             await self.proxy.process.wait()
@@ -271,8 +272,8 @@
             await runner.crash()
         await self.store.stop()
 
-    async def abandon(self):
-        """Ends what was started at once."""
+    async def kill_processes(self):
+        """Kills all started processes immediately."""
         for task in asyncio.all_tasks() - {asyncio.current_task()}:
             task.cancel()
         started = [gateway.process for gateway in self.gateways] + [self.proxy.process]
@@ -284,7 +285,7 @@
     # Clients.
 
     async def find_gateway(self):
-        """Returns an address as a client finds it: from the directory of any gateway that answers."""
+        """Returns a gateway address as a client looks it up: from the directory of any gateway that responds."""
         for gateway in self.random.sample(self.gateways, len(self.gateways)):
             try:
                 addresses = await look_up(gateway.host, gateway.ports["directory"])
@@ -294,7 +295,7 @@
                 return self.random.choice(addresses)
         return self.random.choice(self.gateways).address
 
-    async def one_attempt(self, kind, key, prompt=None):
+    async def run_attempt(self, kind, key, prompt=None):
         number = f"{self.random.getrandbits(64):016x}"
         gateway = await self.find_gateway()
         attempt = Attempt(number, kind, key, self.keys.get(key, ""), gateway, time.monotonic())
@@ -306,35 +307,36 @@
     async def traffic(self, until):
         tasks = set()
         while time.monotonic() < until:
-            stranger = self.revoked and self.random.random() < REVOKED_SHARE
-            key = self.random.choice(list(self.revoked if stranger else self.keys))
-            task = asyncio.create_task(self.one_attempt(self.random.choice(KINDS), key))
+            use_revoked = self.revoked and self.random.random() < REVOKED_KEY_SHARE
+            key = self.random.choice(list(self.revoked if use_revoked else self.keys))
+            task = asyncio.create_task(self.run_attempt(self.random.choice(KINDS), key))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
             await asyncio.sleep(self.random.expovariate(REQUESTS_PER_S))
         await asyncio.gather(*list(tasks))
 
-    # Faults; each puts right what it broke.
+    # Faults. Each fault reverts its effect.
 
     async def kill_gateway(self, generator):
         gateway = generator.choice(self.gateways)
-        self.note(f"SIGKILL {gateway.name}")
-        await gateway.end(signal.SIGKILL)
+        self.log_event(f"SIGKILL {gateway.name}")
+        await gateway.terminate(signal.SIGKILL)
         await asyncio.sleep(generator.uniform(0.2, 1.5))
         await gateway.start()
 
     async def kill_all(self, generator):
-        self.note("SIGKILL all gateways")
-        await asyncio.gather(*(gateway.end(signal.SIGKILL) for gateway in self.gateways))
+        self.log_event("SIGKILL all gateways")
+        await asyncio.gather(*(gateway.terminate(signal.SIGKILL) for gateway in self.gateways))
         await asyncio.sleep(generator.uniform(0.2, 1.0))
         for gateway in self.gateways:
             await gateway.start()
 
     async def stop_gateway(self, generator):
         gateway = generator.choice(self.gateways)
-        await gateway.wait_until_up()  # Before, the signal ends it like any program; it has taken nothing yet.
-        self.note(f"SIGTERM {gateway.name}")
-        status = await gateway.end(signal.SIGTERM)
+        # Before it listens, SIGTERM would kill it: its handler is not installed and it has accepted no request.
+        await gateway.wait_until_listening()
+        self.log_event(f"SIGTERM {gateway.name}")
+        status = await gateway.terminate(signal.SIGTERM)
         if status != 0:
             self.problems.append(f"planned stop: {gateway.name} ended with {status}")
         await gateway.start()
@@ -342,46 +344,46 @@
     async def freeze_gateway(self, generator):
         gateway = generator.choice(self.gateways)
         seconds = generator.uniform(0.5, 7.0)
-        self.note(f"SIGSTOP {gateway.name} for {seconds:.1f} s")
-        gateway.send(signal.SIGSTOP)
+        self.log_event(f"SIGSTOP {gateway.name} for {seconds:.1f} s")
+        gateway.send_signal(signal.SIGSTOP)
         await asyncio.sleep(seconds)
-        gateway.send(signal.SIGCONT)
+        gateway.send_signal(signal.SIGCONT)
 
     async def crash_runner(self, generator):
         runner = generator.choice(self.engines + self.runners)
-        self.note(f"crash of {runner.id} ({runner.route})")
+        self.log_event(f"crash of {runner.id} ({runner.route})")
         await runner.crash()
         await asyncio.sleep(generator.uniform(0.3, 2.0))
         await runner.start(RUNNER_HOST, runner.port, runner.listed_address)
 
-    async def trouble_runner(self, generator):
+    async def impair_runner(self, generator):
         runner = generator.choice(self.engines + self.runners)
-        trouble = generator.choice(["errors", "silent", "lost"])
-        self.note(f"{runner.id} ({runner.route}): {trouble}")
-        runner.trouble = trouble
+        failure = generator.choice(["errors", "silent", "lost"])
+        self.log_event(f"{runner.id} ({runner.route}): {failure}")
+        runner.trouble = failure
         await asyncio.sleep(generator.uniform(0.5, 3.0))
         runner.trouble = ""
 
-    async def store_trouble(self, generator):
+    async def interrupt_store(self, generator):
         mode = generator.choice(["down", "reset", "silent"])
         seconds = generator.uniform(0.5, 7.0)
-        self.note(f"store {mode} for {seconds:.1f} s")
+        self.log_event(f"store {mode} for {seconds:.1f} s")
         self.store.mode = mode
         await asyncio.sleep(seconds)
         self.store.mode = "ok"
 
-    async def store_oddities(self, generator):
-        what = generator.choice(["slow", "loses answers", "forgets history"])
-        self.note(f"store {what}")
-        if what == "forgets history":
+    async def degrade_store(self, generator):
+        behaviour = generator.choice(["slow", "loses answers", "forgets history"])
+        self.log_event(f"store {behaviour}")
+        if behaviour == "forgets history":
             return self.store.forget_history()
-        self.store.delay_s, self.store.lose_share = (0.3, 0.0) if what == "slow" else (0.0, 0.4)
+        self.store.delay_s, self.store.lose_share = (0.3, 0.0) if behaviour == "slow" else (0.0, 0.4)
         await asyncio.sleep(generator.uniform(1.0, 4.0))
         self.store.delay_s, self.store.lose_share = 0.0, 0.0
 
-    async def network_trouble(self, generator):
+    async def impair_network(self, generator):
         route = generator.choice(list(self.proxy.ports))
-        fault, healed = generator.choice([
+        fault, revert = generator.choice([
             ({"delay_to_client_ms": 200}, {"delay_to_client_ms": 0}),
             ({"delay_to_server_ms": 200}, {"delay_to_server_ms": 0}),
             ({"swallow_answers": True}, {"swallow_answers": False, "reset": True}),
@@ -390,48 +392,48 @@
             ({"refuse": True}, {"refuse": False}),
         ])
         seconds = generator.uniform(0.3, 3.0)
-        self.note(f"proxy {route}: {fault} for {seconds:.1f} s")
-        await self.proxy.set(route=route, **fault)
+        self.log_event(f"proxy {route}: {fault} for {seconds:.1f} s")
+        await self.proxy.configure(route=route, **fault)
         await asyncio.sleep(seconds)
-        if healed:
-            await self.proxy.set(route=route, **healed)
+        if revert:
+            await self.proxy.configure(route=route, **revert)
 
     async def silent_connections(self, generator):
-        """Open connections go silent for good, up to three times in a row; new ones work."""
+        """Makes open connections go silent permanently, up to three times in a row, while new connections work."""
         for _ in range(generator.randint(1, 3)):
             share = generator.choice([1.0, 1.0, 0.6])
             route = {} if generator.random() < 0.7 else {"route": generator.choice(list(self.proxy.ports))}
-            self.note(f"proxy {route.get('route', 'everywhere')}: {share} of the open connections go silent")
-            await self.proxy.set(silence_open=share, **route)
+            self.log_event(f"proxy {route.get('route', 'everywhere')}: {share} of the open connections go silent")
+            await self.proxy.configure(silence_open=share, **route)
             await asyncio.sleep(generator.uniform(0.5, 4.0))
 
     async def ending_requests(self, generator):
-        """A request that ends each engine which begins to run it comes again and again, at any gateway."""
+        """Repeatedly sends a request that crashes each engine that starts to run it, to any gateway."""
         async with self.ending:
             part = generator.getrandbits(40) | 1 << 40
             kind, key = generator.choice(KINDS[2:]), generator.choice(list(self.keys))
             prompt = [(generator.randint(1, 6), 640), (part, 160)]
             until = time.monotonic() + generator.uniform(4.0, 12.0)
-            self.note(f"request {part:x} ends each engine that runs it ({kind.route})")
+            self.log_event(f"request {part:x} ends each engine that runs it ({kind.route})")
             self.ending_parts.add(part)
             while time.monotonic() < until:
-                await self.one_attempt(kind, key, prompt)
+                await self.run_attempt(kind, key, prompt)
                 await asyncio.sleep(generator.uniform(0.05, 0.7))
 
-    async def ending_requests_between(self, until):
-        """Such requests among the other faults, drawn apart so that a seed's schedule of those stays what it was."""
+    async def mix_in_ending_requests(self, until):
+        """Adds such requests to the other faults, with a generator of its own: their schedule for a seed is unchanged."""
         generator = random.Random(self.options.seed + 4)
         while time.monotonic() < until:
             await asyncio.sleep(generator.uniform(2.0, 12.0))
             await self.ending_requests(generator)
 
-    async def new_configuration(self, generator):
-        self.configure(generator)
-        self.note(f"configuration {self.configuration_version}")
+    async def change_configuration(self, generator):
+        self.publish_configuration(generator)
+        self.log_event(f"configuration {self.configuration_version}")
 
-    async def new_weights(self, generator):
-        self.name_weights()
-        self.note(f"weights {self.weights}")
+    async def change_weights(self, generator):
+        self.publish_weights()
+        self.log_event(f"weights {self.weights}")
 
     async def revoke_key(self, generator):
         if len(self.keys) < 2:
@@ -439,99 +441,100 @@
         key = generator.choice(list(self.keys))
         tenant = self.keys.pop(key)
         self.keys[f"key-{generator.getrandbits(32):08x}"] = tenant
-        self.configure(generator)
+        self.publish_configuration(generator)
         self.revoked[key] = time.monotonic()
-        self.note(f"configuration {self.configuration_version} takes {key} away")
+        self.log_event(f"configuration {self.configuration_version} takes {key} away")
 
     async def faults(self, until):
-        kinds = [self.kill_gateway, self.kill_all, self.stop_gateway, self.freeze_gateway, self.crash_runner,
-                 self.trouble_runner, self.store_trouble, self.store_oddities, self.network_trouble,
-                 self.network_trouble, self.new_configuration, self.new_weights, self.revoke_key,
-                 self.silent_connections]
+        faults = [self.kill_gateway, self.kill_all, self.stop_gateway, self.freeze_gateway, self.crash_runner,
+                  self.impair_runner, self.interrupt_store, self.degrade_store, self.impair_network,
+                  self.impair_network, self.change_configuration, self.change_weights, self.revoke_key,
+                  self.silent_connections]
         if self.options.only == "ending_requests_and_restarts":
-            kinds = [self.ending_requests, self.ending_requests, self.kill_gateway, self.kill_all, self.stop_gateway]
+            faults = [self.ending_requests, self.ending_requests, self.kill_gateway, self.kill_all, self.stop_gateway]
         elif self.options.only:
-            kinds = [getattr(self, self.options.only)]
+            faults = [getattr(self, self.options.only)]
         tasks = set()
-        busy = asyncio.Lock()  # Signals to gateways come one after the other, or they would meet one that ended.
-        alone = {self.kill_gateway, self.kill_all, self.stop_gateway, self.freeze_gateway}
+        gateway_lock = asyncio.Lock()  # Serializes signals to gateways, or one could be sent to a stopped process.
+        gateway_faults = {self.kill_gateway, self.kill_all, self.stop_gateway, self.freeze_gateway}
         schedule = random.Random(self.options.seed)
 
-        async def play(kind, generator):
-            if kind in alone:
-                async with busy:
-                    return await kind(generator)
-            await kind(generator)
+        async def run_fault(fault, generator):
+            if fault in gateway_faults:
+                async with gateway_lock:
+                    return await fault(generator)
+            await fault(generator)
 
         if not self.options.only:
-            tasks.add(asyncio.create_task(self.ending_requests_between(until)))
+            tasks.add(asyncio.create_task(self.mix_in_ending_requests(until)))
         while time.monotonic() < until:
-            # A generator for each fault: what it does depends on the seed alone, not on what runs beside it.
+            # One generator per fault, so that its choices depend only on the seed, not on concurrent faults.
             generator = random.Random(schedule.getrandbits(64))
-            task = asyncio.create_task(play(schedule.choice(kinds), generator))
+            task = asyncio.create_task(run_fault(schedule.choice(faults), generator))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
             await asyncio.sleep(schedule.uniform(0.2, 2.5))
         await asyncio.gather(*list(tasks))
 
-    async def watch_processes(self):
+    async def monitor_processes(self):
         while True:
             await asyncio.sleep(0.2)
             for gateway in self.gateways:
-                if gateway.process.returncode is not None and not gateway.expected_end:
+                if gateway.process.returncode is not None and not gateway.expected_exit:
                     self.problems.append(f"{gateway.name} ended by itself: {gateway.process.returncode}")
-                    self.note(self.problems[-1])
-                    gateway.expected_end = True
+                    self.log_event(self.problems[-1])
+                    gateway.expected_exit = True
 
     async def run(self):
         await self.start()
-        watch = asyncio.create_task(self.watch_processes())
+        monitor = asyncio.create_task(self.monitor_processes())
         faults_end = time.monotonic() + self.options.seconds
 
-        async def faults_then_quiet():
+        async def inject_faults():
             await self.faults(faults_end)
-            self.note("quiet")
+            self.log_event("quiet")
             return time.monotonic()
 
-        faults = asyncio.create_task(faults_then_quiet())
-        traffic = asyncio.create_task(self.traffic_until_quiet(faults))
-        quiet_at = await faults
+        faults = asyncio.create_task(inject_faults())
+        traffic = asyncio.create_task(self.run_traffic_through_quiet_period(faults))
+        quiet_since = await faults
         await traffic
-        watch.cancel()
+        monitor.cancel()
         await self.stop()
         await asyncio.sleep(0.5)
-        judged = broken_promises(self.attempts, self.runs, self.revoked, KEY_VALIDITY_S, quiet_at + QUIET_S / 2)
-        judged += repeated_in_spite_of_ends(self.ends)
+        violations = find_violations(self.attempts, self.runs, self.revoked, KEY_VALIDITY_S,
+                                     quiet_since + QUIET_PERIOD_S / 2)
+        violations += find_repeated_crashes(self.ends)
         if self.options.only == "silent_connections":
-            judged += refused_without_need(self.attempts)
-        return self.problems + judged
+            violations += find_unneeded_refusals(self.attempts)
+        return self.problems + violations
 
-    async def traffic_until_quiet(self, faults):
+    async def run_traffic_through_quiet_period(self, faults):
         while not faults.done():
             await self.traffic(time.monotonic() + 0.5)
-        await self.traffic(time.monotonic() + QUIET_S)
+        await self.traffic(time.monotonic() + QUIET_PERIOD_S)
 
 
 def summarize(soak):
     statuses = {}
     for attempt in soak.attempts:
         statuses[attempt.status] = statuses.get(attempt.status, 0) + 1
-    answered = sum(1 for attempt in soak.attempts if attempt.status == 200 and attempt.whole)
+    complete = sum(1 for attempt in soak.attempts if attempt.status == 200 and attempt.whole)
     counts = ", ".join(f"{status}: {count}" for status, count in sorted(statuses.items()))
-    print(f"{len(soak.attempts)} attempts, {answered} answered whole, {len(soak.runs)} runs; by status: {counts}")
+    print(f"{len(soak.attempts)} attempts, {complete} answered whole, {len(soak.runs)} runs; by status: {counts}")
     if soak.ends:
         parts = {end.part for end in soak.ends}
         print(f"{len(parts)} requests ended {len(soak.ends)} engines")
 
 
-async def play(options, folder):
+async def run_soak(options, folder):
     soak = Soak(options, folder)
-    for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGINT):  # What was started is ended in any case.
+    for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGINT):  # Always stops the started processes.
         asyncio.get_running_loop().add_signal_handler(number, asyncio.current_task().cancel)
     try:
         problems = await soak.run()
     except BaseException:
-        await soak.abandon()
+        await soak.kill_processes()
         raise
     summarize(soak)
     (folder / "attempts.json").write_text("\n".join(json.dumps(vars(a), default=vars) for a in soak.attempts))
@@ -541,11 +544,11 @@
 
 def main():
     parser = argparse.ArgumentParser(description=__doc__.split("\n\n")[0])
-    parser.add_argument("--seconds", type=float, default=60, help="time with faults; some quiet seconds follow")
-    parser.add_argument("--seed", type=int, default=None, help="of the schedule; default: drawn and printed")
-    parser.add_argument("--only", default="", choices=["", *ALONE_FAULTS], help="the one kind of fault to play")
-    parser.add_argument("--build", default="build", help="build folder with the programs")
-    parser.add_argument("--keep", default="", help="keep logs there in any case")
+    parser.add_argument("--seconds", type=float, default=60, help="time with faults, in seconds; a quiet period follows")
+    parser.add_argument("--seed", type=int, default=None, help="seed of the schedule; default: random, and printed")
+    parser.add_argument("--only", default="", choices=["", *SINGLE_FAULTS], help="the only kind of fault to inject")
+    parser.add_argument("--build", default="build", help="build folder that contains the programs")
+    parser.add_argument("--keep", default="", help="folder for logs, which are kept even without violations")
     options = parser.parse_args()
     if options.seed is None:
         options.seed = random.SystemRandom().randrange(1 << 31)
@@ -553,7 +556,7 @@
     folder.mkdir(parents=True, exist_ok=True)
     print(f"seed {options.seed}, {options.seconds:.0f} s of faults", flush=True)
     try:
-        problems = asyncio.run(play(options, folder))
+        problems = asyncio.run(run_soak(options, folder))
     except (RuntimeError, asyncio.CancelledError) as failure:
         print(f"could not run: {failure!r}; logs in {folder}")
         return 2
--- a/tools/test.sh
+++ b/tools/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs every test of a build folder (default build/). Tests listed in KNOWN-RED.txt are printed, not run.
+# Runs all tests of a build folder (default build/). Tests listed in KNOWN-RED.txt are printed and not run.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source tools/known_red.sh
@@ -8,5 +8,5 @@
   echo "KNOWN-RED.txt: a line does not begin with the name of one test"
   exit 1
 fi
-pass_over_known_red "$build"
+exclude_known_red "$build"
 ctest --test-dir "$build" --parallel 6 --output-on-failure --no-tests=error "${exclude[@]}"
