--- a/sim/gateway_world/fleet_site.cc
+++ b/sim/gateway_world/fleet_site.cc
@@ -27,7 +27,7 @@
   route.timeout = std::chrono::seconds(6);
   route.first_byte_target = std::chrono::milliseconds(600);
   route.event_gap_target = std::chrono::milliseconds(400);
-  route.maximum_attempts = 2;
+  route.max_attempts = 2;
   route.pools = {{kFleetPool, 1}};
   return route;
 }
--- a/sim/gateway_world/gateway_node_traffic.cc
+++ b/sim/gateway_world/gateway_node_traffic.cc
@@ -40,7 +40,7 @@
   process_->clients.emplace(id, Client{request, handlers, channel, context_.queue.now(), confirmed_at_});
   channel->onClosed(sim::Side::Server, [this, id] {
     if (process_->clients.erase(id) == 0) return;
-    process_->traffic.onClientGone(id, now());
+    process_->traffic.onClientDisconnected(id, now());
     pump();
   });
   const std::string body = fmt::format("body {}", request.body);
--- a/src/gateway/backend_table.cc
+++ b/src/gateway/backend_table.cc
@@ -54,7 +54,7 @@
   if (state.in_flight > 0) --state.in_flight;
   if (state.incarnation != incarnation) return;
   switch (outcome) {
-    case DispatchOutcome::Answered:
+    case DispatchOutcome::Completed:
       return recordOutcome(state, false, now);
     case DispatchOutcome::ErrorResponse:
       return recordOutcome(state, true, now);
@@ -104,8 +104,8 @@
     const auto recovered = static_cast<std::uint32_t>((now - state->limited_at) / kLimitRecovery);
     if (state->in_flight >= state->limit + recovered) return false;
   }
-  if (pool.maximum_connections > 0) {
-    const std::uint32_t share = pool.maximum_connections / std::max(share_divisor, 1U);
+  if (pool.max_connections > 0) {
+    const std::uint32_t share = pool.max_connections / std::max(share_divisor, 1U);
     const std::uint32_t usable = share > kControlConnections ? share - kControlConnections : 1;
     if (state->in_flight >= usable) return false;
   }
@@ -118,7 +118,8 @@
 }
 
 bool BackendTable::isUnresponsive(const Backend& backend) const {
-  return backend.silent_since != TimePoint{} && lastReceivedAt(backend.view.slot) <= backend.silent_since;
+  return backend.unresponsive_since != TimePoint{} &&
+         lastReceivedAt(backend.view.slot) <= backend.unresponsive_since;
 }
 
 Duration BackendTable::ejectedFor(EngineSlot slot, TimePoint now) const {
--- a/src/gateway/backend_table.h
+++ b/src/gateway/backend_table.h
@@ -14,7 +14,7 @@
 
 /// How one dispatch at a back end ended.
 enum class DispatchOutcome {
-  Answered,       ///< Its own response was complete.
+  Completed,      ///< Its own response was complete.
   ErrorResponse,  ///< It responded with an error.
   Failed,         ///< It sent bytes that are not a response of its own, or the connection broke.
   ConnectFailed,  ///< No connection could be made.
--- a/src/gateway/crash_suspects.cc
+++ b/src/gateway/crash_suspects.cc
@@ -72,14 +72,14 @@
   if (!same_connection && !too_soon) return false;
   const SignOfLife sign{backend, crashed_at};
   withdrawCrashes(sign);
-  update_.alive.push_back(sign);
+  update_.signs_of_life.push_back(sign);
   return true;
 }
 
 bool CrashSuspects::merge(const CrashUpdate& update, TimePoint now) {
   bool changed = false;
   for (const ClearedRequest& cleared : update.cleared) changed |= clear(cleared);
-  for (const SignOfLife& sign : update.alive) changed |= withdrawCrashes(sign);
+  for (const SignOfLife& sign : update.signs_of_life) changed |= withdrawCrashes(sign);
   for (const CrashEvidence& evidence : update.crashes) changed |= add(evidence, now);
   return changed;
 }
@@ -94,8 +94,8 @@
 /// recorded much earlier is of a real crash, which a process that was suspended detected late; evidence that
 /// was recorded later is of a crash after the sign of life.
 bool CrashSuspects::isVoid(const CrashEvidence& evidence) const {
-  const auto signs = alive_.find(evidence.backend);
-  if (signs == alive_.end()) return false;
+  const auto signs = signs_of_life_.find(evidence.backend);
+  if (signs == signs_of_life_.end()) return false;
   const auto after = signs->second.lower_bound(evidence.crashed_at - kSignTolerance);
   return after != signs->second.end() && *after < evidence.crashed_at + policy_.min_restart_time;
 }
@@ -146,7 +146,7 @@
 }
 
 bool CrashSuspects::withdrawCrashes(const SignOfLife& sign) {
-  std::set<TimePoint>& signs = alive_[sign.backend];
+  std::set<TimePoint>& signs = signs_of_life_[sign.backend];
   // The time of a sign that is received again differs by the delay of a datagram.
   const auto near = signs.lower_bound(sign.at - kSignTolerance);
   if (near != signs.end() && *near <= sign.at + kSignTolerance) return false;
@@ -202,9 +202,9 @@
   for (const auto& [request, at] : cleared_) {
     if (update.cleared.size() < kMaxRecordsOfUpdate) update.cleared.push_back({request, at});
   }
-  for (const auto& [backend, signs] : alive_) {
+  for (const auto& [backend, signs] : signs_of_life_) {
     for (const TimePoint at : signs) {
-      if (update.alive.size() < kMaxRecordsOfUpdate) update.alive.push_back({backend, at});
+      if (update.signs_of_life.size() < kMaxRecordsOfUpdate) update.signs_of_life.push_back({backend, at});
     }
   }
   return update;
@@ -216,7 +216,7 @@
     return judge(evidence.request, now).suspicion != Suspicion::quarantined;
   });
   update.cleared.clear();
-  update.alive.clear();
+  update.signs_of_life.clear();
   return update;
 }
 
@@ -236,7 +236,7 @@
   });
   const auto is_old = [now](const auto& item) { return now - item.second > kRefutationLifetime; };
   absl::erase_if(cleared_, is_old);
-  absl::erase_if(alive_, [now](auto& item) {
+  absl::erase_if(signs_of_life_, [now](auto& item) {
     std::erase_if(item.second, [now](TimePoint at) { return now - at > kRefutationLifetime; });
     return item.second.empty();
   });
@@ -248,13 +248,13 @@
 void CrashSuspects::evictIfFull() {
   if (suspects_.size() < policy_.max_suspects) return;
   auto evicted = suspects_.begin();
-  for (auto place = suspects_.begin(); place != suspects_.end(); ++place) {
-    const std::vector<Crash>& crashes = place->second.crashes;
+  for (auto candidate = suspects_.begin(); candidate != suspects_.end(); ++candidate) {
+    const std::vector<Crash>& crashes = candidate->second.crashes;
     const std::vector<Crash>& evicted_crashes = evicted->second.crashes;
     const bool fewer = crashes.size() < evicted_crashes.size();
     const bool older = crashes.size() == evicted_crashes.size() &&
                        crashes.back().crashed_at < evicted_crashes.back().crashed_at;
-    if (fewer || older) evicted = place;
+    if (fewer || older) evicted = candidate;
   }
   for (std::size_t index = evicted->second.crashes.size(); index-- > 0;)
     removeCrashAt(evicted->second, index);
--- a/src/gateway/crash_suspects.h
+++ b/src/gateway/crash_suspects.h
@@ -56,9 +56,9 @@
 struct CrashUpdate {
   std::vector<CrashEvidence> crashes;
   std::vector<ClearedRequest> cleared;
-  std::vector<SignOfLife> alive;
+  std::vector<SignOfLife> signs_of_life;
 
-  bool empty() const { return crashes.empty() && cleared.empty() && alive.empty(); }
+  bool empty() const { return crashes.empty() && cleared.empty() && signs_of_life.empty(); }
 };
 
 /// How a request is treated.
@@ -110,7 +110,7 @@
   std::uint64_t digest() const { return digest_; }
   std::size_t size() const { return suspects_.size(); }
   /// @return whether there is neither evidence nor a refutation.
-  bool isEmpty() const { return suspects_.empty() && cleared_.empty() && alive_.empty(); }
+  bool isEmpty() const { return suspects_.empty() && cleared_.empty() && signs_of_life_.empty(); }
   /// Removes expired evidence and refutations. To be called periodically.
   void removeExpired(TimePoint now);
 
@@ -140,7 +140,7 @@
   absl::flat_hash_map<std::uint64_t, TimePoint> crashed_at_;  ///< Latest crash known, by back end.
   absl::flat_hash_map<RequestFingerprint, TimePoint> cleared_;
   /// Times of refuted crashes by back end, the latest kMaxSignsOfBackend of each.
-  absl::flat_hash_map<std::uint64_t, std::set<TimePoint>> alive_;
+  absl::flat_hash_map<std::uint64_t, std::set<TimePoint>> signs_of_life_;
   std::uint64_t digest_ = 0;
   CrashUpdate update_;
 };
--- a/src/gateway/dialect.h
+++ b/src/gateway/dialect.h
@@ -26,8 +26,8 @@
   std::string model;
   std::vector<PromptPart> prompt;
   std::uint32_t prompt_tokens = 0;
-  std::uint32_t maximum_answer_tokens = 0;
-  std::uint32_t estimated_answer_tokens = 0;  ///< The client's estimate; 0: none.
+  std::uint32_t max_completion_tokens = 0;
+  std::uint32_t estimated_completion_tokens = 0;  ///< The client's estimate; 0: none.
   std::optional<Duration> deadline;           ///< Remaining time that the client waits; empty: not stated.
   std::optional<std::uint64_t> resume_after;  ///< Last event of a stream that the client received.
 };
--- a/src/gateway/engine_choice.cc
+++ b/src/gateway/engine_choice.cc
@@ -35,7 +35,7 @@
 /// While no gateway reports its load, each gateway is assumed to have as much queued at an engine as this
 /// one, up to this many gateways, this one included.
 constexpr double kMaxUnreportedGateways = 3;
-/// Estimated wait for a place in an engine's full batch, seconds per request above the batch limit.
+/// Estimated wait for a slot in an engine's full batch, seconds per request above the batch limit.
 constexpr double kFullBatchDelay = 0.1;
 /// Cost of filling a cache block, seconds: the eviction that it causes slows down later requests.
 constexpr double kEvictionCost = 0.0003;
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -43,11 +43,11 @@
   serveQueue(now);
 }
 
-/// Schedules the silence check of requests at unresponsive back ends earlier, so that they are retried
+/// Moves the silence check of requests at unresponsive back ends to an earlier time, so that they are retried
 /// elsewhere soon.
 void Gateway::recheckUnresponsiveBackends(TimePoint now) {
-  const auto is_silent = [this](const Backend& backend) { return table_.isUnresponsive(backend); };
-  if (std::none_of(snapshot_->backends.begin(), snapshot_->backends.end(), is_silent)) return;
+  const auto is_unresponsive = [this](const Backend& backend) { return table_.isUnresponsive(backend); };
+  if (std::none_of(snapshot_->backends.begin(), snapshot_->backends.end(), is_unresponsive)) return;
   for (const auto& [exchange, client] : exchanges_) {
     Entry* entry = findClient(client);
     if (entry == nullptr || entry->active.exchange != exchange) continue;
@@ -274,7 +274,7 @@
   entries_.erase(id);
 }
 
-void Gateway::onClientGone(ClientId client, TimePoint now) {
+void Gateway::onClientDisconnected(ClientId client, TimePoint now) {
   Entry* entry = findClient(client);
   if (entry == nullptr) return;
   ++counters_.abandoned;
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -34,8 +34,8 @@
   std::uint64_t requests = 0;    ///< Received from clients.
   std::uint64_t dispatches = 0;  ///< Sent to back ends.
   std::uint64_t repeats = 0;     ///< Dispatches beyond the first of a request.
-  std::uint64_t refused = 0;     ///< Answered by the gateway as not run.
-  std::uint64_t failed = 0;      ///< Answered by the gateway as possibly run, or aborted.
+  std::uint64_t refused = 0;     ///< Refused by the gateway as not run.
+  std::uint64_t failed = 0;      ///< Failed as possibly run, or aborted.
   std::uint64_t abandoned = 0;   ///< Clients that disconnected before the end.
 };
 
@@ -66,14 +66,15 @@
   std::uint32_t peerCount() const { return snapshot_ == nullptr ? 0 : snapshot_->peer_count; }
 
   void onRequest(ClientId client, IncomingRequest request, TimePoint now);
-  /// The driver answered a request itself: it could not read it completely, or was at its connection limit.
+  /// The driver responded to a request itself: it could not read it completely, or was at its connection
+  /// limit.
   /// @param request_id empty if it was not read.
   /// @param status of the response that the driver sent to the client.
   void onUnreadableRequest(const std::string& request_id, int status, TimePoint now);
-  void onClientGone(ClientId client, TimePoint now);
+  void onClientDisconnected(ClientId client, TimePoint now);
 
   /// The head of a response was received. The driver buffers the body until ForwardHead.
-  void onHead(ExchangeId exchange, int status, const BackendResponse& answer, TimePoint now);
+  void onHead(ExchangeId exchange, int status, const BackendResponse& response, TimePoint now);
   /// Body bytes were received of a response for which streamsBody() is true.
   void onBytes(ExchangeId exchange, std::string_view bytes, TimePoint now);
   /// @return whether the driver passes body bytes to onBytes(); otherwise it buffers them.
@@ -86,8 +87,8 @@
   /// @param sent whether the back end may have received any byte of the request.
   void onLost(ExchangeId exchange, bool sent, TimePoint now);
 
-  /// @param answered whether the back end responded, with any status.
-  void onProbeResult(std::uint64_t probe, bool answered, TimePoint now);
+  /// @param responded whether the back end responded, with any status.
+  void onProbeResult(std::uint64_t probe, bool responded, TimePoint now);
 
   /// Open connections to several peers have gone silent permanently, while new ones may work. Repeatable
   /// requests in progress are retried on another back end if nothing is received for them for some time after
@@ -134,7 +135,7 @@
     std::vector<EngineSlot> failed;         ///< Back ends that failed the request.
     bool isolated = false;                  ///< Back ends may have crashed because of it.
     TimePoint quarantined_until{};          ///< Set when a quarantine prevents its dispatch.
-    std::uint32_t backends_reached = 0;     ///< Limited by the route's maximum_attempts.
+    std::uint32_t backends_reached = 0;     ///< Limited by the route's max_attempts.
     std::uint32_t dispatches = 0;
     bool waiting = false;  ///< Queued for a back end with capacity.
     bool may_have_run = false;
@@ -187,15 +188,15 @@
   void reportEnded(const Entry& entry, RequestOutcome outcome, int status, Duration retry_after,
                    TimePoint now);
 
-  // Responses and failures (gateway_answers.cc).
+  // Responses and failures (gateway_responses.cc).
   Entry* findExchange(ExchangeId exchange);
   const Entry* findExchange(ExchangeId exchange) const;
-  void onNotRun(Entry& entry, int status, const BackendResponse& answer, TimePoint now);
-  void onWrongBackend(Entry& entry, int status, const BackendResponse& answer, TimePoint now);
+  void onNotRun(Entry& entry, int status, const BackendResponse& response, TimePoint now);
+  void onWrongBackend(Entry& entry, int status, const BackendResponse& response, TimePoint now);
   void onErrorResponse(Entry& entry, int status, TimePoint now);
   void onInvalidResponse(Entry& entry, int status, TimePoint now);
   void endExchange(Entry& entry, DispatchOutcome outcome, TimePoint now);
-  void cancelExchange(Entry& entry, DispatchOutcome outcome, TimePoint now, bool unanswered = false);
+  void cancelExchange(Entry& entry, DispatchOutcome outcome, TimePoint now, bool timed_out = false);
   void discardResponse(Entry& entry, DispatchOutcome outcome, TimePoint now);
   bool mayRepeat(const Entry& entry) const;
   bool consumeRetryBudget(Entry& entry, TimePoint now);
--- a/src/gateway/gateway_actions.h
+++ b/src/gateway/gateway_actions.h
@@ -36,7 +36,7 @@
 /// Closes the connection of an exchange; the driver reports no further events of it.
 struct CancelExchange {
   ExchangeId exchange = 0;
-  bool unanswered = false;  ///< No response within the time limit: the connection may have gone silent.
+  bool timed_out = false;  ///< No response within the time limit: the connection may have gone silent.
 };
 
 /// Ignores the rest of the response. It is short, so that the connection may be reused instead of closed.
--- a/src/gateway/gateway_answers.cc
+++ b/src/gateway/gateway_responses.cc
@@ -49,7 +49,7 @@
 
 // Responses.
 
-void Gateway::onHead(ExchangeId exchange, int status, const BackendResponse& answer, TimePoint now) {
+void Gateway::onHead(ExchangeId exchange, int status, const BackendResponse& response, TimePoint now) {
   Entry* entry = findExchange(exchange);
   if (entry == nullptr) return;
   ActiveExchange& active = entry->active;
@@ -58,14 +58,14 @@
   table_.onBytesReceived(active.slot, now);
   // A refusal as misdirected may come from a later incarnation of the back end. It does not show that the
   // incarnation to which the request was sent is live.
-  const bool is_other_incarnation = answer.wrong_backend && !answer.weights_version;
+  const bool is_other_incarnation = response.wrong_backend && !response.weights_version;
   if (!is_other_incarnation) recordSignOfLife(*entry, now);
-  if (answer.not_run || answer.wrong_backend) return onNotRun(*entry, status, answer, now);
-  if (answer.weights_version) {
-    choice_.onWeights(active.slot, active.incarnation, entry->client.model, *answer.weights_version);
+  if (response.not_run || response.wrong_backend) return onNotRun(*entry, status, response, now);
+  if (response.weights_version) {
+    choice_.onWeights(active.slot, active.incarnation, entry->client.model, *response.weights_version);
   }
   entry->may_have_run = true;
-  if (!answer.genuine) return onInvalidResponse(*entry, status, now);
+  if (!response.genuine) return onInvalidResponse(*entry, status, now);
   if (!isSuccess(status)) return onErrorResponse(*entry, status, now);
   if (!entry->route->streaming) return recordFirstByte(*entry, now);
   active.streams_body = true;
@@ -106,7 +106,7 @@
   const int status = entry->active.status;
   const RequestOutcome outcome = isSuccess(status) ? RequestOutcome::answered : RequestOutcome::error_passed;
   reportEnded(*entry, outcome, status, Duration(0), now);
-  endExchange(*entry, error ? DispatchOutcome::ErrorResponse : DispatchOutcome::Answered, now);
+  endExchange(*entry, error ? DispatchOutcome::ErrorResponse : DispatchOutcome::Completed, now);
   if (started) {
     actions_.emplace_back(EndResponse{entry->id});
   } else {
@@ -128,9 +128,9 @@
 
 // Failures.
 
-void Gateway::onNotRun(Entry& entry, int status, const BackendResponse& answer, TimePoint now) {
+void Gateway::onNotRun(Entry& entry, int status, const BackendResponse& response, TimePoint now) {
   entry.may_have_arrived = true;
-  if (answer.wrong_backend) return onWrongBackend(entry, status, answer, now);
+  if (response.wrong_backend) return onWrongBackend(entry, status, response, now);
   const ActiveExchange active = entry.active;
   entry.cause = RequestCause::back_end_full;
   entry.failed.push_back(active.slot);
@@ -141,15 +141,15 @@
 /// The back end has another incarnation or other weights than the snapshot states, and refused the request.
 /// The dispatch does not count towards the route's maximum of back ends, so that an attempt with the actual
 /// state remains possible.
-void Gateway::onWrongBackend(Entry& entry, int status, const BackendResponse& answer, TimePoint now) {
+void Gateway::onWrongBackend(Entry& entry, int status, const BackendResponse& response, TimePoint now) {
   const ActiveExchange active = entry.active;
   const Backend* backend = snapshot_->backend(active.slot);
-  const bool other_weights = answer.weights_version.has_value();
+  const bool other_weights = response.weights_version.has_value();
   entry.cause = other_weights ? RequestCause::other_weights : RequestCause::back_end_replaced;
-  actions_.emplace_back(ReportWrongBackend{active.slot, active.incarnation, answer.weights_version});
+  actions_.emplace_back(ReportWrongBackend{active.slot, active.incarnation, response.weights_version});
   if (entry.backends_reached > 0) --entry.backends_reached;
   if (other_weights) {
-    choice_.onWeights(active.slot, active.incarnation, entry.client.model, *answer.weights_version);
+    choice_.onWeights(active.slot, active.incarnation, entry.client.model, *response.weights_version);
   }
   const bool still_listed = backend != nullptr && backend->view.incarnation == active.incarnation;
   if (!other_weights && still_listed) entry.failed.push_back(active.slot);
@@ -216,7 +216,7 @@
 }
 
 /// @return whether the request was sent before the last onConnectionsSilent() and nothing was received for it
-/// since. What the back end backends_reached on other connections says nothing of this one.
+/// since. Bytes from the back end on other connections say nothing about this one.
 bool Gateway::mayBeOnSilentConnection(const ActiveExchange& active) const {
   return active.sent_at < connections_silent_at_ && active.last_received_at <= connections_silent_at_;
 }
@@ -224,7 +224,7 @@
 /// @return when the back end counts as unresponsive to the request, if nothing more is received. If the
 /// connection may have gone silent, the limit is a fifth of the usual one, counted from the time at which the
 /// first byte was expected if none was received: some connections may still work, with back ends that are
-/// reading a prompt.
+/// prefilling a prompt.
 TimePoint Gateway::silenceDeadline(const ActiveExchange& active, TimePoint now) const {
   const TimePoint last_received = std::max(active.last_received_at, active.sent_at);
   if (!mayBeOnSilentConnection(active))
@@ -256,7 +256,7 @@
   if (!has_alternative || !mayRepeat(entry) || !consumeRetryBudget(entry, now))
     return scheduleTimer(entry, entry.deadline);
   entry.cause = RequestCause::silence;
-  // A silent connection says nothing of the back end, which may have the prompt in its cache: it stays
+  // A silent connection says nothing about the back end, which may have the prompt in its cache: it stays
   // eligible.
   const bool silent_connection = mayBeOnSilentConnection(active);
   if (!silent_connection) entry.failed.push_back(active.slot);
@@ -277,9 +277,9 @@
   observer_.onDistrusted({entry.last_backend, entry.cause, table_.ejectedFor(active.slot, now)});
 }
 
-void Gateway::cancelExchange(Entry& entry, DispatchOutcome outcome, TimePoint now, bool unanswered) {
+void Gateway::cancelExchange(Entry& entry, DispatchOutcome outcome, TimePoint now, bool timed_out) {
   if (entry.active.exchange == 0) return;
-  actions_.emplace_back(CancelExchange{entry.active.exchange, unanswered});
+  actions_.emplace_back(CancelExchange{entry.active.exchange, timed_out});
   endExchange(entry, outcome, now);
 }
 
@@ -291,7 +291,7 @@
 bool Gateway::mayRepeat(const Entry& entry) const {
   if (entry.may_have_run && entry.route->repeatability == Repeatability::AtMostOnce) return false;
   if (entry.head_forwarded && !entry.cursor) return false;
-  return entry.backends_reached < entry.route->maximum_attempts && entry.dispatches < kMaxDispatches;
+  return entry.backends_reached < entry.route->max_attempts && entry.dispatches < kMaxDispatches;
 }
 
 /// Takes a repeat from the retry budget, unless no back end can have received the request.
--- a/src/gateway/gateway_snapshot.cc
+++ b/src/gateway/gateway_snapshot.cc
@@ -31,7 +31,7 @@
 const Backend* GatewaySnapshot::backend(EngineSlot slot) const {
   const auto found =
       std::lower_bound(backends.begin(), backends.end(), slot,
-                       [](const Backend& one, EngineSlot wanted) { return one.view.slot < wanted; });
+                       [](const Backend& backend, EngineSlot wanted) { return backend.view.slot < wanted; });
   return found != backends.end() && found->view.slot == slot ? &*found : nullptr;
 }
 
--- a/src/gateway/gateway_snapshot.h
+++ b/src/gateway/gateway_snapshot.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file The state on which a gateway decides: the accepted configuration and the live back ends. A gateway
 /// receives requests directly from clients and forwards the responses without parsing their bodies. Each
-/// snapshot is published as a whole and is immutable.
+/// snapshot is published atomically and is immutable.
 
 #include <algorithm>
 #include <atomic>
@@ -36,14 +36,14 @@
   std::string host;
   std::string path_prefix;  ///< Begins and ends with '/'.
   Repeatability repeatability = Repeatability::AtMostOnce;
-  bool streaming = false;              ///< The response is a stream of events.
-  bool needs_tenant = true;            ///< False: served without an API key.
-  bool uses_prefixes = false;          ///< Requests name prompt parts and are placed by cached prefixes.
-  Duration timeout{0};                 ///< Maximum duration of a client attempt.
-  Duration first_byte_target{0};       ///< A response (a stream's first event) within this time is in time.
-  Duration event_gap_target{0};        ///< Maximum gap between events of a stream.
-  std::uint32_t priority = 0;          ///< 0 is the most urgent.
-  std::uint32_t maximum_attempts = 1;  ///< Maximum number of dispatches of one client attempt.
+  bool streaming = false;          ///< The response is a stream of events.
+  bool needs_tenant = true;        ///< False: served without an API key.
+  bool uses_prefixes = false;      ///< Requests name prompt parts and are placed by cached prefixes.
+  Duration timeout{0};             ///< Maximum duration of a client attempt.
+  Duration first_byte_target{0};   ///< A response (a stream's first event) within this time is in time.
+  Duration event_gap_target{0};    ///< Maximum gap between events of a stream.
+  std::uint32_t priority = 0;      ///< 0 is the most urgent.
+  std::uint32_t max_attempts = 1;  ///< Maximum number of dispatches of one client attempt.
   std::vector<PoolShare> pools;
 };
 
@@ -51,12 +51,12 @@
 struct Pool {
   std::string name;
   std::string health_path;
-  std::uint32_t maximum_connections = 0;  ///< Of each back end, from all callers together.
-  std::uint32_t batch_limit = 0;          ///< Requests that run at once; 0: as reported by the back end.
-  std::uint64_t cache_tokens = 0;         ///< Tokens a back end's prefix cache holds; 0: no model engine.
-  std::uint64_t token_bytes = 0;          ///< Bytes of KV cache per token in a transfer.
-  double link_bits_per_second = 0;        ///< Rate of KV cache transfers.
-  std::uint32_t maximum_event_calls = 1;  ///< Concurrent cache event calls that a back end accepts.
+  std::uint32_t max_connections = 0;  ///< Of each back end, from all callers together.
+  std::uint32_t batch_limit = 0;      ///< Requests that run at once; 0: as reported by the back end.
+  std::uint64_t cache_tokens = 0;     ///< Tokens a back end's prefix cache holds; 0: no model engine.
+  std::uint64_t token_bytes = 0;      ///< Bytes of KV cache per token in a transfer.
+  double link_bits_per_second = 0;    ///< Rate of KV cache transfers.
+  std::uint32_t max_event_calls = 1;  ///< Concurrent cache event calls that a back end accepts.
   std::vector<std::string> models;
   std::string kv_store_address;  ///< "IP:port" if the pool is a KV cache store, otherwise empty.
   std::string kv_store_zone;
@@ -84,8 +84,8 @@
   EngineView view;          ///< Slot, id (`name`), address, zone, pool, state, models, load.
   std::uint32_t slots = 0;  ///< Requests it works on at once.
   TimePoint cold_until{};   ///< Slow after its start until then.
-  /// Since when the calls that follow its cache get no response; TimePoint{}: they do, or there are none.
-  TimePoint silent_since{};
+  /// When the calls that follow its cache began to get no response; TimePoint{}: it responds, or has none.
+  TimePoint unresponsive_since{};
   bool is_kv_store = false;  ///< Stores KV cache and runs no requests.
   /// Rate at which it sends KV cache; 0: limited only by the receiving engine.
   double link_bits_per_second = 0;
--- a/src/gateway/gateway_suspects.cc
+++ b/src/gateway/gateway_suspects.cc
@@ -100,12 +100,12 @@
   });
 }
 
-void Gateway::onProbeResult(std::uint64_t probe, bool answered, TimePoint now) {
+void Gateway::onProbeResult(std::uint64_t probe, bool responded, TimePoint now) {
   const auto found = probes_.find(probe);
   if (found == probes_.end()) return;
   const Probe sent_probe = std::move(found->second);
   probes_.erase(found);
-  if (answered && suspects_.onSignOfLife(sent_probe.incarnation, sent_probe.sent_at, now)) {
+  if (responded && suspects_.onSignOfLife(sent_probe.incarnation, sent_probe.sent_at, now)) {
     observer_.onSuspicionWithdrawn(
         {sent_probe.request_id, sent_probe.requests.front(), sent_probe.backend, true});
   }
--- a/src/gateway/import_source.h
+++ b/src/gateway/import_source.h
@@ -20,7 +20,7 @@
 /// @return an import from the responsive engine or store that holds the longest prefix, among equals the one
 /// with the fastest transfer, if that prefix is longer than the one that the engine holds itself.
 /// @param pool of the engine.
-/// @param prompt_tokens of the whole prompt.
+/// @param prompt_tokens of the complete prompt.
 Import findImport(const EngineView& engine, const Pool& pool, std::uint32_t prompt_tokens,
                   const ScopedPrompt& prompt, const GatewaySnapshot& snapshot, const BackendTable& table,
                   TimePoint now);
--- a/src/gateway/part_index.cc
+++ b/src/gateway/part_index.cc
@@ -50,18 +50,18 @@
 
 /// Removes the engine from the holders of a part. The caller updates the engine's set of keys.
 void PartIndex::erase(EngineSlot engine, std::uint64_t key) {
-  const auto place = holders_.find(key);
-  Holders& holders = place->second;
+  const auto found = holders_.find(key);
+  Holders& holders = found->second;
   const auto holder = std::find_if(holders.begin(), holders.end(),
                                    [engine](const Holder& entry) { return entry.engine == engine; });
   *holder = holders.back();
   holders.pop_back();
-  if (holders.empty()) holders_.erase(place);
+  if (holders.empty()) holders_.erase(found);
   --entries_;
 }
 
 void PartIndex::evictIfFull() {
-  if (entries_ < maximum_entries_) return;
+  if (entries_ < max_entries_) return;
   while (engines_[next_evicted_ % engines_.size()].keys.empty()) ++next_evicted_;
   const std::size_t engine = next_evicted_++ % engines_.size();
   absl::flat_hash_set<std::uint64_t>& keys = engines_[engine].keys;
@@ -101,9 +101,9 @@
   std::uint32_t before = 0;
   for (std::uint32_t position = 0; position < prompt.size(); ++position) {
     const KeyedPart& part = prompt[position];
-    const auto place = holders_.find(part.key);
-    if (place == holders_.end()) break;
-    for (const Holder& holder : place->second) {
+    const auto found = holders_.find(part.key);
+    if (found == holders_.end()) break;
+    for (const Holder& holder : found->second) {
       if (complete_parts_[holder.engine] != position) continue;
       if (position == 0) {
         match_of_[holder.engine] = static_cast<std::uint32_t>(matches.size());
--- a/src/gateway/part_index.h
+++ b/src/gateway/part_index.h
@@ -46,9 +46,9 @@
 /// The index. Entries belong to an incarnation of an engine and are removed when it changes. Not thread-safe.
 class PartIndex {
 public:
-  /// @param maximum_entries limit of entries; an entry is one part at one engine. At the limit, arbitrary
+  /// @param max_entries limit of entries; an entry is one part at one engine. At the limit, arbitrary
   /// entries are evicted from the engines in turn.
-  explicit PartIndex(std::size_t maximum_entries) : maximum_entries_(maximum_entries) {}
+  explicit PartIndex(std::size_t max_entries) : max_entries_(max_entries) {}
 
   /// Sets the engine's current incarnation; a change removes all entries of the slot.
   void setIncarnation(EngineSlot engine, std::uint64_t incarnation);
@@ -78,7 +78,7 @@
   void erase(EngineSlot engine, std::uint64_t key);
   void evictIfFull();
 
-  std::size_t maximum_entries_;
+  std::size_t max_entries_;
   std::size_t entries_ = 0;
   std::size_t next_evicted_ = 0;                         ///< Engine slot of the next eviction.
   absl::flat_hash_map<std::uint64_t, Holders> holders_;  ///< By part key.
--- a/src/gateway/peer_load_table.cc
+++ b/src/gateway/peer_load_table.cc
@@ -14,9 +14,9 @@
 void PeerLoadTable::onDigest(const std::string& peer, const LoadDigest& digest, TimePoint now) {
   Peer& known = peers_[peer];
   for (const std::uint64_t engine : known.engines) {
-    const auto place = engines_.find(engine);
-    place->second.erase(peer);
-    if (place->second.empty()) engines_.erase(place);
+    const auto found = engines_.find(engine);
+    found->second.erase(peer);
+    if (found->second.empty()) engines_.erase(found);
   }
   known.engines.clear();
   known.received_at = now;
@@ -41,9 +41,9 @@
 
 PendingLoad PeerLoadTable::at(std::uint64_t incarnation, TimePoint now) const {
   PendingLoad pending;
-  const auto place = engines_.find(incarnation);
-  if (place == engines_.end()) return pending;
-  for (const auto& [peer, load] : place->second) {
+  const auto found = engines_.find(incarnation);
+  if (found == engines_.end()) return pending;
+  for (const auto& [peer, load] : found->second) {
     if (now - load.received_at > kDigestLifetime) continue;
     pending.waiting_tokens += load.waiting_tokens;
     pending.in_flight += load.in_flight;
--- a/src/gateway/request_observer.h
+++ b/src/gateway/request_observer.h
@@ -50,9 +50,9 @@
 enum class RequestOutcome {
   answered,      ///< A complete, successful response of a back end was forwarded.
   error_passed,  ///< A complete response with another status was forwarded.
-  refused,       ///< Answered by the gateway as not run; the client may retry.
-  rejected,      ///< Answered as an error of the client: 4xx.
-  failed,        ///< Answered by the gateway as possibly run: 502 or 504.
+  refused,       ///< The gateway responded that it was not run; the client may retry.
+  rejected,      ///< The gateway responded with a client error: 4xx.
+  failed,        ///< The gateway responded that it may have run: 502 or 504.
   cut,           ///< A response that was started was aborted.
   abandoned,     ///< The client disconnected.
 };
@@ -156,7 +156,7 @@
   RequestFingerprint fingerprint;
   std::string_view backend;
   Duration after{0};          ///< Since it was sent there.
-  std::uint32_t crashes = 0;  ///< Back ends that crashed under it in succession, as known to this gateway.
+  std::uint32_t crashes = 0;  ///< Back ends that crashed in succession while running it, as known here.
   Suspicion suspicion = Suspicion::none;
   Duration quarantine{0};  ///< Time for which it is not run; 0: it may run.
 };
--- a/src/gateway/retry_budget.cc
+++ b/src/gateway/retry_budget.cc
@@ -26,9 +26,9 @@
   const auto window = static_cast<std::int64_t>(kSlices);
   double requests = 0;
   double retries = 0;
-  for (const Slice& one : slices_) {
-    if (one.number > current - window) requests += one.requests;
-    if (one.number >= current - window) retries += one.retries;
+  for (const Slice& counted : slices_) {
+    if (counted.number > current - window) requests += counted.requests;
+    if (counted.number >= current - window) retries += counted.retries;
   }
   return settings_.ratio * requests + settings_.slack / std::max(share_divisor, 1U) - retries;
 }
--- a/src/gateway/route_shares.cc
+++ b/src/gateway/route_shares.cc
@@ -7,8 +7,8 @@
 
 bool sameShares(const std::vector<PoolShare>& left, const std::vector<PoolShare>& right) {
   return std::equal(left.begin(), left.end(), right.begin(), right.end(),
-                    [](const PoolShare& one, const PoolShare& other) {
-                      return one.pool == other.pool && one.weight == other.weight;
+                    [](const PoolShare& first, const PoolShare& second) {
+                      return first.pool == second.pool && first.weight == second.weight;
                     });
 }
 
--- a/src/gateway/scoped_prompt.cc
+++ b/src/gateway/scoped_prompt.cc
@@ -12,8 +12,8 @@
 }  // namespace
 
 std::uint32_t ScopedPrompt::heldBy(EngineSlot engine) const {
-  const auto place = std::lower_bound(by_engine.begin(), by_engine.end(), HeldPrefix{engine, 0}, bySlot);
-  return place == by_engine.end() || place->engine != engine ? 0 : place->tokens;
+  const auto found = std::lower_bound(by_engine.begin(), by_engine.end(), HeldPrefix{engine, 0}, bySlot);
+  return found == by_engine.end() || found->engine != engine ? 0 : found->tokens;
 }
 
 std::uint32_t ScopedPrompt::recomputedTokens(std::uint32_t cached) const {
--- a/src/gateway_control/cache_exchange.cc
+++ b/src/gateway_control/cache_exchange.cc
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-// Caches that this gateway in_sequence.
+// Caches that this gateway follows.
 
 void CacheExchange::onOwnUpdate(const std::string& backend, const std::vector<CachedPart>& parts,
                                 bool complete) {
@@ -61,7 +61,7 @@
   }
 }
 
-void CacheExchange::forgetOwn(const std::string& backend) {
+void CacheExchange::removeOwn(const std::string& backend) {
   own_.erase(backend);
 }
 
--- a/src/gateway_control/cache_exchange.h
+++ b/src/gateway_control/cache_exchange.h
@@ -39,7 +39,7 @@
   /// An update of a cache that this gateway follows.
   void onOwnUpdate(const std::string& backend, const std::vector<CachedPart>& parts, bool complete);
   /// This gateway has stopped following the cache.
-  void forgetOwn(const std::string& backend);
+  void removeOwn(const std::string& backend);
   /// @return whether takeNotes() would return anything.
   bool hasNotes() const;
   /// Takes the pending notes.
@@ -50,7 +50,7 @@
   std::vector<CacheNotes> onWanted(const CacheWanted& wanted) const;
 
   ReceivedCacheNotes onNotes(const std::string& sender, const CacheNotes& notes, TimePoint now);
-  /// Forgets all back ends except those in `present`.
+  /// Removes the state of all back ends except those in `present`.
   void retain(const std::set<std::string>& present);
 
 private:
--- a/src/gateway_control/cache_watch.cc
+++ b/src/gateway_control/cache_watch.cc
@@ -17,7 +17,7 @@
 constexpr Duration kEventsWait = std::chrono::milliseconds(400);
 /// A cache that failed to respond twice is called again soon, since its engine gets no requests meanwhile.
 constexpr Duration kUnresponsiveDelay = std::chrono::milliseconds(300);
-/// Concurrent first calls. Their responses contain whole caches, about 200 KB each, and a gateway of a large
+/// Concurrent first calls. Their responses list complete caches, about 200 KB each, and a gateway of a large
 /// fleet that knows few other gateways so far would otherwise read all caches at its start.
 constexpr std::size_t kMaxFirstCalls = 4;
 /// A first call that gets no events, or uses a slow link, delays the next one by at most this time.
@@ -101,7 +101,7 @@
     return;
   }
   // After a call without response the next one does not wait for events. If the engine is live behind a
-  // unresponsive connection, requests then avoid it for some milliseconds only, and not for
+  // silent connection, requests then avoid it for some milliseconds only, and not for
   // kUnresponsiveDelay and another wait (0.7 s).
   const Duration wait = followed->unresponsive ? Duration(0) : kEventsWait;
   platform_.readCacheEvents(followed->address, followed->position, wait,
@@ -136,7 +136,7 @@
     return sendRequest(followed);
   }
   std::vector<CachedPart> parts = newestOfEach(std::move(page.parts));
-  // The whole history has thousands of events, most of them for parts that have been removed since.
+  // The complete history has thousands of events, most of them for parts that have been removed since.
   if (first) std::erase_if(parts, [](const CachedPart& part) { return part.tokens == 0; });
   if (!parts.empty()) notify(*followed, std::move(parts), first);
   scheduleRequest(followed, kPollDelay);
--- a/src/gateway_control/crash_coordinator.cc
+++ b/src/gateway_control/crash_coordinator.cc
@@ -22,7 +22,7 @@
 /// Sends the update to all gateways at once: clients may use any of them, including a standby gateway.
 void CrashCoordinator::onOwnUpdate(const CrashUpdate& update, const std::vector<std::string>& members,
                                    TimePoint now) {
-  const bool withdraws = !update.cleared.empty() || !update.alive.empty();
+  const bool withdraws = !update.cleared.empty() || !update.signs_of_life.empty();
   const std::size_t recorded = withdraws ? exchange_.quarantined(now).crashes.size() : 0;
   exchange_.onOwnUpdate(update, now);
   const CrashNotes notes = toNotes(update, now);
--- a/src/gateway_control/crash_coordinator.h
+++ b/src/gateway_control/crash_coordinator.h
@@ -44,7 +44,7 @@
   /// they were sent. The exchange of digests brings their evidence again.
   void onNotes(const CrashNotes& notes, TimePoint now);
   void onDigest(const std::string& sender, const CrashDigest& digest, TimePoint now);
-  /// A gateway became known, or came back.
+  /// A gateway joined or returned.
   void onMemberJoined(TimePoint now) { exchange_.onMemberJoined(now); }
   /// @param record empty: the store did not respond.
   void onRecordRead(const std::optional<StoredRecord>& record, TimePoint now);
--- a/src/gateway_control/crash_exchange.cc
+++ b/src/gateway_control/crash_exchange.cc
@@ -32,7 +32,7 @@
   for (const ClearedRequest& cleared : update.cleared) {
     notes.cleared.push_back({cleared.request.high, cleared.request.low, age(cleared.at, now)});
   }
-  for (const SignOfLife& sign : update.alive) {
+  for (const SignOfLife& sign : update.signs_of_life) {
     notes.living.push_back({sign.backend, age(sign.at, now)});
   }
   return notes;
@@ -51,7 +51,7 @@
         {{cleared.request_high, cleared.request_low}, instant(cleared.age_milliseconds, now)});
   }
   for (const LivingBackendRecord& living : notes.living) {
-    update.alive.push_back({living.backend, instant(living.age_milliseconds, now)});
+    update.signs_of_life.push_back({living.backend, instant(living.age_milliseconds, now)});
   }
   return update;
 }
--- a/src/gateway_control/crash_exchange.h
+++ b/src/gateway_control/crash_exchange.h
@@ -33,7 +33,7 @@
   /// Another gateway, or the store's record, has provided evidence.
   /// @return whether anything was new.
   bool onUpdate(const CrashUpdate& update, TimePoint now) { return suspects_.merge(update, now); }
-  /// A gateway became known, or came back: either side may lack evidence.
+  /// A gateway joined or returned: either side may lack evidence.
   void onMemberJoined(TimePoint now) { joined_at_ = now; }
   /// @param digest of another gateway.
   /// @return whether to send allEvidence() to that gateway.
--- a/src/gateway_control/crash_record.cc
+++ b/src/gateway_control/crash_record.cc
@@ -14,7 +14,7 @@
 /// after that.
 constexpr Duration kMaxResponseTime = std::chrono::milliseconds(300);
 /// Callers wait for the record at most this long after the start: a reachable store responds in milliseconds,
-/// and a gateway without a configuration serves nobody anyway.
+/// and a gateway without a configuration serves no requests anyway.
 constexpr Duration kMaxLoadTime = std::chrono::seconds(1);
 
 /// @return the content of the record; empty if it is not in this program's format.
--- a/src/gateway_control/crash_record.h
+++ b/src/gateway_control/crash_record.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file The record of quarantined requests in the platform's store. Gateways exchange all evidence, but lose
-/// it when all of them end at once. What has to outlast that is kept in this record: one row, written when a
-/// request is quarantined and read by each gateway when it starts. Pure decision code.
+/// it when all of them stop at once. What has to survive that is stored in this record: one row, written when
+/// a request is quarantined and read by each gateway when it starts. Pure decision code.
 
 #include <cstdint>
 #include <optional>
--- a/src/gateway_control/fleet_view.cc
+++ b/src/gateway_control/fleet_view.cc
@@ -22,7 +22,7 @@
 /// A report that a back end is unresponsive expires after this time; the follower of its cache polls about
 /// every 0.9 s.
 constexpr Duration kUnresponsiveLifetime = std::chrono::milliseconds(2'000);
-/// For this time after a version was learned, an older one in a list is ignored, because lists lag behind.
+/// For this time after a version was observed, an older one in a list is ignored, because lists lag behind.
 constexpr Duration kListLag = std::chrono::seconds(3);
 
 /// Replaces a listed version by the previously known one if that is newer.
@@ -59,8 +59,8 @@
 }
 
 void FleetView::onListed(const ListedBackend& listed, TimePoint now) {
-  const auto [place, added] = entries_.try_emplace(listed.id);
-  Entry& entry = place->second;
+  const auto [position, added] = entries_.try_emplace(listed.id);
+  Entry& entry = position->second;
   EngineView& view = entry.backend.view;
   if (added) {
     view.slot = slots_.take(now);
@@ -79,7 +79,7 @@
   entry.listed = true;
   entry.draining = listed.draining;
   const std::vector<LoadedModel> previous_models = std::exchange(view.models, listed.models);
-  const bool list_lags = now - entry.weights_learned_at < kListLag && !added;
+  const bool list_lags = now - entry.weights_observed_at < kListLag && !added;
   if (list_lags) {
     for (LoadedModel& loaded : view.models) keepNewerVersion(loaded, previous_models);
   }
@@ -110,9 +110,9 @@
 }
 
 void FleetView::onRemoved(const std::string& id, TimePoint now) {
-  const auto place = entries_.find(id);
-  if (place == entries_.end() || !place->second.listed) return;
-  Entry& entry = place->second;
+  const auto found = entries_.find(id);
+  if (found == entries_.end() || !found->second.listed) return;
+  Entry& entry = found->second;
   entry.listed = false;
   entry.unlisted_at = now;
   const bool may_be_healthy =
@@ -147,26 +147,26 @@
 }
 
 void FleetView::onUnresponsive(const std::string& id, TimePoint since, TimePoint now) {
-  const auto place = entries_.find(id);
-  if (place == entries_.end()) return;
-  Entry& entry = place->second;
+  const auto found = entries_.find(id);
+  if (found == entries_.end()) return;
+  Entry& entry = found->second;
   if (now >= entry.unresponsive_until) entry.unresponsive_since = since;
   entry.unresponsive_until = now + kUnresponsiveLifetime;
 }
 
 bool FleetView::onResponsive(const std::string& id, TimePoint now) {
-  const auto place = entries_.find(id);
-  if (place == entries_.end() || now >= place->second.unresponsive_until) return false;
-  place->second.unresponsive_until = now;
+  const auto found = entries_.find(id);
+  if (found == entries_.end() || now >= found->second.unresponsive_until) return false;
+  found->second.unresponsive_until = now;
   return true;
 }
 
 void FleetView::onWeights(const std::string& id, const std::string& model, const std::string& version,
                           TimePoint now, StateSource source) {
-  const auto place = entries_.find(id);
-  if (place == entries_.end()) return;
-  raiseWeights(place->second, model, version, source);
-  place->second.weights_learned_at = now;
+  const auto found = entries_.find(id);
+  if (found == entries_.end()) return;
+  raiseWeights(found->second, model, version, source);
+  found->second.weights_observed_at = now;
 }
 
 void FleetView::onWeightsOfSlot(EngineSlot slot, std::uint64_t incarnation, const std::string& version,
@@ -178,14 +178,14 @@
 }
 
 void FleetView::onLoading(const std::string& id, TimePoint until) {
-  const auto place = entries_.find(id);
-  if (place != entries_.end()) place->second.loading_until = until;
+  const auto found = entries_.find(id);
+  if (found != entries_.end()) found->second.loading_until = until;
 }
 
 void FleetView::onLoadReport(const std::string& id, const LoadReport& load, TimePoint now) {
-  const auto place = entries_.find(id);
-  if (place == entries_.end()) return;
-  LoadReport& current = place->second.backend.view.load;
+  const auto found = entries_.find(id);
+  if (found == entries_.end()) return;
+  LoadReport& current = found->second.backend.view.load;
   const std::uint32_t limit = current.batch_limit;
   current = load;
   current.batch_limit = limit;
@@ -201,8 +201,8 @@
 }
 
 bool FleetView::superseded(const Entry& entry) const {
-  const auto place = newest_at_address_.find(entry.backend.view.address);
-  return place != newest_at_address_.end() && place->second != entry.backend.view.name;
+  const auto found = newest_at_address_.find(entry.backend.view.address);
+  return found != newest_at_address_.end() && found->second != entry.backend.view.name;
 }
 
 FleetView::EvaluatedState FleetView::evaluate(const Entry& entry, TimePoint now) const {
@@ -237,7 +237,8 @@
       entry.last_state = state;
     }
     entry.backend.view.state = state;
-    entry.backend.silent_since = now < entry.unresponsive_until ? entry.unresponsive_since : TimePoint{};
+    entry.backend.unresponsive_since =
+        now < entry.unresponsive_until ? entry.unresponsive_since : TimePoint{};
     backends.push_back(entry.backend);
   }
   std::sort(backends.begin(), backends.end(),
--- a/src/gateway_control/fleet_view.h
+++ b/src/gateway_control/fleet_view.h
@@ -95,7 +95,7 @@
     TimePoint loading_until{};
     TimePoint unresponsive_since{};
     TimePoint unresponsive_until{};  ///< When the last report that it is unresponsive expires.
-    TimePoint weights_learned_at{};
+    TimePoint weights_observed_at{};
     EngineState last_state = EngineState::Dead;
   };
 
--- a/src/gateway_control/gateway_control.cc
+++ b/src/gateway_control/gateway_control.cc
@@ -113,7 +113,7 @@
   platform_.start(platformCallbacks());
   refreshServing();
   crashes_.onTimer({}, now());
-  pumpCrashes();
+  executeCrashActions();
   watchForSuspension();
   return {};
 }
@@ -166,8 +166,10 @@
 CacheWatchCallbacks GatewayControl::cacheCallbacks() {
   CacheWatchCallbacks callbacks;
   callbacks.on_update = [this](CachedPartsUpdate update) { onOwnCacheUpdate(std::move(update)); };
-  callbacks.on_unresponsive = [this](const UnresponsiveCache& silence) { onCacheUnresponsive(silence); };
-  callbacks.on_responsive = [this](EngineSlot slot, std::uint64_t cache) { onCacheResponsive(slot, cache); };
+  callbacks.on_unresponsive = [this](const UnresponsiveCache& cache) { onCacheUnresponsive(cache); };
+  callbacks.on_responsive = [this](EngineSlot slot, std::uint64_t incarnation) {
+    onCacheResponsive(slot, incarnation);
+  };
   return callbacks;
 }
 
--- a/src/gateway_control/gateway_control.h
+++ b/src/gateway_control/gateway_control.h
@@ -76,7 +76,7 @@
   /// to the serving ones.
   void onOwnLoadDigest(const LoadDigest& digest);
   void onOwnLoad(const OwnLoad& load) { own_load_ = load; }
-  /// Reports to all other gateways which back ends ended while running which requests.
+  /// Reports to all other gateways which back ends crashed while running which requests.
   void onOwnCrashUpdate(const CrashUpdate& update);
 
 private:
@@ -92,7 +92,7 @@
   void onCrashNotes(const CrashNotes& notes) override;
   void onCrashDigest(const std::string& sender, const CrashDigest& digest) override;
   void onCrashRecord(const CrashUpdate& update);
-  void pumpCrashes();
+  void executeCrashActions();
   void execute(const SendCrashMessage& action);
   void execute(const NotifyTraffic& action);
   void execute(const CallStore& action);
@@ -100,7 +100,7 @@
   void forwardPeerLoad();
   void onOwnCacheUpdate(CachedPartsUpdate update);
   CacheWatchCallbacks cacheCallbacks();
-  void onCacheUnresponsive(const UnresponsiveCache& silence);
+  void onCacheUnresponsive(const UnresponsiveCache& cache);
   void onCacheResponsive(EngineSlot slot, std::uint64_t incarnation);
   void onStoreUnresponsive(const Backend& store);
   void onUnresponsiveNote(const BackendNote& note);
@@ -115,7 +115,7 @@
   void sendServingNotice();
   void broadcastNotice(const ServingNotice& notice, bool whole_fleet);
   void assignShares(GatewaySnapshot& snapshot) const;
-  void logUnresponsive(const std::string& backend, bool silent, Duration time);
+  void logUnresponsive(const std::string& backend, bool unresponsive, Duration time);
   void listKvStores();
   void scheduleCacheBroadcast();
   void broadcastCacheNotes();
--- a/src/gateway_control/gateway_control_caches.cc
+++ b/src/gateway_control/gateway_control_caches.cc
@@ -58,7 +58,7 @@
   for (const Backend& backend : backends_) {
     if (backend.view.state == EngineState::Dead) continue;
     present.insert(backend.view.name);
-    if (!follows(backend)) caches_.forgetOwn(backend.view.name);
+    if (!follows(backend)) caches_.removeOwn(backend.view.name);
   }
   caches_.retain(present);
   std::erase_if(follows_, [&present](const auto& item) { return !present.contains(item.first); });
@@ -66,12 +66,12 @@
 }
 
 bool GatewayControl::followsCache(const std::string& backend) {
-  const bool stands_by = !serving_.serves(gossip_.ownName());
-  if (stands_by || !fleetIsKnown()) return false;
+  const bool on_standby = !serving_.serves(gossip_.ownName());
+  if (on_standby || !fleetIsKnown()) return false;
   if (sharing_.empty()) return true;
-  const auto [place, is_new] = follows_.try_emplace(backend, false);
-  if (is_new) place->second = followerOf(backend, sharing_) == gossip_.ownName();
-  return place->second;
+  const auto [position, is_new] = follows_.try_emplace(backend, false);
+  if (is_new) position->second = followerOf(backend, sharing_) == gossip_.ownName();
+  return position->second;
 }
 
 const Backend* GatewayControl::findBackend(const std::string& id) const {
--- a/src/gateway_control/gateway_control_crashes.cc
+++ b/src/gateway_control/gateway_control_crashes.cc
@@ -10,20 +10,20 @@
 
 void GatewayControl::onOwnCrashUpdate(const CrashUpdate& update) {
   crashes_.onOwnUpdate(update, otherMembers(), now());
-  pumpCrashes();
+  executeCrashActions();
 }
 
 void GatewayControl::onCrashNotes(const CrashNotes& notes) {
   crashes_.onNotes(notes, now());
-  pumpCrashes();
+  executeCrashActions();
 }
 
 void GatewayControl::onCrashDigest(const std::string& sender, const CrashDigest& digest) {
   crashes_.onDigest(sender, digest, now());
-  pumpCrashes();
+  executeCrashActions();
 }
 
-void GatewayControl::pumpCrashes() {
+void GatewayControl::executeCrashActions() {
   for (const CrashAction& action : crashes_.takeActions()) {
     std::visit([this](const auto& chosen) { execute(chosen); }, action);
   }
@@ -31,7 +31,7 @@
   crash_timer_.async_wait([this](boost::system::error_code error) {
     if (error) return;
     crashes_.onTimer(otherMembers(), now());
-    pumpCrashes();
+    executeCrashActions();
   });
 }
 
@@ -48,12 +48,12 @@
   if (call.kind == CrashRecordCall::Kind::write) {
     return platform_.writeRecord(CrashRecord::kName, call.text, call.expected_version, [this](bool written) {
       crashes_.onRecordWritten(written, now());
-      pumpCrashes();
+      executeCrashActions();
     });
   }
   platform_.readRecord(CrashRecord::kName, [this](const std::optional<StoredRecord>& record) {
     crashes_.onRecordRead(record, now());
-    pumpCrashes();
+    executeCrashActions();
     schedulePublish();  // Nothing is served before the record is known.
   });
 }
--- a/src/gateway_control/gateway_control_kv_stores.cc
+++ b/src/gateway_control/gateway_control_kv_stores.cc
@@ -33,7 +33,7 @@
   }
 }
 
-/// Marks the store as unreachable, since requests that name a dead store as their source would wait for it.
+/// Marks the store as unreachable, since requests that name a failed store as their source would wait for it.
 void GatewayControl::onStoreUnresponsive(const Backend& store) {
   const std::string id = store.view.name;
   fleet_.onUnreachable(store.view.slot, store.view.incarnation, now());
--- a/src/gateway_control/gateway_control_unresponsive.cc
+++ b/src/gateway_control/gateway_control_unresponsive.cc
@@ -23,7 +23,7 @@
   if (backend == nullptr) return;
   if (backend->is_kv_store) return onStoreUnresponsive(*backend);
   if (!cache.others_responded) return;
-  const bool known = backend->silent_since != TimePoint{};
+  const bool known = backend->unresponsive_since != TimePoint{};
   const Duration time = now() - cache.since;
   if (!known) logUnresponsive(backend->view.name, true, time);
   fleet_.onUnresponsive(backend->view.name, cache.since, now());
@@ -37,7 +37,7 @@
 void GatewayControl::onCacheResponsive(EngineSlot slot, std::uint64_t incarnation) {
   const Backend* backend = findBackend(slot, incarnation);
   if (backend == nullptr || !fleet_.onResponsive(backend->view.name, now())) return;
-  logUnresponsive(backend->view.name, false, now() - backend->silent_since);
+  logUnresponsive(backend->view.name, false, now() - backend->unresponsive_since);
   BackendNote note;
   note.name = backend->view.name;
   note.heard = true;
@@ -61,9 +61,9 @@
   }
 }
 
-void GatewayControl::logUnresponsive(const std::string& backend, bool silent, Duration time) {
+void GatewayControl::logUnresponsive(const std::string& backend, bool unresponsive, Duration time) {
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(time).count();
-  log_.write(EventId::BackendSilent, {{"backend", backend}, {"silent", silent}, {"for_ms", ms}});
+  log_.write(EventId::BackendSilent, {{"backend", backend}, {"silent", unresponsive}, {"for_ms", ms}});
 }
 
 }  // namespace crankspur::gateway
--- a/src/gateway_control/lease_contention.h
+++ b/src/gateway_control/lease_contention.h
@@ -18,7 +18,7 @@
   /// @param since when the work came up, as far as known; empty: there is none.
   void onPendingWork(std::optional<TimePoint> since, TimePoint now);
   /// @param rank how many live gateways rank before this one.
-  /// @return whether the work has been left undone for so long that it is this gateway's turn.
+  /// @return whether the work has been pending for so long that it is this gateway's turn.
   bool contends(std::size_t rank, TimePoint now) const;
 
 private:
--- a/src/gateway_control/rollout_coordinator.cc
+++ b/src/gateway_control/rollout_coordinator.cc
@@ -7,8 +7,8 @@
 
 namespace {
 
-std::string_view nameOf(OrderResponse answer) {
-  switch (answer) {
+std::string_view nameOf(OrderResponse response) {
+  switch (response) {
     case OrderResponse::Begun:
       return "begun";
     case OrderResponse::InEffect:
@@ -172,14 +172,14 @@
                                   {"token", token}});
   ++orders_sent_;
   callbacks_.on_loading(backend);
-  platform_.sendOrder(order, [this, backend](OrderResponse answer) {
-    const bool failed = answer == OrderResponse::Refused || answer == OrderResponse::Fenced;
+  platform_.sendOrder(order, [this, backend](OrderResponse response) {
+    const bool failed = response == OrderResponse::Refused || response == OrderResponse::Fenced;
     if (failed) {
-      log_.write(EventId::OrderFailed, {{"engine", backend}, {"reason", nameOf(answer)}});
+      log_.write(EventId::OrderFailed, {{"engine", backend}, {"reason", nameOf(response)}});
     } else {
-      log_.write(EventId::OrderAnswered, {{"engine", backend}, {"answer", nameOf(answer)}});
+      log_.write(EventId::OrderAnswered, {{"engine", backend}, {"answer", nameOf(response)}});
     }
-    rollout_.onOrderResponse(backend, answer, clock_.now());
+    rollout_.onOrderResponse(backend, response, clock_.now());
   });
 }
 
--- a/src/gateway_control/serving_timings.h
+++ b/src/gateway_control/serving_timings.h
@@ -6,7 +6,7 @@
 
 namespace crankspur::gateway {
 
-/// Interval between notices to the own zone and to serving gateways of other zones. A gateway that dies is
+/// Interval between notices to the own zone and to serving gateways of other zones. A gateway that fails is
 /// left out of the addresses given to clients about 1.3 s later, sooner than gossip detects the failure.
 inline constexpr Duration kNoticeInterval = std::chrono::milliseconds(400);
 /// Every n-th notice is sent to the whole fleet.
--- a/src/gateway_control/table_relay.cc
+++ b/src/gateway_control/table_relay.cc
@@ -164,7 +164,7 @@
   if (wait == Duration(0) || has_changes) return respond(pending);
   pending.until = now() + wait + kHoldMargin;
   const auto kept = std::make_shared<WaitingRequest>(std::move(pending));
-  kept->writer->onClientGone([weak = std::weak_ptr<WaitingRequest>(kept)] {
+  kept->writer->onClientDisconnected([weak = std::weak_ptr<WaitingRequest>(kept)] {
     if (const auto waiting = weak.lock()) waiting->finished = true;
   });
   waiting_.push_back(kept);
@@ -191,7 +191,9 @@
 void TableRelay::onContact(const std::string& table, std::uint64_t version, TimePoint as_of) {
   mirrors_[table].onContact(version, as_of);
   unavailable_tables_.erase(table);
-  const auto is_due = [&table](const std::shared_ptr<WaitingRequest>& one) { return one->table == table; };
+  const auto is_due = [&table](const std::shared_ptr<WaitingRequest>& request) {
+    return request->table == table;
+  };
   const auto rest = std::stable_partition(waiting_.begin(), waiting_.end(), std::not_fn(is_due));
   const std::vector<std::shared_ptr<WaitingRequest>> due(rest, waiting_.end());
   waiting_.erase(rest, waiting_.end());
--- a/src/gateway_control/weight_rollout.cc
+++ b/src/gateway_control/weight_rollout.cc
@@ -28,9 +28,9 @@
 template <typename NamedMap>
 const LoadedModel* outdated(const NamedMap& named, const Backend& backend) {
   for (const LoadedModel& loaded : backend.view.models) {
-    const auto place = named.find(loaded.model);
-    if (place == named.end()) continue;
-    if (weightsVersionNumber(loaded.weights_version) < place->second.version) return &loaded;
+    const auto found = named.find(loaded.model);
+    if (found == named.end()) continue;
+    if (weightsVersionNumber(loaded.weights_version) < found->second.version) return &loaded;
   }
   return nullptr;
 }
@@ -38,8 +38,8 @@
 template <typename NamedMap>
 void raiseToNamed(EngineView& engine, const NamedMap& named) {
   for (LoadedModel& loaded : engine.models) {
-    const auto place = named.find(loaded.model);
-    if (place != named.end()) loaded.weights_version = std::to_string(place->second.version);
+    const auto found = named.find(loaded.model);
+    if (found != named.end()) loaded.weights_version = std::to_string(found->second.version);
   }
 }
 
@@ -49,7 +49,7 @@
 
 /// An unresponsive back end would not respond to an order either, and would take the slot of one that does.
 bool takesOrders(const Backend& backend) {
-  return takesRequests(backend) && backend.silent_since == TimePoint{};
+  return takesRequests(backend) && backend.unresponsive_since == TimePoint{};
 }
 
 }  // namespace
@@ -182,9 +182,9 @@
 
 void WeightRollout::onReport(const std::string& backend, const std::optional<WeightsReport>& report,
                              TimePoint now) {
-  const auto place = runs_.find(backend);
-  if (place == runs_.end()) return;
-  Run& run = place->second;
+  const auto found = runs_.find(backend);
+  if (found == runs_.end()) return;
+  Run& run = found->second;
   run.call_running = false;
   run.next_report_at = now + kReportInterval;
   if (!report) {
@@ -199,7 +199,7 @@
       load_seconds_ += 0.3 * (toSeconds(now - run.began_at) - load_seconds_);
     }
     orders_.onFailed(run.order);
-    runs_.erase(place);
+    runs_.erase(found);
     return;
   }
   if (report->order_running) return;
@@ -209,20 +209,20 @@
   run.step = Step::ToSend;
 }
 
-void WeightRollout::onOrderResponse(const std::string& backend, OrderResponse answer, TimePoint now) {
-  const auto place = runs_.find(backend);
-  if (place == runs_.end()) return;
-  Run& run = place->second;
+void WeightRollout::onOrderResponse(const std::string& backend, OrderResponse response, TimePoint now) {
+  const auto found = runs_.find(backend);
+  if (found == runs_.end()) return;
+  Run& run = found->second;
   run.call_running = false;
   run.step = Step::Watching;
   run.next_report_at = now + kReportInterval;
-  switch (answer) {
+  switch (response) {
     case OrderResponse::Begun:
     case OrderResponse::Unknown:
       return;
     case OrderResponse::InEffect:
       orders_.onFailed(run.order);
-      runs_.erase(place);
+      runs_.erase(found);
       return;
     case OrderResponse::Conflict:
       run.step = Step::AwaitingReport;
@@ -235,17 +235,17 @@
 }
 
 void WeightRollout::fail(const std::string& backend, TimePoint now) {
-  const auto place = runs_.find(backend);
-  if (place == runs_.end()) return;
-  orders_.onFailed(place->second.order);
-  runs_.erase(place);
+  const auto found = runs_.find(backend);
+  if (found == runs_.end()) return;
+  orders_.onFailed(found->second.order);
+  runs_.erase(found);
   backoff_until_[backend] = now + kFailureBackoff;
 }
 
 bool WeightRollout::isLoading(const std::string& backend) const {
-  const auto place = runs_.find(backend);
-  if (place == runs_.end()) return false;
-  return place->second.step == Step::Sending || place->second.step == Step::Watching;
+  const auto found = runs_.find(backend);
+  if (found == runs_.end()) return false;
+  return found->second.step == Step::Sending || found->second.step == Step::Watching;
 }
 
 void WeightRollout::reset() {
--- a/src/gateway_control/weight_rollout.h
+++ b/src/gateway_control/weight_rollout.h
@@ -48,12 +48,12 @@
   std::vector<RolloutAction> due(const std::vector<Backend>& backends, TimePoint now);
   /// @param report empty: the back end did not respond.
   void onReport(const std::string& backend, const std::optional<WeightsReport>& report, TimePoint now);
-  void onOrderResponse(const std::string& backend, OrderResponse answer, TimePoint now);
+  void onOrderResponse(const std::string& backend, OrderResponse response, TimePoint now);
   /// @return whether an order of this roll-out is under way at some back end.
   bool busy() const { return !runs_.empty(); }
   /// @return whether an order of this roll-out was sent to the back end and has not taken effect.
   bool isLoading(const std::string& backend) const;
-  /// Forgets what is under way, because the lease was lost.
+  /// Discards the orders under way, because the lease was lost.
   void reset();
 
 private:
--- a/src/gateway_process/traffic_loop.cc
+++ b/src/gateway_process/traffic_loop.cc
@@ -234,9 +234,9 @@
   client.request = std::make_shared<const http::Request>(std::move(request));
   incoming.body = client.request->body;
   client.writer = std::move(writer);
-  client.writer->onClientGone([this, id] {
+  client.writer->onClientDisconnected([this, id] {
     if (clients_.erase(id) == 0) return;
-    gateway_.onClientGone(id, now());
+    gateway_.onClientDisconnected(id, now());
     executeActions();
   });
   clients_.emplace(id, std::move(client));
@@ -322,7 +322,7 @@
   if (found == exchanges_.end()) return;
   const auto exchange = found->second.exchange;
   exchanges_.erase(found);
-  if (action.unanswered) {
+  if (action.timed_out) {
     exchange->cancelTimedOut();
   } else {
     exchange->cancel();
@@ -366,7 +366,7 @@
   const auto writer = client->writer;
   clients_.erase(action.client);
   writer->abort();
-  gateway_.onClientGone(action.client, now());
+  gateway_.onClientDisconnected(action.client, now());
 }
 
 void TrafficLoop::execute(const EndResponse& action) {
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -32,7 +32,7 @@
   virtual std::size_t queuedBytes() const = 0;
   /// Sets the function called once if the client disconnects before the end of the response. Must be set
   /// before the request handler returns: an earlier disconnect is not reported later.
-  virtual void onClientGone(std::function<void()> handler) = 0;
+  virtual void onClientDisconnected(std::function<void()> handler) = 0;
 };
 
 /// Limits that protect the server from its clients. A request that exceeds one is rejected with 413, 431 or
--- a/src/http/server_session.cc
+++ b/src/http/server_session.cc
@@ -48,7 +48,7 @@
     const auto session = session_.lock();
     return session ? session->queuedBytes(request_number_) : 0;
   }
-  void onClientGone(std::function<void()> handler) override {
+  void onClientDisconnected(std::function<void()> handler) override {
     if (const auto session = session_.lock())
       session->setDisconnectHandler(request_number_, std::move(handler));
   }
--- a/src/lease/lease.cc
+++ b/src/lease/lease.cc
@@ -132,9 +132,9 @@
     }
     token_ = 0;
     // The holder counts its lease from when it sent the row, so a row of at least this age has expired.
-    const bool over =
+    const bool expired =
         row.age.value_or(now - unchanged_since_) >= lifetime_ || now - unchanged_since_ >= lifetime_;
-    const bool free = row.row_version == 0 || row.holder.empty() || over;
+    const bool free = row.row_version == 0 || row.holder.empty() || expired;
     if (free) {
       machine_.process_event(SeenFree{});
       next_at_ =
--- a/src/placement/queue_estimator.h
+++ b/src/placement/queue_estimator.h
@@ -16,7 +16,7 @@
 Duration prefillTime(double tokens, double tokens_per_second);
 
 /// Estimates queueing times. Load reports count all prompt tokens that wait, cached or not, so the estimator
-/// learns from responses which share of them the engines actually compute.
+/// derives from responses the share of them that the engines actually compute.
 class QueueEstimator {
 public:
   /// @return time until the engine starts a new request: the longer of two estimates, plus the wait for a
--- a/src/prefix_index/block_table.cc
+++ b/src/prefix_index/block_table.cc
@@ -21,9 +21,8 @@
 
 }  // namespace
 
-BlockTable::BlockTable(std::size_t maximum_entries)
-    : maximum_entries_(std::max<std::size_t>(maximum_entries, 1)) {
-  const std::size_t slots = maximum_entries_ * kSlotsNumerator / kSlotsDenominator + 1;
+BlockTable::BlockTable(std::size_t max_entries) : max_entries_(std::max<std::size_t>(max_entries, 1)) {
+  const std::size_t slots = max_entries_ * kSlotsNumerator / kSlotsDenominator + 1;
   slots_.resize(std::max(slots, kMinSlots));
 }
 
--- a/src/prefix_index/block_table.h
+++ b/src/prefix_index/block_table.h
@@ -32,8 +32,8 @@
     const Holder* holder = nullptr;  ///< Null: not found.
   };
 
-  /// @param maximum_entries number of (block, engine) pairs that the table must be able to hold.
-  explicit BlockTable(std::size_t maximum_entries);
+  /// @param max_entries number of (block, engine) pairs that the table must be able to hold.
+  explicit BlockTable(std::size_t max_entries);
 
   Position find(BlockHash hash, EngineSlot engine) const;
   /// Replaces the entry of a holder; the engine must stay the same.
@@ -62,7 +62,7 @@
   }
 
   std::size_t size() const { return size_; }
-  std::size_t maximumEntries() const { return maximum_entries_; }
+  std::size_t maxEntries() const { return max_entries_; }
   std::size_t memoryBytes() const { return slots_.capacity() * sizeof(Slot) + pool_.memoryBytes(); }
 
   /// Reserved value that is not the slot of any engine.
@@ -115,7 +115,7 @@
   /// Empties a slot and moves later entries back so that no probe sequence is interrupted.
   void closeGap(std::size_t hole);
 
-  std::size_t maximum_entries_;
+  std::size_t max_entries_;
   std::size_t size_ = 0;
   std::size_t eviction_hand_ = 0;
   std::vector<Slot> slots_;
--- a/src/prefix_index/prefix_index.cc
+++ b/src/prefix_index/prefix_index.cc
@@ -29,7 +29,7 @@
 
 class TablePrefixIndex : public PrefixIndex {
 public:
-  explicit TablePrefixIndex(std::size_t maximum_entries) : table_(maximum_entries) {}
+  explicit TablePrefixIndex(std::size_t max_entries) : table_(max_entries) {}
 
   void setIncarnation(EngineSlot engine, std::uint64_t incarnation) override;
   void forgetEngine(EngineSlot engine) override;
@@ -57,14 +57,14 @@
   void store(EngineSlot engine, BlockHash hash, bool optimistic, std::uint32_t now_tick);
   void remove(EngineSlot engine, BlockHash hash, std::uint32_t now_tick);
   /// Extends the prefixes of the engines that hold every block before step `step` and are among `holders`;
-  /// the first step adds every holder that countsAsCached as cached to `matches`.
+  /// the first step adds every holder that counts as cached to `matches`.
   /// @return whether any prefix was extended.
   bool extend(std::span<const Holder> holders, std::uint32_t step, std::uint32_t now_tick,
               std::vector<PrefixMatch>& matches) const;
   /// Prefetches the slots and holders that match() needs a few blocks later.
   void prefetchAhead(std::span<const BlockHash> blocks, std::size_t position) const;
   void evictIfFull();
-  /// Updates the entry countsAsCached for an entry that leaves the table.
+  /// Updates the entry count of the slot for an entry that leaves the table.
   void recordRemoval(const Holder& entry);
 
   BlockTable table_;
@@ -126,7 +126,7 @@
 }
 
 void TablePrefixIndex::evictIfFull() {
-  if (table_.size() < table_.maximumEntries()) return;
+  if (table_.size() < table_.maxEntries()) return;
   table_.evictOne([this](const Holder& entry) { return !isLive(entry); },
                   [this](const Holder& entry) { recordRemoval(entry); });
 }
@@ -272,8 +272,8 @@
 
 }  // namespace
 
-std::unique_ptr<PrefixIndex> makePrefixIndex(std::size_t maximum_entries) {
-  return std::make_unique<TablePrefixIndex>(maximum_entries);
+std::unique_ptr<PrefixIndex> makePrefixIndex(std::size_t max_entries) {
+  return std::make_unique<TablePrefixIndex>(max_entries);
 }
 
 }  // namespace crankspur
--- a/src/prefix_index/prefix_index.h
+++ b/src/prefix_index/prefix_index.h
@@ -41,7 +41,7 @@
   virtual ~PrefixIndex() = default;
   /// Sets the current incarnation of the engine; a change removes every entry of the slot at once.
   virtual void setIncarnation(EngineSlot engine, std::uint64_t incarnation) = 0;
-  /// Removes every entry of the slot, after its engine died or was replaced. Updates are ignored until
+  /// Removes every entry of the slot, after its engine stopped or was replaced. Updates are ignored until
   /// setIncarnation() is called.
   virtual void forgetEngine(EngineSlot engine) = 0;
   /// Records blocks that a placement is about to create. They count as cached for `kOptimisticLifetime`
@@ -69,8 +69,8 @@
   virtual std::size_t memoryBytes() const = 0;
 };
 
-/// @param maximum_entries capacity. When it is reached, entries are evicted from a sample of the table: first
+/// @param max_entries capacity. When it is reached, entries are evicted from a sample of the table: first
 /// those of removed incarnations, then the least recently confirmed ones.
-std::unique_ptr<PrefixIndex> makePrefixIndex(std::size_t maximum_entries);
+std::unique_ptr<PrefixIndex> makePrefixIndex(std::size_t max_entries);
 
 }  // namespace crankspur
--- a/src/sidecar/caller_exchange.cc
+++ b/src/sidecar/caller_exchange.cc
@@ -23,7 +23,7 @@
 void CallerExchange::start(SubmitRequest request, RouterSelector& selector, std::uint32_t max_attempts,
                            std::uint64_t random_seed) {
   const std::weak_ptr<CallerExchange> weak = weak_from_this();
-  writer_->onClientGone([weak] {
+  writer_->onClientDisconnected([weak] {
     if (const auto self = weak.lock())
       self->disconnectCaller(ErrorCode::Cancelled, "the caller closed the connection");
   });
--- a/standins/engine_server/engine_server.cc
+++ b/standins/engine_server/engine_server.cc
@@ -132,7 +132,7 @@
 StreamId EngineServer::open(const Writer& writer) {
   const StreamId id = ++last_stream_;
   streams_[id] = {writer, false};
-  writer->onClientGone([this, id] {
+  writer->onClientDisconnected([this, id] {
     streams_.erase(id);
     model_.streamClosed(id, clock_.now());
     settle();
--- a/standins/engine_server/engine_server_outputs.cc
+++ b/standins/engine_server/engine_server_outputs.cc
@@ -100,7 +100,7 @@
 void EngineServer::endStream(StreamId id) {
   const auto found = streams_.find(id);
   if (found == streams_.end()) return;
-  found->second.writer->onClientGone({});
+  found->second.writer->onClientDisconnected({});
   streams_.erase(found);
 }
 
--- a/tests/integration/gateway/gateway_site.h
+++ b/tests/integration/gateway/gateway_site.h
@@ -78,7 +78,7 @@
     std::error_code listen_error;
     const auto handler = [this](http::Request request, std::shared_ptr<http::ResponseWriter> writer) {
       requests.push_back({std::move(request), std::move(writer)});
-      requests.back().writer->onClientGone([this] { ++disconnects; });
+      requests.back().writer->onClientDisconnected([this] { ++disconnects; });
     };
     backends.push_back(http::listen(context.get_executor(), "127.0.0.1:0", handler, listen_error));
     REQUIRE_FALSE(listen_error);
@@ -96,7 +96,7 @@
     route.streaming = streaming;
     route.needs_tenant = false;
     route.timeout = std::chrono::seconds(30);
-    route.maximum_attempts = 2;
+    route.max_attempts = 2;
     route.pools = {{"p", 1}};
     configuration->routes = {route};
     Pool pool;
--- a/tests/unit/gateway/crash_suspects_gateway_test.cc
+++ b/tests/unit/gateway/crash_suspects_gateway_test.cc
@@ -14,7 +14,7 @@
 
 constexpr const char* kBody = "a prompt";
 
-/// A gateway with ten engines, so that some engine has always not crashed.
+/// A gateway with ten engines, so that at any time some engine has not crashed.
 struct CrashFixture : GatewayFixture {
   CrashFixture() {
     for (EngineSlot slot = 5; slot < 13; ++slot) backends.push_back(makeBackend(slot, "lm"));
@@ -228,7 +228,7 @@
 // Guards against a wrong quarantine: the connections to several live engines are reset one after the other
 // while the same request runs there. With nothing else running at these engines, only a probe can show that
 // they are live; without it the request would be refused for a minute.
-TEST_CASE("an engine that answers a probe has not crashed", "[gateway][crash_suspects]") {
+TEST_CASE("an engine that responds to a probe has not crashed", "[gateway][crash_suspects]") {
   CrashFixture fixture;
   for (Pool& pool : fixture.configuration.pools) pool.health_path = "/healthz";
   fixture.publish();
--- a/tests/unit/gateway/crash_suspects_test.cc
+++ b/tests/unit/gateway/crash_suspects_test.cc
@@ -116,9 +116,9 @@
 }
 
 TEST_CASE("a sign of life of a back end clears all requests that it ran", "[gateway][crash_suspects]") {
-  const RequestFingerprint other{5, 6};
+  const RequestFingerprint second{5, 6};
   CrashSuspects suspects = suspectsWith(2);
-  suspects.onCrash(crash(2, seconds(1), other), kStart + seconds(2));
+  suspects.onCrash(crash(2, seconds(1), second), kStart + seconds(2));
   SECTION("bytes on a connection from before the crash") {
     // The first bytes may have been sent before the crash.
     CHECK_FALSE(suspects.onSignOfLife(2, kStart, kStart + milliseconds(1200)));
@@ -130,7 +130,7 @@
   }
   CHECK(suspicionOf(suspects, seconds(8)) == Suspicion::none);
   CHECK(suspects.size() == 1);
-  CHECK_FALSE(suspects.onCrash(crash(2, seconds(1), other), kStart + seconds(8)));
+  CHECK_FALSE(suspects.onCrash(crash(2, seconds(1), second), kStart + seconds(8)));
 }
 
 TEST_CASE("a quarantine ends, is longer after each further crash, and expires", "[gateway][crash_suspects]") {
@@ -157,23 +157,23 @@
       const std::uint64_t kind = random.uniform(0, 9);
       if (kind < 8) update.crashes.push_back(crash(backend, milliseconds(100 * backend), request));
       if (kind == 8) update.cleared.push_back({request, kStart + at});
-      if (kind == 9) update.alive.push_back({backend, kStart + at});
+      if (kind == 9) update.signs_of_life.push_back({backend, kStart + at});
       received.push_back(update);
     }
-    CrashSuspects one;
-    CrashSuspects other;
+    CrashSuspects first;
+    CrashSuspects second;
     const TimePoint now = kStart + seconds(10);
-    for (const CrashUpdate& update : received) one.merge(update, now);
+    for (const CrashUpdate& update : received) first.merge(update, now);
     for (std::size_t left = received.size(); left > 0; --left) {
       const std::size_t pick = random.uniform(0, left - 1);
-      other.merge(received[pick], now);
+      second.merge(received[pick], now);
       std::swap(received[pick], received[left - 1]);
     }
-    CHECK(one.digest() == other.digest());
+    CHECK(first.digest() == second.digest());
     CrashSuspects third;
-    third.merge(one.allEvidence(), now);
-    CHECK(third.digest() == one.digest());
-    CHECK_FALSE(one.merge(third.allEvidence(), now));
+    third.merge(first.allEvidence(), now);
+    CHECK(third.digest() == first.digest());
+    CHECK_FALSE(first.merge(third.allEvidence(), now));
   }
 }
 
--- a/tests/unit/gateway/gateway_failure_test.cc
+++ b/tests/unit/gateway/gateway_failure_test.cc
@@ -23,7 +23,7 @@
   GatewaySettings settings;
   settings.retry_budget = {0, seconds(10), 0};
   GatewayFixture fixture(settings);
-  fixture.configuration.routes[0].maximum_attempts = 1;
+  fixture.configuration.routes[0].max_attempts = 1;
   fixture.publish();
   fixture.send("order");
   const std::string first = fixture.last.address;
@@ -135,7 +135,7 @@
 TEST_CASE("a request is sent again to a back end with other weights, with the weights that it has",
           "[gateway]") {
   GatewayFixture fixture;
-  fixture.configuration.routes[3].maximum_attempts = 1;
+  fixture.configuration.routes[3].max_attempts = 1;
   fixture.backends.pop_back();
   fixture.publish();
   fixture.send("answer");
--- a/tests/unit/gateway/gateway_fixture.h
+++ b/tests/unit/gateway/gateway_fixture.h
@@ -25,7 +25,7 @@
   route.repeatability = repeatability;
   route.timeout = seconds(4);
   route.first_byte_target = milliseconds(400);
-  route.maximum_attempts = 2;
+  route.max_attempts = 2;
   route.pools = {{pool, 1}};
   return route;
 }
@@ -65,17 +65,17 @@
   return backend;
 }
 
-inline BackendResponse genuineAnswer() {
-  BackendResponse answer;
-  answer.genuine = true;
-  return answer;
+inline BackendResponse genuineResponse() {
+  BackendResponse response;
+  response.genuine = true;
+  return response;
 }
 
 inline BackendResponse wrongBackend(std::optional<std::uint64_t> weights) {
-  BackendResponse answer;
-  answer.wrong_backend = true;
-  answer.weights_version = weights;
-  return answer;
+  BackendResponse response;
+  response.wrong_backend = true;
+  response.weights_version = weights;
+  return response;
 }
 
 /// Keeps the records of a gateway's decisions.
@@ -169,7 +169,7 @@
   std::vector<Action> all() const {
     std::vector<Action> found;
     for (const GatewayAction& action : actions) {
-      if (const auto* one = std::get_if<Action>(&action)) found.push_back(*one);
+      if (const auto* match = std::get_if<Action>(&action)) found.push_back(*match);
     }
     return found;
   }
@@ -185,8 +185,8 @@
     return found.front();
   }
 
-  void head(int status, BackendResponse answer = genuineAnswer()) {
-    gateway.onHead(last.exchange, status, answer, now);
+  void head(int status, BackendResponse response = genuineResponse()) {
+    gateway.onHead(last.exchange, status, response, now);
     takeActions();
   }
   void bytes(const std::string& text) {
@@ -202,9 +202,9 @@
     takeActions();
   }
   void notRun() {
-    BackendResponse answer;
-    answer.not_run = true;
-    head(503, answer);
+    BackendResponse response;
+    response.not_run = true;
+    head(503, response);
   }
 
   /// Advances the time and runs the gateway's timers; their actions are in `actions`.
--- a/tests/unit/gateway/gateway_records_test.cc
+++ b/tests/unit/gateway/gateway_records_test.cc
@@ -17,7 +17,8 @@
 
 }  // namespace
 
-TEST_CASE("an answered request is reported as admitted, placed and answered", "[gateway][records]") {
+TEST_CASE("a request with a complete response is reported as admitted, placed and answered",
+          "[gateway][records]") {
   GatewayFixture fixture;
   fixture.key_validity = seconds(5);
   fixture.contact->confirm(fixture.now);
@@ -144,7 +145,7 @@
   fixture.bytes("id: 1\ndata: a\n\n");
   fixture.breakExchange(true);
   const ClientId leaving = fixture.send("answer");
-  fixture.gateway.onClientGone(leaving, fixture.now);
+  fixture.gateway.onClientDisconnected(leaving, fixture.now);
   REQUIRE(fixture.observer.ended.size() == 2);
   CHECK(fixture.observer.ended[0].outcome == RequestOutcome::cut);
   CHECK(fixture.observer.ended[0].cause == RequestCause::answer_broke_off);
--- a/tests/unit/gateway/gateway_request_test.cc
+++ b/tests/unit/gateway/gateway_request_test.cc
@@ -134,7 +134,7 @@
 TEST_CASE("the connection limit of a back end is divided among all gateways", "[gateway]") {
   BackendTable table;
   Pool pool;
-  pool.maximum_connections = 50;
+  pool.max_connections = 50;
   Backend backend = makeBackend(1, "app");
   backend.slots = 0;
   for (int count = 0; count < 8; ++count) {
@@ -174,7 +174,7 @@
   // A response resets the backoff.
   table.onDispatch(1);
   table.onFirstByte(1, 1001, milliseconds(50), milliseconds(50), now);
-  table.onOutcome(1, 1001, DispatchOutcome::Answered, now);
+  table.onOutcome(1, 1001, DispatchOutcome::Completed, now);
   refuse();
   CHECK(timeUntilSelectable() == milliseconds(60));
 }
@@ -194,7 +194,7 @@
   GatewayFixture fixture;
   fixture.publish();
   const ClientId client = fixture.send("look");
-  fixture.gateway.onClientGone(client, fixture.now);
+  fixture.gateway.onClientDisconnected(client, fixture.now);
   fixture.takeActions();
   CHECK(fixture.only<CancelExchange>().exchange == fixture.last.exchange);
   fixture.end();
--- a/tests/unit/gateway/gateway_silent_connections_test.cc
+++ b/tests/unit/gateway/gateway_silent_connections_test.cc
@@ -16,7 +16,7 @@
   fixture.advance(milliseconds(250));
   CHECK_FALSE(fixture.has<Dispatch>());
   fixture.advance(milliseconds(300));
-  CHECK(fixture.only<CancelExchange>().unanswered);
+  CHECK(fixture.only<CancelExchange>().timed_out);
   CHECK(fixture.has<Dispatch>());
   CHECK(fixture.observer.distrusted.empty());
 }
--- a/tests/unit/gateway/gateway_stream_test.cc
+++ b/tests/unit/gateway/gateway_stream_test.cc
@@ -131,7 +131,7 @@
   CHECK(uncached() == 1600);
 }
 
-TEST_CASE("uncached shared parts are first read at the same engine by all gateways", "[gateway]") {
+TEST_CASE("all gateways prefill uncached shared parts first at the same engine", "[gateway]") {
   std::string first_reader;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     RandomSource random(seed);
@@ -150,8 +150,8 @@
     request.uses_prefixes = true;
     const Choice first = choice.choose(request, snapshot, BackendTable(), TimePoint{});
     choice.onDispatch(first, 1, TimePoint{});
-    // The part is not read yet, so it cannot be imported; the first reader is chosen again although it is
-    // busy.
+    // The part is not prefilled yet, so it cannot be imported; the first engine is chosen again although it
+    // is busy.
     const Choice second = choice.choose(request, snapshot, BackendTable(), TimePoint{});
     CHECK(second.backend == first.backend);
     CHECK(second.import_from.empty());
@@ -160,7 +160,7 @@
   }
 }
 
-TEST_CASE("parts that an engine has read are imported and not read again", "[gateway]") {
+TEST_CASE("parts that an engine has prefilled are imported and not prefilled again", "[gateway]") {
   RandomSource random(1);
   EngineChoice choice(10'000, random);
   GatewaySnapshot snapshot;
--- a/tests/unit/gateway/kv_store_test.cc
+++ b/tests/unit/gateway/kv_store_test.cc
@@ -29,7 +29,7 @@
     choice.onSnapshot(snapshot);
   }
   Choice choose() const { return choice.choose(request, snapshot, BackendTable(), kNow); }
-  /// Reports to the gateway that the back end in a slot addCachedPart the shared part.
+  /// Reports to the gateway that the back end in a slot has cached the shared part.
   void addCachedPart(EngineSlot slot) {
     choice.onCachedParts({slot, 1000U + slot, false, {{cacheScope("1", ""), "m", 11, 3'200}}}, kNow);
   }
@@ -73,7 +73,7 @@
   fleet.addCachedPart(3);
   CHECK(fleet.choose().backend->view.slot == 3);
   CHECK(fleet.choose().import_from.empty());
-  // The engine that addCachedPart the part is excluded, and the store is in another zone.
+  // The engine that has cached the part is excluded, and the store is in another zone.
   fleet.request.excluded = {3};
   fleet.snapshot.backends[2].view.zone = "there";
   CHECK(fleet.choose().import_from == fleet.snapshot.backends[0].view.address);
--- a/tests/unit/gateway/part_index_test.cc
+++ b/tests/unit/gateway/part_index_test.cc
@@ -13,8 +13,8 @@
 constexpr std::uint64_t kIncarnation = 7;
 
 /// An index with engines 1 to 4.
-PartIndex makeIndex(std::size_t maximum_entries = 100) {
-  PartIndex index(maximum_entries);
+PartIndex makeIndex(std::size_t max_entries = 100) {
+  PartIndex index(max_entries);
   for (EngineSlot engine = 1; engine <= 4; ++engine) index.setIncarnation(engine, kIncarnation);
   return index;
 }
--- a/tests/unit/gateway/request_fingerprint_test.cc
+++ b/tests/unit/gateway/request_fingerprint_test.cc
@@ -5,12 +5,12 @@
 using namespace crankspur::gateway;
 
 TEST_CASE("requests that differ in one field have different fingerprints", "[gateway][fingerprint]") {
-  const RequestFingerprint one = fingerprintOf("desk", "/a/", "tenant", "body");
-  CHECK(one == fingerprintOf("desk", "/a/", "tenant", "body"));
-  CHECK(one != fingerprintOf("desk2", "/a/", "tenant", "body"));
-  CHECK(one != fingerprintOf("desk", "/b/", "tenant", "body"));
-  CHECK(one != fingerprintOf("desk", "/a/", "other", "body"));
-  CHECK(one != fingerprintOf("desk", "/a/", "tenant", "body2"));
+  const RequestFingerprint fingerprint = fingerprintOf("desk", "/a/", "tenant", "body");
+  CHECK(fingerprint == fingerprintOf("desk", "/a/", "tenant", "body"));
+  CHECK(fingerprint != fingerprintOf("desk2", "/a/", "tenant", "body"));
+  CHECK(fingerprint != fingerprintOf("desk", "/b/", "tenant", "body"));
+  CHECK(fingerprint != fingerprintOf("desk", "/a/", "other", "body"));
+  CHECK(fingerprint != fingerprintOf("desk", "/a/", "tenant", "body2"));
 }
 
 TEST_CASE("bytes that move from one field to the next change the fingerprint", "[gateway][fingerprint]") {
--- a/tests/unit/gateway/silent_backend_test.cc
+++ b/tests/unit/gateway/unresponsive_backend_test.cc
@@ -14,7 +14,7 @@
 /// Publishes that the engine of the last dispatch has been unresponsive since `since`.
 void markLastUnresponsive(GatewayFixture& site, TimePoint since) {
   for (Backend& backend : site.backends) {
-    if (backend.view.address == site.last.address) backend.silent_since = since;
+    if (backend.view.address == site.last.address) backend.unresponsive_since = since;
   }
   site.publish();
   site.takeActions();
@@ -36,7 +36,7 @@
 
 TEST_CASE("an unresponsive engine is used if there is no other", "[gateway][silence]") {
   GatewayFixture site;
-  for (Backend& backend : site.backends) backend.silent_since = site.now;
+  for (Backend& backend : site.backends) backend.unresponsive_since = site.now;
   site.publish();
   site.send("answer");
   CHECK(site.has<Dispatch>());
--- a/tests/unit/gateway_control/cache_exchange_test.cc
+++ b/tests/unit/gateway_control/cache_exchange_test.cc
@@ -26,9 +26,9 @@
     const ReceivedCacheNotes received = exchange.onNotes(sender, notes, now);
     for (const ReceivedCacheUpdate& update : received.updates) {
       if (update.complete) held.clear();
-      for (const CachedPart& one : update.parts) {
-        held[one.part] = one.tokens;
-        if (one.tokens == 0) held.erase(one.part);
+      for (const CachedPart& cached : update.parts) {
+        held[cached.part] = cached.tokens;
+        if (cached.tokens == 0) held.erase(cached.part);
       }
     }
     return received.wanted;
@@ -36,7 +36,7 @@
   std::vector<CacheWanted> receiveAll(const std::vector<CacheNotes>& all, TimePoint now = kStart) {
     std::vector<CacheWanted> wanted;
     for (const CacheNotes& notes : all) {
-      for (const CacheWanted& one : receive(notes, "teller", now)) wanted.push_back(one);
+      for (const CacheWanted& request : receive(notes, "teller", now)) wanted.push_back(request);
     }
     return wanted;
   }
@@ -168,7 +168,7 @@
   sender.onOwnUpdate("e1", {part(9, 16)}, true);
   for (const CacheNotes& notes : sender.takeNotes())
     CHECK(own.onNotes("teller", notes, kStart).updates.empty());
-  own.forgetOwn("e1");
+  own.removeOwn("e1");
   CHECK(own.onWanted({"e1"}).empty());
   CHECK_FALSE(own.hasNotes());
   sender.onOwnUpdate("e1", {part(10, 16)}, false);
--- a/tests/unit/gateway_control/cache_watch_test.cc
+++ b/tests/unit/gateway_control/cache_watch_test.cc
@@ -134,7 +134,7 @@
   CHECK(watched.updates[1].parts[0].tokens == 0);
 }
 
-TEST_CASE("the number of concurrent requests for whole caches is limited", "[cache_watch]") {
+TEST_CASE("the number of concurrent requests for complete caches is limited", "[cache_watch]") {
   WatchedCaches watched(12);
   CHECK(watched.platform.events_calls.size() == 4);
   // The next call is made as soon as one cache has responded.
--- a/tests/unit/gateway_control/crash_coordinator_test.cc
+++ b/tests/unit/gateway_control/crash_coordinator_test.cc
@@ -26,7 +26,7 @@
 std::vector<Action> actionsOfType(const std::vector<CrashAction>& actions) {
   std::vector<Action> found;
   for (const CrashAction& action : actions) {
-    if (const auto* one = std::get_if<Action>(&action)) found.push_back(*one);
+    if (const auto* match = std::get_if<Action>(&action)) found.push_back(*match);
   }
   return found;
 }
@@ -121,7 +121,7 @@
   }
   SECTION("by evidence that all its back ends are live") {
     for (const CrashEvidence& crash : crashesOf(1, 3, fixture.now - seconds(1)).crashes) {
-      cleared.alive.push_back({crash.backend, crash.crashed_at});
+      cleared.signs_of_life.push_back({crash.backend, crash.crashed_at});
     }
   }
   fixture.coordinator.onOwnUpdate(cleared, {}, fixture.now);
--- a/tests/unit/gateway_control/crash_exchange_test.cc
+++ b/tests/unit/gateway_control/crash_exchange_test.cc
@@ -66,13 +66,13 @@
 TEST_CASE("instants of evidence are preserved on the wire", "[gateway_control][crash_suspects]") {
   CrashUpdate update = oneCrash(7, 8);
   update.cleared.push_back({{9, 1}, kStart});
-  update.alive.push_back({10, kStart});
+  update.signs_of_life.push_back({10, kStart});
   const CrashUpdate received = toUpdate(toNotes(update, kStart + seconds(1)), kStart + seconds(3));
   CHECK(received.crashes.front().request == RequestFingerprint{7, 1});
   CHECK(received.crashes.front().sent_at == kStart + milliseconds(1900));
   CHECK(received.crashes.front().crashed_at == kStart + seconds(2));
   CHECK(received.cleared.front().at == kStart + seconds(2));
-  CHECK(received.alive.front().at == kStart + seconds(2));
+  CHECK(received.signs_of_life.front().at == kStart + seconds(2));
 }
 
 TEST_CASE("evidence of a single gateway reaches all gateways within three seconds",
--- a/tests/unit/gateway_control/crash_record_test.cc
+++ b/tests/unit/gateway_control/crash_record_test.cc
@@ -68,7 +68,7 @@
 
 }  // namespace
 
-TEST_CASE("a gateway that starts after all have ended reads the quarantined requests",
+TEST_CASE("a gateway that starts after all have stopped reads the quarantined requests",
           "[gateway_control][crash_suspects]") {
   Store store;
   RecordFixture before(store);
@@ -89,22 +89,22 @@
 TEST_CASE("requests that another gateway has written stay in the record",
           "[gateway_control][crash_suspects]") {
   Store store;
-  RecordFixture one(store);
-  RecordFixture other(store);
-  one.callAll();
-  other.callAll();
-  one.crashesOf(1, 3);
-  other.crashesOf(2, 3);
-  one.record.save();
-  other.record.save();
-  CHECK(one.call());
-  CHECK(other.call());  // Both have read the absent row: the second write fails.
-  one.callAll();
-  other.callAll();
+  RecordFixture first(store);
+  RecordFixture second(store);
+  first.callAll();
+  second.callAll();
+  first.crashesOf(1, 3);
+  second.crashesOf(2, 3);
+  first.record.save();
+  second.record.save();
+  CHECK(first.call());
+  CHECK(second.call());  // Both have read the absent row: the second write fails.
+  first.callAll();
+  second.callAll();
   REQUIRE(store.record.row_version == 1);
-  CHECK(other.record.nextTimer() > other.now);
-  other.now = other.record.nextTimer();
-  other.callAll();
+  CHECK(second.record.nextTimer() > second.now);
+  second.now = second.record.nextTimer();
+  second.callAll();
   RecordFixture after(store);
   after.callAll();
   CHECK(after.exchange.quarantined(after.now).crashes.size() == 6);
--- a/tests/unit/gateway_control/fleet_view_test.cc
+++ b/tests/unit/gateway_control/fleet_view_test.cc
@@ -52,23 +52,23 @@
           "[fleet_view][silence]") {
   FleetView fleet;
   fleet.onListed(listed("a"), kStart);
-  CHECK(only(fleet, "a", kStart).silent_since == TimePoint{});
+  CHECK(only(fleet, "a", kStart).unresponsive_since == TimePoint{});
   fleet.onUnresponsive("a", kStart + 1s, kStart + 2s);
-  CHECK(only(fleet, "a", kStart + 2s).silent_since == kStart + 1s);
+  CHECK(only(fleet, "a", kStart + 2s).unresponsive_since == kStart + 1s);
   CHECK(only(fleet, "a", kStart + 2s).view.state == EngineState::Live);
   SECTION("response received") {
     CHECK(fleet.onResponsive("a", kStart + 3s));
     CHECK_FALSE(fleet.onResponsive("a", kStart + 3s));
-    CHECK(only(fleet, "a", kStart + 3s).silent_since == TimePoint{});
+    CHECK(only(fleet, "a", kStart + 3s).unresponsive_since == TimePoint{});
   }
   SECTION("reported again: the first time is kept") {
     fleet.onUnresponsive("a", kStart + 3s, kStart + 3500ms);
-    CHECK(only(fleet, "a", kStart + 5s).silent_since == kStart + 1s);
+    CHECK(only(fleet, "a", kStart + 5s).unresponsive_since == kStart + 1s);
   }
   SECTION("not reported again") {
     const TimePoint expiry = fleet.nextChange(kStart + 2s);
     REQUIRE(expiry < kStart + 10s);
-    CHECK(only(fleet, "a", expiry).silent_since == TimePoint{});
+    CHECK(only(fleet, "a", expiry).unresponsive_since == TimePoint{});
   }
 }
 
@@ -96,7 +96,7 @@
   CHECK(stateOf(fleet, "new", kStart + 2s) == EngineState::Live);
 }
 
-TEST_CASE("learned weights take precedence over a list that lags behind", "[fleet_view]") {
+TEST_CASE("observed weights take precedence over a list that lags behind", "[fleet_view]") {
   FleetView fleet;
   fleet.onListed(listed("a"), kStart);
   fleet.onWeights("a", "m", "3", kStart + 1s);
--- a/tests/unit/gateway_control/serving_set_test.cc
+++ b/tests/unit/gateway_control/serving_set_test.cc
@@ -84,15 +84,15 @@
 }
 
 TEST_CASE("all members compute the same set if capacities are equal", "[serving_set]") {
-  Fleet one(0, 20);
+  Fleet fleet(0, 20);
   ServingSet other("b-weak-3", ServingOptions());
   std::vector<MemberRecord> records;
-  for (auto found = one.members.rbegin(); found != one.members.rend(); ++found) {
+  for (auto found = fleet.members.rbegin(); found != fleet.members.rend(); ++found) {
     records.push_back(found->second);
   }
-  other.onMembers(records, one.now);
-  CHECK(one.set.serving() == other.serving());
-  CHECK(one.servingCount("b") == 2);
+  other.onMembers(records, fleet.now);
+  CHECK(fleet.set.serving() == other.serving());
+  CHECK(fleet.servingCount("b") == 2);
 }
 
 TEST_CASE("a gateway that membership has removed and that sends no notices does not serve", "[serving_set]") {
--- a/tests/unit/gateway_control/table_relay_test.cc
+++ b/tests/unit/gateway_control/table_relay_test.cc
@@ -93,7 +93,7 @@
   CHECK(contact - *pair.result->as_of < 1s);
 }
 
-TEST_CASE("the age of the reader's contact is passed on to the requester", "[table_relay]") {
+TEST_CASE("the age of the reader's contact is forwarded to the requester", "[table_relay]") {
   ReaderAndStandby pair;
   const TimePoint contact = pair.clock.now() - 2s;
   TableRelay old{pair.context.get_executor(), *pair.client, pair.store, 3};
--- a/tests/unit/gateway_control/weight_rollout_test.cc
+++ b/tests/unit/gateway_control/weight_rollout_test.cc
@@ -40,7 +40,7 @@
       backend.view.pool = "pool";
       backend.view.incarnation = 1;
       backend.view.models = {{"m", std::to_string(runner.version), {}}};
-      if (runner.unresponsive) backend.silent_since = kStart;
+      if (runner.unresponsive) backend.unresponsive_since = kStart;
       all.push_back(backend);
     }
     return all;
--- a/tests/unit/http/bad_input_test.cc
+++ b/tests/unit/http/bad_input_test.cc
@@ -133,7 +133,7 @@
   HttpFixture fixture(
       [&](Request, std::shared_ptr<ResponseWriter> writer) {
         retained_writer = writer;
-        writer->onClientGone([&] { disconnected = true; });
+        writer->onClientDisconnected([&] { disconnected = true; });
         writer->begin(200, {});
         for (int count = 0; count < 64; ++count) writer->write(std::string(1024 * 1024, 'x'));
         CHECK(writer->queuedBytes() > 32 * 1024 * 1024);
--- a/tests/unit/http/http_test.cc
+++ b/tests/unit/http/http_test.cc
@@ -51,7 +51,7 @@
   bool disconnected = false;
   HttpFixture fixture([&](Request, std::shared_ptr<ResponseWriter> writer) {
     stream = writer;
-    writer->onClientGone([&] { disconnected = true; });
+    writer->onClientDisconnected([&] { disconnected = true; });
     writer->begin(200, {});
     writer->write("piece");
   });
--- a/tests/unit/platform/header_dialect_test.cc
+++ b/tests/unit/platform/header_dialect_test.cc
@@ -35,7 +35,7 @@
   CHECK(read->request_id == "r1");
   CHECK(read->api_key == "key");
   CHECK(read->prompt_tokens == 1460);
-  CHECK(read->maximum_answer_tokens == 80);
+  CHECK(read->max_completion_tokens == 80);
   REQUIRE(read->prompt.size() == 2);
   CHECK(read->prompt[1].id == 10);
   CHECK(read->prompt[1].tokens == 410);
--- a/tests/unit/platform/store_documents_test.cc
+++ b/tests/unit/platform/store_documents_test.cc
@@ -38,12 +38,12 @@
   REQUIRE(open != nullptr);
   CHECK(open->repeatability == Repeatability::AtMostOnce);
   CHECK_FALSE(open->needs_tenant);
-  CHECK(open->maximum_attempts == 1);
+  CHECK(open->max_attempts == 1);
   const gateway::Pool* engines = read.findPool("s");
   REQUIRE(engines != nullptr);
   CHECK(engines->cache_tokens == 1000);
   CHECK(engines->link_bits_per_second == Approx(2.5e6));
-  CHECK(engines->maximum_event_calls == 3);
+  CHECK(engines->max_event_calls == 3);
   CHECK(read.findPool("k")->kv_store_address == "10.0.0.9:1");
   CHECK(read.limits.header_bytes == 100);
   CHECK(read.limits.header_timeout == Duration(3s));
