--- a/sim/experiment/measures.cc
+++ b/sim/experiment/measures.cc
@@ -6,29 +6,32 @@
 namespace crankspur::experiment {
 namespace {
 
-/// Window over which the reuse rate after a shift is measured.
+/// Sliding window over which the reuse rate after a hot-prefix shift is measured.
 constexpr double kRecoveryWindowSeconds = 2.0;
-/// A run has recovered when its reuse rate is within this share of the steady state before the shift.
+/// A run has recovered when its reuse rate is below the rate before the shift by at most this share.
 constexpr double kRecoveryTolerance = 0.05;
 
+/// @return time to first token; twice the deadline if there was none.
 double firstTokenMilliseconds(const RequestOutcome& outcome, Duration deadline) {
   const bool no_first_token = outcome.refused || outcome.first_token.count() == 0;
   return toMilliseconds(no_first_token ? 2 * deadline : outcome.first_token);
 }
 
-/// @return reuse rate of the requests that arrived in [from, to), in seconds; negative without requests.
+/// @return reuse rate of the requests that arrived in the seconds [from, to) of the run; -1 if there were
+/// none.
 double reuseBetween(const std::vector<RequestOutcome>& outcomes, double from, double to) {
-  double reused = 0;
-  double prompt = 0;
+  double reused_total = 0;
+  double prompt_total = 0;
   for (const RequestOutcome& outcome : outcomes) {
-    const double at = toSeconds(outcome.at);
-    if (at < from || at >= to) continue;
-    reused += outcome.cached_tokens + outcome.imported_tokens;
-    prompt += outcome.prompt_tokens;
+    const double arrival = toSeconds(outcome.at);
+    if (arrival < from || arrival >= to) continue;
+    reused_total += outcome.cached_tokens + outcome.imported_tokens;
+    prompt_total += outcome.prompt_tokens;
   }
-  return prompt == 0 ? -1 : reused / prompt;
+  return prompt_total == 0 ? -1 : reused_total / prompt_total;
 }
 
+/// @return seconds from the shift to the first window with a recovered reuse rate; nullopt if there is none.
 std::optional<double> recoveryTime(const RunOptions& options, const std::vector<RequestOutcome>& outcomes) {
   const double shift = toSeconds(shiftTime(options));
   const double steady_reuse = reuseBetween(outcomes, toSeconds(options.warm_up), shift);
@@ -75,14 +78,14 @@
   Measures measures;
   measures.requests = measured.size();
   if (measured.empty()) return measures;
-  double prompt = 0;
-  double cached = 0;
-  double imported = 0;
+  double prompt_total = 0;
+  double cached_total = 0;
+  double imported_total = 0;
   std::vector<double> first_tokens;
   for (const RequestOutcome* outcome : measured) {
-    prompt += outcome->prompt_tokens;
-    cached += outcome->cached_tokens;
-    imported += outcome->imported_tokens;
+    prompt_total += outcome->prompt_tokens;
+    cached_total += outcome->cached_tokens;
+    imported_total += outcome->imported_tokens;
     measures.wasted_per_request += outcome->wasted_tokens;
     measures.recomputed_per_request += outcome->recomputed_tokens;
     measures.refused_share += outcome->refused || !outcome->finished ? 1 : 0;
@@ -92,8 +95,8 @@
     first_tokens.push_back(firstTokenMilliseconds(*outcome, options.site.deadline));
   }
   const auto requests = static_cast<double>(measured.size());
-  measures.hit_rate = prompt == 0 ? 0 : cached / prompt;
-  measures.reuse_rate = prompt == 0 ? 0 : (cached + imported) / prompt;
+  measures.hit_rate = prompt_total == 0 ? 0 : cached_total / prompt_total;
+  measures.reuse_rate = prompt_total == 0 ? 0 : (cached_total + imported_total) / prompt_total;
   measures.wasted_per_request /= requests;
   measures.recomputed_per_request /= requests;
   measures.refused_share /= requests;
--- a/sim/experiment/report.h
+++ b/sim/experiment/report.h
@@ -17,11 +17,12 @@
   std::uint64_t seed = 0;
   double load = 1;
   Measures measures;
-  std::vector<std::vector<double>>
-      baseline_first_token_ms;  ///< By tenant, from the run without the noisy tenant; empty: not run.
+  /// By tenant: times to first token of the run without the noisy tenant; empty if there was no such run.
+  std::vector<std::vector<double>> baseline_first_token_ms;
 };
 
-/// Mean measures of a policy over all seeds, and comparisons with the policy `cost`.
+/// Mean measures of a placement policy over all seeds, and comparisons by seed with `cost`, the placement
+/// policy of the router.
 struct PolicySummary {
   std::string policy;
   double hit_rate = 0;
@@ -33,15 +34,15 @@
   double p99_ms = 0;
   double refused = 0;
   double missed = 0;
-  /// Maximum over the other tenants of the ratio of a tenant's p95 with the noisy tenant to its p95 without,
-  /// all seeds pooled.
+  /// p95 of a tenant in runs with the noisy tenant, divided by its p95 in runs without it; requests of
+  /// all seeds pooled. The maximum over all tenants but the noisy one.
   double worst_tenant_ratio = 0;
   double recovery_seconds = 0;  ///< Mean; a run that does not recover counts as 99 s.
   double worst_recovery_seconds = 0;
   std::uint32_t seeds = 0;
-  std::uint32_t reuse_wins = 0;   ///< Seeds for which `cost` has the higher reuse rate than this policy.
-  std::uint32_t wasted_wins = 0;  ///< Seeds for which `cost` wastes less per request.
-  std::uint32_t p95_wins = 0;     ///< Seeds for which `cost` has the lower p95.
+  std::uint32_t reuse_wins = 0;   ///< Seeds for which `cost` has a higher reuse rate than this policy.
+  std::uint32_t wasted_wins = 0;  ///< Seeds for which `cost` wastes fewer tokens per request.
+  std::uint32_t p95_wins = 0;     ///< Seeds for which `cost` has a lower p95.
 };
 
 /// @return mean measures by policy, in the order of first appearance.
@@ -49,7 +50,8 @@
 
 void writeTable(std::ostream& out, const std::vector<PolicySummary>& summaries);
 void writeCsv(std::ostream& out, const std::vector<ResultRow>& rows);
-/// Draws bar charts by policy of reuse rate, wasted tokens, p95 time to first token and missed deadlines.
+/// Draws one bar chart each, with a bar for each policy, of reuse rate, wasted tokens, p95 time to first
+/// token and missed deadlines.
 void writeSvg(std::ostream& out, const std::string& title, const std::vector<PolicySummary>& summaries);
 
 }  // namespace crankspur::experiment
--- a/sim/experiment/site.cc
+++ b/sim/experiment/site.cc
@@ -7,6 +7,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
+/// Prompts share long first-level texts; questions are short in comparison.
 Site partsDesk() {
   Site site;
   site.name = "parts_desk";
@@ -34,6 +35,7 @@
   return site;
 }
 
+/// Smaller than parts_desk, with a tighter deadline and more second-level texts of a flatter popularity.
 Site tallowCreek() {
   Site site;
   site.name = "tallow_creek";
@@ -62,7 +64,8 @@
   return site;
 }
 
-/// One of the eleven zones of the two-year plan, with its engines, routers and share of the requests.
+/// One zone of the fleet of eleven zones that docs/CAPACITY.md plans for, with its engines, routers and share
+/// of the requests.
 Site twoYear() {
   Site site = partsDesk();
   site.name = "two_year";
--- a/src/gateway_control/table_mirror.cc
+++ b/src/gateway_control/table_mirror.cc
@@ -6,8 +6,8 @@
 namespace crankspur::gateway {
 namespace {
 
-/// Maximum number of removed rows that are kept, enough for some minutes of a fleet whose back ends come and
-/// go. A request for older changes has to read the complete table.
+/// Maximum number of removed rows that are kept, enough for a few minutes of back-end churn. A reader that
+/// needs older changes must read the complete table.
 constexpr std::size_t kMaxRemovals = 500;
 
 }  // namespace
@@ -19,7 +19,7 @@
 
 void TableMirror::onFullRead(const std::vector<std::string>& keys) {
   const std::set<std::string> present(keys.begin(), keys.end());
-  std::erase_if(rows_, [&present](const auto& item) { return !present.contains(item.first); });
+  std::erase_if(rows_, [&present](const auto& entry) { return !present.contains(entry.first); });
   fully_read_ = true;
 }
 
@@ -43,6 +43,7 @@
   }
   if (removals.size() <= kMaxRemovals) return;
   std::sort(removals.begin(), removals.end());
+  // Discards the oldest and keeps half the maximum, so that not every further removal compacts again.
   removals.resize(removals.size() - kMaxRemovals / 2);
   for (const auto& [version, key] : removals) rows_.erase(key);
   compacted_version_ = std::max(compacted_version_, removals.back().first);
--- a/src/gateway_control/weight_rollout.cc
+++ b/src/gateway_control/weight_rollout.cc
@@ -58,15 +58,15 @@
     : options_(options), orders_(FleetOrderOptions{kOrderTimeout}) {}
 
 bool WeightRollout::onNamed(const NamedWeights& named, TimePoint now) {
-  Named& held = named_[named.model];
-  if (named.version <= held.version) return false;
-  held = {named.version, named.named_at == TimePoint{} ? now : named.named_at};
+  NamedVersion& target = named_[named.model];
+  if (named.version <= target.version) return false;
+  target = {named.version, named.named_at == TimePoint{} ? now : named.named_at};
   return true;
 }
 
 std::vector<NamedWeights> WeightRollout::named() const {
   std::vector<NamedWeights> all;
-  for (const auto& [model, held] : named_) all.push_back({model, held.version, held.named_at});
+  for (const auto& [model, target] : named_) all.push_back({model, target.version, target.named_at});
   return all;
 }
 
@@ -88,7 +88,7 @@
 
 std::uint32_t WeightRollout::parallelNow(std::size_t remaining, std::size_t serving, TimePoint now) const {
   TimePoint oldest = now;
-  for (const auto& [model, held] : named_) oldest = std::min(oldest, held.named_at);
+  for (const auto& [model, target] : named_) oldest = std::min(oldest, target.named_at);
   const double total = toSeconds(options_.limit) * kUsableShare;
   const double left = std::max(total / 4, total - toSeconds(now - oldest));
   const double wanted = std::ceil(static_cast<double>(remaining) * load_seconds_ / left);
@@ -101,10 +101,10 @@
 Bundle WeightRollout::policy(const std::vector<Backend>& backends, std::uint32_t parallel) const {
   Bundle bundle;
   bundle.knobs.parallel_weight_loads = parallel;
-  for (const auto& [model, held] : named_) {
+  for (const auto& [model, target] : named_) {
     ModelPolicy entry;
     entry.name = model;
-    entry.weights_version = std::to_string(held.version);
+    entry.weights_version = std::to_string(target.version);
     std::set<std::string> pools;
     for (const Backend& backend : backends) {
       if (!backend.view.weightsOf(model).empty()) pools.insert(backend.view.pool);
@@ -115,7 +115,7 @@
   return bundle;
 }
 
-void WeightRollout::startRuns(const std::vector<Backend>& backends, TimePoint now) {
+void WeightRollout::startOrders(const std::vector<Backend>& backends, TimePoint now) {
   std::vector<EngineView> engines;
   std::size_t remaining = 0;
   std::size_t serving = 0;
@@ -140,16 +140,16 @@
   });
   const Bundle bundle = policy(backends, parallelNow(remaining, serving, now));
   for (const FleetOrder& order : orders_.due(bundle, engines, now)) {
-    Run run;
-    run.order = order;
-    run.began_at = now;
-    run.next_report_at = now;
-    runs_[order.engine] = run;
+    ActiveOrder active;
+    active.order = order;
+    active.began_at = now;
+    active.next_report_at = now;
+    active_orders_[order.engine] = active;
   }
 }
 
 std::vector<RolloutAction> WeightRollout::due(const std::vector<Backend>& backends, TimePoint now) {
-  std::erase_if(runs_, [&](const auto& item) {
+  std::erase_if(active_orders_, [&](const auto& item) {
     const bool listed = std::any_of(backends.begin(), backends.end(), [&](const Backend& backend) {
       return backend.view.name == item.first && takesRequests(backend);
     });
@@ -157,24 +157,24 @@
     if (!listed || late) orders_.onFailed(item.second.order);
     return !listed || late;
   });
-  startRuns(backends, now);
+  startOrders(backends, now);
   std::vector<RolloutAction> actions;
-  for (auto& [id, run] : runs_) {
-    if (run.call_running) continue;
+  for (auto& [id, active] : active_orders_) {
+    if (active.call_running) continue;
     RolloutAction action;
     action.backend = id;
-    action.address = run.order.address;
-    if (run.step == Step::ToSend) {
+    action.address = active.order.address;
+    if (active.step == Step::ReadyToSend) {
       action.kind = RolloutAction::Kind::Order;
-      action.model = run.order.model;
-      action.version = weightsVersionNumber(run.order.weights_version);
-      action.expected_orders_taken = run.orders_taken;
-      run.step = Step::Sending;
-      run.sent_at = now;
-    } else if (now < run.next_report_at) {
+      action.model = active.order.model;
+      action.version = weightsVersionNumber(active.order.weights_version);
+      action.expected_orders_taken = active.orders_taken;
+      active.step = Step::Sending;
+      active.sent_at = now;
+    } else if (now < active.next_report_at) {
       continue;
     }
-    run.call_running = true;
+    active.call_running = true;
     actions.push_back(std::move(action));
   }
   return actions;
@@ -182,50 +182,50 @@
 
 void WeightRollout::onReport(const std::string& backend, const std::optional<WeightsReport>& report,
                              TimePoint now) {
-  const auto found = runs_.find(backend);
-  if (found == runs_.end()) return;
-  Run& run = found->second;
-  run.call_running = false;
-  run.next_report_at = now + kReportInterval;
+  const auto found = active_orders_.find(backend);
+  if (found == active_orders_.end()) return;
+  ActiveOrder& active = found->second;
+  active.call_running = false;
+  active.next_report_at = now + kReportInterval;
   if (!report) {
-    if (run.step == Step::AwaitingReport) fail(backend, now);
+    if (active.step == Step::AwaitingReport) fail(backend, now);
     return;
   }
   for (const LoadedModel& loaded : report->models) {
     const bool reached =
-        weightsVersionNumber(loaded.weights_version) >= weightsVersionNumber(run.order.weights_version);
-    if (loaded.model != run.order.model || !reached) continue;
-    if (run.step == Step::Watching) {
-      load_seconds_ += 0.3 * (toSeconds(now - run.began_at) - load_seconds_);
+        weightsVersionNumber(loaded.weights_version) >= weightsVersionNumber(active.order.weights_version);
+    if (loaded.model != active.order.model || !reached) continue;
+    if (active.step == Step::AwaitingEffect) {
+      load_seconds_ += 0.3 * (toSeconds(now - active.began_at) - load_seconds_);
     }
-    orders_.onFailed(run.order);
-    runs_.erase(found);
+    orders_.onFailed(active.order);
+    active_orders_.erase(found);
     return;
   }
   if (report->order_running) return;
-  const bool from_before = run.step == Step::Watching && now - run.sent_at < kReportLag;
-  if (from_before) return;
-  run.orders_taken = report->orders_taken;
-  run.step = Step::ToSend;
+  const bool may_predate_order = active.step == Step::AwaitingEffect && now - active.sent_at < kReportLag;
+  if (may_predate_order) return;
+  active.orders_taken = report->orders_taken;
+  active.step = Step::ReadyToSend;
 }
 
 void WeightRollout::onOrderResponse(const std::string& backend, OrderResponse response, TimePoint now) {
-  const auto found = runs_.find(backend);
-  if (found == runs_.end()) return;
-  Run& run = found->second;
-  run.call_running = false;
-  run.step = Step::Watching;
-  run.next_report_at = now + kReportInterval;
+  const auto found = active_orders_.find(backend);
+  if (found == active_orders_.end()) return;
+  ActiveOrder& active = found->second;
+  active.call_running = false;
+  active.step = Step::AwaitingEffect;
+  active.next_report_at = now + kReportInterval;
   switch (response) {
     case OrderResponse::Begun:
     case OrderResponse::Unknown:
       return;
     case OrderResponse::InEffect:
-      orders_.onFailed(run.order);
-      runs_.erase(found);
+      orders_.onFailed(active.order);
+      active_orders_.erase(found);
       return;
     case OrderResponse::Conflict:
-      run.step = Step::AwaitingReport;
+      active.step = Step::AwaitingReport;
       return;
     case OrderResponse::Fenced:
     case OrderResponse::Refused:
@@ -235,21 +235,21 @@
 }
 
 void WeightRollout::fail(const std::string& backend, TimePoint now) {
-  const auto found = runs_.find(backend);
-  if (found == runs_.end()) return;
+  const auto found = active_orders_.find(backend);
+  if (found == active_orders_.end()) return;
   orders_.onFailed(found->second.order);
-  runs_.erase(found);
+  active_orders_.erase(found);
   backoff_until_[backend] = now + kFailureBackoff;
 }
 
 bool WeightRollout::isLoading(const std::string& backend) const {
-  const auto found = runs_.find(backend);
-  if (found == runs_.end()) return false;
-  return found->second.step == Step::Sending || found->second.step == Step::Watching;
+  const auto found = active_orders_.find(backend);
+  if (found == active_orders_.end()) return false;
+  return found->second.step == Step::Sending || found->second.step == Step::AwaitingEffect;
 }
 
 void WeightRollout::reset() {
-  runs_.clear();
+  active_orders_.clear();
   backoff_until_.clear();
   orders_.reset();
 }
--- a/src/gateway_process/gateway_metrics.cc
+++ b/src/gateway_process/gateway_metrics.cc
@@ -38,20 +38,24 @@
                     .Register(*registry_)),
       admitted_(counter("admitted_total", "Requests with a route and a valid key.")),
       dispatches_(counter("dispatches_total", "Requests sent to back ends.")),
-      repeats_(counter("repeats_total", "Of these, beyond the first of a request.")),
+      retries_(counter("repeats_total", "Of these, beyond the first of a request.")),
       waits_(counter("waits_total", "Requests that waited for a place.")),
-      distrusts_(counter("backends_distrusted_total", "Times that failures took a back end out of use.")),
+      backends_distrusted_(
+          counter("backends_distrusted_total", "Times that failures took a back end out of use.")),
       suspected_(counter("requests_suspected_total", "Back ends that broke off, by request that they had.")),
       suspicions_withdrawn_(counter("suspicions_withdrawn_total",
                                     "Times that a whole answer or a back end that lives refuted that.")),
       prompt_tokens_(counter("prompt_tokens_total", "Prompt tokens of dispatches.")),
       uncached_tokens_(counter("uncached_tokens_total", "Of these, expected to be read by the engine.")),
-      shared_tokens_again_(counter("shared_tokens_again_total",
-                                   "Shared tokens expected to be read though an engine holds them.")),
+      recomputed_shared_tokens_(counter("shared_tokens_again_total",
+                                        "Shared tokens expected to be read though an engine holds them.")),
       imports_(counter("imports_total", "Dispatches that import cached parts from another engine.")),
-      first_byte_(histogram(*registry_, "first_byte_seconds", "From the request read to its first byte.")),
-      total_(histogram(*registry_, "answer_seconds", "From the request read to the end of a whole answer.")),
-      refused_after_(histogram(*registry_, "refused_after_seconds", "From the request read to its refusal.")),
+      time_to_first_byte_(
+          histogram(*registry_, "first_byte_seconds", "From the request read to its first byte.")),
+      response_time_(
+          histogram(*registry_, "answer_seconds", "From the request read to the end of a whole answer.")),
+      time_to_refusal_(
+          histogram(*registry_, "refused_after_seconds", "From the request read to its refusal.")),
       cache_age_(
           histogram(*registry_, "cache_age_seconds", "Age of the cache news that a placement rests on.")),
       in_flight(gauge("requests_in_flight", "Requests whose answer has not ended.")),
@@ -80,9 +84,9 @@
 
 std::string GatewayMetrics::routeLabel(std::string_view route) {
   if (route.empty()) return "none";
-  if (known_routes_.contains(route)) return std::string(route);
-  if (known_routes_.size() >= kMaxLabeledRoutes) return "other";
-  return *known_routes_.emplace(route).first;
+  if (labeled_routes_.contains(route)) return std::string(route);
+  if (labeled_routes_.size() >= kMaxLabeledRoutes) return "other";
+  return *labeled_routes_.emplace(route).first;
 }
 
 void GatewayMetrics::onAdmitted(const RequestAdmitted&) {
@@ -91,10 +95,10 @@
 
 void GatewayMetrics::onPlaced(const RequestPlaced& record) {
   dispatches_.Increment();
-  if (record.dispatch > 1) repeats_.Increment();
+  if (record.dispatch > 1) retries_.Increment();
   prompt_tokens_.Increment(record.prompt_tokens);
   uncached_tokens_.Increment(record.uncached_tokens);
-  shared_tokens_again_.Increment(record.shared_tokens_again);
+  recomputed_shared_tokens_.Increment(record.shared_tokens_again);
   if (!record.import_from.empty()) imports_.Increment();
   if (record.cache_age) cache_age_.Observe(toSeconds(*record.cache_age));
 }
@@ -116,14 +120,14 @@
       .Increment();
   if (record.outcome == RequestOutcome::refused) {
     refusals_.Add({{"cause", std::string(nameOf(record.cause))}}).Increment();
-    refused_after_.Observe(toSeconds(record.total));
+    time_to_refusal_.Observe(toSeconds(record.total));
   }
-  if (record.first_byte) first_byte_.Observe(toSeconds(*record.first_byte));
-  if (record.outcome == RequestOutcome::answered) total_.Observe(toSeconds(record.total));
+  if (record.first_byte) time_to_first_byte_.Observe(toSeconds(*record.first_byte));
+  if (record.outcome == RequestOutcome::answered) response_time_.Observe(toSeconds(record.total));
 }
 
 void GatewayMetrics::onDistrusted(const BackendDistrusted&) {
-  distrusts_.Increment();
+  backends_distrusted_.Increment();
 }
 
 void GatewayMetrics::onSuspected(const RequestSuspected&) {
--- a/src/gateway_process/gateway_metrics.h
+++ b/src/gateway_process/gateway_metrics.h
@@ -17,7 +17,8 @@
 
 namespace crankspur::gateway {
 
-/// Registers each metric as crankspur_gateway_NAME and updates it from the decisions that it observes.
+/// Registers each metric as crankspur_gateway_NAME and updates it from the decisions that it observes. The
+/// constructor contains the help text of each metric.
 class GatewayMetrics : public RequestObserver {
 private:
   // Declared before the metrics because their initializers register them here.
@@ -42,6 +43,7 @@
   void setBackends(std::string_view state, std::size_t count);
 
 private:
+  /// @return value of the label `route`: "other" for routes beyond kMaxLabeledRoutes.
   std::string routeLabel(std::string_view route);
 
   prometheus::Family<prometheus::Counter>& requests_;
@@ -50,20 +52,20 @@
   prometheus::Family<prometheus::Gauge>& backends_;
   prometheus::Counter& admitted_;
   prometheus::Counter& dispatches_;
-  prometheus::Counter& repeats_;
+  prometheus::Counter& retries_;
   prometheus::Counter& waits_;
-  prometheus::Counter& distrusts_;
+  prometheus::Counter& backends_distrusted_;
   prometheus::Counter& suspected_;
   prometheus::Counter& suspicions_withdrawn_;
   prometheus::Counter& prompt_tokens_;
   prometheus::Counter& uncached_tokens_;
-  prometheus::Counter& shared_tokens_again_;
+  prometheus::Counter& recomputed_shared_tokens_;
   prometheus::Counter& imports_;
-  prometheus::Histogram& first_byte_;
-  prometheus::Histogram& total_;
-  prometheus::Histogram& refused_after_;
+  prometheus::Histogram& time_to_first_byte_;
+  prometheus::Histogram& response_time_;
+  prometheus::Histogram& time_to_refusal_;
   prometheus::Histogram& cache_age_;
-  std::set<std::string, std::less<>> known_routes_;
+  std::set<std::string, std::less<>> labeled_routes_;
 
 public:
   prometheus::Gauge& in_flight;
--- a/src/gateway_process/gateway_process.cc
+++ b/src/gateway_process/gateway_process.cc
@@ -37,22 +37,22 @@
 void GatewayProcess::publish(std::shared_ptr<const GatewaySnapshot> snapshot) {
   if (snapshot->configuration != nullptr) implementation_->configured = true;
   implementation_->thread.post(
-      [this, shared = std::move(snapshot)] { implementation_->loop.onSnapshot(shared); });
+      [this, snapshot = std::move(snapshot)] { implementation_->loop.onSnapshot(snapshot); });
 }
 
 void GatewayProcess::onCachedParts(CachedPartsUpdate update) {
   implementation_->thread.post(
-      [this, owned = std::move(update)] { implementation_->loop.onCachedParts(owned); });
+      [this, update = std::move(update)] { implementation_->loop.onCachedParts(update); });
 }
 
 void GatewayProcess::onPeerLoad(std::vector<LoadDigest> digests) {
   implementation_->thread.post(
-      [this, owned = std::move(digests)] { implementation_->loop.onPeerLoad(owned); });
+      [this, digests = std::move(digests)] { implementation_->loop.onPeerLoad(digests); });
 }
 
 void GatewayProcess::onCrashUpdate(CrashUpdate update) {
   implementation_->thread.post(
-      [this, owned = std::move(update)] { implementation_->loop.onCrashUpdate(owned); });
+      [this, update = std::move(update)] { implementation_->loop.onCrashUpdate(update); });
 }
 
 void GatewayProcess::onConnectionsSilent() {
--- a/src/router_process/claim_group_driver.cc
+++ b/src/router_process/claim_group_driver.cc
@@ -40,7 +40,7 @@
 void ClaimGroupDriver::tick() {
   updateRouters();
   service_.tick(clock_.now());
-  pump();
+  executeActions();
   timer_.expires_after(kTickInterval);
   timer_.async_wait([this](boost::system::error_code error) {
     if (!error) tick();
@@ -69,7 +69,7 @@
   group_request.claim = next_claim_++;
   pending_claims_[group_request.claim] = PendingClaim{shard, request.claim};
   service_.begin(group_request, clock_.now());
-  pump();
+  executeActions();
 }
 
 void ClaimGroupDriver::notice(const GroupClaimNotice& notice) {
@@ -78,20 +78,20 @@
   } else {
     service_.record(std::get<ClaimRecord>(notice.notice), clock_.now());
   }
-  pump();
+  executeActions();
 }
 
 void ClaimGroupDriver::onGroupFound() {
   service_.onGroupFound();
-  pump();
+  executeActions();
 }
 
 void ClaimGroupDriver::onMessage(const Message& message, const std::string& from) {
   service_.onMessage(message, from, clock_.now());
-  pump();
+  executeActions();
 }
 
-void ClaimGroupDriver::pump() {
+void ClaimGroupDriver::executeActions() {
   for (const ClaimGroupAction& action : service_.takeActions()) execute(action);
   reportChanges();
 }
@@ -119,7 +119,7 @@
   table_->read(kClaimGroupRowKey, [this](const ReadResult& result) {
     const auto* row = std::get_if<TableRow>(&result);
     service_.onRowRead(row != nullptr ? decodeClaimGroupRow(*row) : std::nullopt, clock_.now());
-    pump();
+    executeActions();
   });
 }
 
@@ -131,7 +131,7 @@
                           if (std::holds_alternative<TransactionCommitted>(result)) committed = true;
                           if (std::holds_alternative<TransactionConflict>(result)) committed = false;
                           service_.onRowSwapped(committed, clock_.now());
-                          pump();
+                          executeActions();
                         });
 }
 
@@ -151,7 +151,7 @@
     current_row = decodeClaimRow(conflict->rows.front());
   }
   service_.onClaimPut(put.key, current_row, clock_.now());
-  pump();
+  executeActions();
 }
 
 void ClaimGroupDriver::reportChanges() {
--- a/src/router_process/claim_group_driver.h
+++ b/src/router_process/claim_group_driver.h
@@ -59,7 +59,7 @@
 
   void tick();
   void updateRouters();
-  void pump();
+  void executeActions();
   void execute(const ClaimGroupAction& action);
   void readRow();
   void swapRow(const SwapGroupRow& swap);
--- a/src/router_process/traffic_shard.cc
+++ b/src/router_process/traffic_shard.cc
@@ -53,7 +53,7 @@
   thread_.post([this, snapshot = std::move(snapshot)] {
     updateTableLimit(*snapshot);
     router_->onSnapshot(snapshot, now());
-    pump();
+    executeActions();
   });
 }
 
@@ -73,7 +73,7 @@
     metrics_.requests.Increment();
     reportSent(request.request_id);
     router_->onSubmit(sidecar, request, now());
-    pump();
+    executeActions();
   });
 }
 
@@ -81,7 +81,7 @@
   thread_.post([this, sidecar, cancel] {
     reportSent(cancel.request_id);
     router_->onCancel(sidecar, cancel, now());
-    pump();
+    executeActions();
   });
 }
 
@@ -89,7 +89,7 @@
   thread_.post([this, sidecar] {
     reportAllSent();
     router_->onSidecarLost(sidecar, now());
-    pump();
+    executeActions();
   });
 }
 
@@ -104,21 +104,21 @@
       gap = !router_->onCacheEvent(update->slot, update->incarnation, event, now()) || gap;
     }
     if (gap) callbacks_.on_cache_gap(update->slot, update->incarnation);
-    pump();
+    executeActions();
   });
 }
 
 void TrafficShard::postGroupClaim(std::uint64_t claim, const GroupClaimDecision& decision) {
   thread_.post([this, claim, decision] {
     router_->onGroupClaim(claim, decision, now());
-    pump();
+    executeActions();
   });
 }
 
 void TrafficShard::postDrain() {
   thread_.post([this] {
     router_->drain(now());
-    pump();
+    executeActions();
   });
 }
 
@@ -127,7 +127,7 @@
   thread_.post([this, request_id, done = std::move(done)] { done(router_->explain(request_id)); });
 }
 
-void TrafficShard::pump() {
+void TrafficShard::executeActions() {
   std::vector<RouterAction> actions = router_->takeActions();
   while (!actions.empty()) {
     for (RouterAction& action : actions) execute(std::move(action));
@@ -234,7 +234,7 @@
   const ActiveDispatch ended = last ? std::move(active) : ActiveDispatch();
   if (last) active_dispatches_.erase(found);
   router_->onBackend(dispatch, event, now());
-  pump();
+  executeActions();
 }
 
 void TrafficShard::reportOutcome(ActiveDispatch& active, const BackendEvent& event) {
@@ -284,7 +284,7 @@
   if (!table_) {
     thread_.post([this, claim] {
       router_->onClaimFailed(claim, now());
-      pump();
+      executeActions();
     });
     return;
   }
@@ -308,7 +308,7 @@
   } else {
     router_->onClaimFailed(claim, now());
   }
-  pump();
+  executeActions();
 }
 
 void TrafficShard::onClaimWritten(std::uint64_t claim, const TransactionResult& result) {
@@ -328,7 +328,7 @@
   } else {
     router_->onClaimFailed(claim, now());
   }
-  pump();
+  executeActions();
 }
 
 void TrafficShard::armTimer() {
@@ -346,7 +346,7 @@
     timer_at_ = TimePoint::max();
     reportAllSent();
     router_->onTimer(now());
-    pump();
+    executeActions();
   });
 }
 
--- a/src/router_process/traffic_shard.h
+++ b/src/router_process/traffic_shard.h
@@ -92,7 +92,7 @@
   };
 
   TimePoint now() const { return clock_.now(); }
-  void pump();
+  void executeActions();
   void updateInFlight();
   void execute(RouterAction action);
   void dispatchCompletion(const DispatchCompletion& dispatch);
--- a/tests/unit/http/bad_input_test.cc
+++ b/tests/unit/http/bad_input_test.cc
@@ -59,6 +59,7 @@
       {"long body", "POST / HTTP/1.1\r\nContent-Length: 2049\r\n\r\n" + std::string(2049, 'x'), "413",
        "too_large"},
       {"huge length", "POST / HTTP/1.1\r\nContent-Length: 18446744073709551615\r\n\r\n", "413", "too_large"},
+      // The chunk size 801 is hexadecimal: 2049 bytes.
       {"long chunks",
        "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n801\r\n" + std::string(2049, 'x') + "\r\n",
        "413", "too_large"},
@@ -85,7 +86,7 @@
   CHECK(fixture.run({"POST", "/", {}, "after"}).response.body == "after");
 }
 
-TEST_CASE("a request that is not received in time gets 408", "[http]") {
+TEST_CASE("a request whose header is not complete within the timeout gets 408", "[http]") {
   ServerLimits limits;
   limits.header_timeout = std::chrono::milliseconds(50);
   HttpFixture fixture(&echoBody, limits);
@@ -94,7 +95,7 @@
   CHECK(client.received.substr(0, 13) == "HTTP/1.1 408 ");
 }
 
-TEST_CASE("requests rejected by the server are reported with the part of the head that was read", "[http]") {
+TEST_CASE("a request rejected by the server is reported with the part of its head that was read", "[http]") {
   ServerLimits limits = smallLimits();
   limits.connections = 1;
   HttpFixture fixture(&echoBody, limits);
@@ -110,8 +111,8 @@
   CHECK(reported[0].head.target == "/long");
   CHECK(reported[0].head.header("Request-Id") == "7f");
   CHECK(fixture.run({"POST", "/", {}, "kept open"}).response.body == "kept open");
-  RawClient surplus(fixture, "GET / HTTP/1.1\r\n\r\n");
-  fixture.runUntil([&] { return surplus.closed; });
+  RawClient client_over_limit(fixture, "GET / HTTP/1.1\r\n\r\n");
+  fixture.runUntil([&] { return client_over_limit.closed; });
   REQUIRE(reported.size() == 2);
   CHECK(reported[1].status == 503);
 }
@@ -166,12 +167,12 @@
   const std::string last = "POST / HTTP/1.0\r\nContent-Length: 1\r\n\r\nc";
   RawClient client(fixture, first + second + last);
   fixture.runUntil([&] { return client.closed; });
-  const std::size_t a = client.received.find("\r\n\r\na");
-  const std::size_t b = client.received.find("\r\n\r\nb");
-  const std::size_t c = client.received.find("\r\n\r\nc");
-  CHECK(a < b);
-  CHECK(b < c);
-  CHECK(c != std::string::npos);
+  const std::size_t first_at = client.received.find("\r\n\r\na");
+  const std::size_t second_at = client.received.find("\r\n\r\nb");
+  const std::size_t last_at = client.received.find("\r\n\r\nc");
+  CHECK(first_at < second_at);
+  CHECK(second_at < last_at);
+  CHECK(last_at != std::string::npos);
 }
 
 TEST_CASE("a header value cannot inject a field, and a dropped writer responds 500", "[http]") {
--- a/tests/unit/http/http_test.cc
+++ b/tests/unit/http/http_test.cc
@@ -23,26 +23,26 @@
   }
 }
 
-TEST_CASE("the client receives chunks individually, as they are written", "[http]") {
+TEST_CASE("the client receives each chunk as soon as it is written", "[http]") {
   std::shared_ptr<ResponseWriter> stream;
   HttpFixture fixture([&](Request, std::shared_ptr<ResponseWriter> writer) {
     stream = writer;
     writer->begin(200, {{"Content-Type", "text/event-stream"}});
     writer->write("first");
   });
-  std::vector<std::string> pieces;
+  std::vector<std::string> chunks;
   std::optional<std::error_code> ended;
   ExchangeCallbacks callbacks;
-  callbacks.on_data = [&](std::string_view piece) {
-    pieces.emplace_back(piece);
-    if (pieces.size() == 1) stream->write("second");
-    if (pieces.size() == 2) stream->end();
+  callbacks.on_data = [&](std::string_view chunk) {
+    chunks.emplace_back(chunk);
+    if (chunks.size() == 1) stream->write("second");
+    if (chunks.size() == 2) stream->end();
   };
   callbacks.on_done = [&](std::error_code error, SendState, Response) { ended = error; };
   fixture.client->start(fixture.address(), {"GET", "/", {}, {}}, callbacks);
   fixture.runUntil([&] { return ended.has_value(); });
   CHECK_FALSE(*ended);
-  CHECK(pieces == std::vector<std::string>{"first", "second"});
+  CHECK(chunks == std::vector<std::string>{"first", "second"});
   CHECK(fixture.server->openRequests() == 0);
 }
 
@@ -68,7 +68,7 @@
   CHECK(fixture.server->openRequests() == 0);
 }
 
-TEST_CASE("a stream aborted by the server is an error after the request was sent", "[http]") {
+TEST_CASE("a stream that the server aborts ends with an error and an unknown outcome", "[http]") {
   HttpFixture fixture([](Request, std::shared_ptr<ResponseWriter> writer) {
     writer->begin(200, {});
     writer->write("piece");
--- a/tools/load/load_run.cc
+++ b/tools/load/load_run.cc
@@ -61,7 +61,7 @@
   }
 
   void send(TimePoint planned_start) {
-    if (outstanding_ >= options_.maximum_outstanding / options_.threads) {
+    if (outstanding_ >= options_.max_outstanding / options_.threads) {
       ++not_sent_;
       return;
     }
--- a/tools/load/load_run.h
+++ b/tools/load/load_run.h
@@ -17,7 +17,7 @@
   double requests_per_second = 10;
   Duration duration = std::chrono::seconds(10);
   std::uint32_t threads = 2;
-  std::uint32_t maximum_outstanding = 10'000;  ///< Over all threads; requests above the limit are not sent.
+  std::uint32_t max_outstanding = 10'000;  ///< Over all threads; requests above the limit are not sent.
   std::string key_prefix;
   WorkloadOptions workload;
 };
@@ -25,7 +25,7 @@
 /// Result of a run.
 struct LoadRunResult {
   std::vector<CallOutcome> outcomes;
-  std::uint64_t not_sent = 0;  ///< Scheduled requests dropped because of maximum_outstanding.
+  std::uint64_t not_sent = 0;  ///< Scheduled requests dropped because of max_outstanding.
   Duration duration{0};        ///< Time in which requests were scheduled.
 };
 
--- a/tools/load/main.cc
+++ b/tools/load/main.cc
@@ -73,7 +73,7 @@
   options.requests_per_second = absl::GetFlag(FLAGS_rate);
   options.duration = Duration(static_cast<Duration::rep>(absl::GetFlag(FLAGS_duration_s) * 1e6));
   options.threads = absl::GetFlag(FLAGS_threads);
-  options.maximum_outstanding = absl::GetFlag(FLAGS_maximum_outstanding);
+  options.max_outstanding = absl::GetFlag(FLAGS_maximum_outstanding);
   options.key_prefix = absl::GetFlag(FLAGS_key_prefix);
   options.workload.seed = absl::GetFlag(FLAGS_seed);
   options.workload.tenant_skew = absl::GetFlag(FLAGS_tenant_skew);
