--- a/sim/check/checkers.h
+++ b/sim/check/checkers.h
@@ -34,7 +34,7 @@
 void checkFencing(const CheckInput& input, Violations& violations);
 /// The number of engines that load weights concurrently stays within Knobs::parallel_weight_loads.
 void checkParallelWeightLoads(const CheckInput& input, Violations& violations);
-/// No caller is told that its deadline passed before it did, whatever the skew of the clocks.
+/// No request fails with DeadlineExceeded before its deadline has passed, whatever the skew of the clocks.
 void checkDeadlines(const CheckInput& input, Violations& violations);
 /// The loss of engines does not multiply the load on the remaining ones.
 void checkRetryStorm(const CheckInput& input, Violations& violations);
--- a/sim/check/checkers_outage.cc
+++ b/sim/check/checkers_outage.cc
@@ -24,7 +24,7 @@
     violations.push_back(
         {"outage_progress",
          fmt::format(
-             "{} was refused {:.1f} s into the table's outage though a majority of the group lives: {}",
+             "{} was refused {:.1f} s into the table's outage though a majority of the group is live: {}",
              caller.request.request_id, toSeconds(caller.submitted_at - outage.from),
              caller.error->message)});
   }
--- a/sim/check/checkers_requests.cc
+++ b/sim/check/checkers_requests.cc
@@ -129,7 +129,7 @@
     const bool reported_not_run = caller.error && caller.error->run_state == RunState::NotRun;
     if (reported_not_run && executed_requests.contains(caller.request.request_id)) {
       violations.push_back(
-          {"not_run", fmt::format("{} was told \"not run\" ({}) but it ran", caller.request.request_id,
+          {"not_run", fmt::format("{} was reported as \"not run\" ({}) but it ran", caller.request.request_id,
                                   errorName(caller.error->code))});
     }
   }
@@ -154,7 +154,7 @@
     if (!caller.error || caller.error->code != ErrorCode::DeadlineExceeded) continue;
     const Duration waited = caller.finished_at - caller.submitted_at;
     if (toSeconds(waited) >= kMinElapsedShare * toSeconds(caller.request.deadline)) continue;
-    violations.push_back({"deadline", fmt::format("{} was told after {:.3f} s that its {:.0f} s had passed",
+    violations.push_back({"deadline", fmt::format("{} failed after {:.3f} s as past its deadline of {:.0f} s",
                                                   caller.request.request_id, toSeconds(waited),
                                                   toSeconds(caller.request.deadline))});
   }
--- a/sim/gateway_world/gateway_node.cc
+++ b/sim/gateway_world/gateway_node.cc
@@ -76,8 +76,8 @@
   }
   process_->membership->seed(seeds, now());
   process_->crashes.onTimer({}, now());
-  pumpMembership();
-  pumpCrashes();
+  executeMembershipActions();
+  executeCrashActions();
   readStore();
   checkSuspension();
 }
@@ -143,7 +143,7 @@
     readStore();
     process_->traffic.onTimer(now());
     process_->traffic.onConnectionsSilent(now());
-    pump();
+    executeActions();
   }
   process_->crashes.onRunning(now());
   arm(process_->suspension_timer, now() + kSuspensionCheckInterval, [this] { checkSuspension(); });
--- a/sim/gateway_world/gateway_node.h
+++ b/sim/gateway_world/gateway_node.h
@@ -95,7 +95,7 @@
   void every(Timer& timer, Duration interval, const sim::Task& task);
 
   // Traffic (gateway_node_traffic.cc).
-  void pump();
+  void executeActions();
   void execute(const gateway::Refuse& action);
   void execute(const gateway::Dispatch& action);
   void execute(const gateway::CancelExchange& action);
@@ -123,11 +123,11 @@
                        TimePoint requested_true_time);
   void onStoreFailure();
   void publish();
-  void pumpCrashes();
+  void executeCrashActions();
   void execute(const gateway::SendCrashMessage& action);
   void execute(const gateway::NotifyTraffic& action);
   void execute(const gateway::CallStore& action);
-  void pumpMembership();
+  void executeMembershipActions();
   void sendDatagram(const std::string& member, const Message& message);
   std::vector<std::string> otherMembers() const;
   void checkSuspension();
--- a/sim/gateway_world/gateway_node_control.cc
+++ b/sim/gateway_world/gateway_node_control.cc
@@ -94,7 +94,7 @@
   snapshot->key_validity = context_.site.key_validity;
   host_.post(kThreadDelay, [this, snapshot] {
     process_->traffic.onSnapshot(snapshot, now());
-    pump();
+    executeActions();
   });
   TimePoint next = std::min(now() + kMaxPublishInterval, process_->fleet.nextChange(now()));
   if (snapshot->configuration == nullptr) next = std::min(next, now() + std::chrono::milliseconds(100));
@@ -103,13 +103,13 @@
 
 // Evidence against poison requests.
 
-void GatewayNode::pumpCrashes() {
+void GatewayNode::executeCrashActions() {
   for (const gateway::CrashAction& action : process_->crashes.takeActions()) {
     std::visit([this](const auto& chosen) { execute(chosen); }, action);
   }
   arm(process_->crash_timer, process_->crashes.nextTimer(), [this] {
     process_->crashes.onTimer(otherMembers(), now());
-    pumpCrashes();
+    executeCrashActions();
   });
 }
 
@@ -137,7 +137,7 @@
       process_->crashes.onRecordRead(executed ? std::optional(*row) : std::nullopt, now());
       publish();
     }
-    pumpCrashes();
+    executeCrashActions();
   };
   store.call(
       host_,
@@ -183,15 +183,15 @@
     process_->membership->onAck(*ack, now());
   } else if (const auto* notes = std::get_if<CrashNotes>(&message)) {
     process_->crashes.onNotes(*notes, now());
-    return pumpCrashes();
+    return executeCrashActions();
   } else if (const auto* digest = std::get_if<CrashDigest>(&message)) {
     process_->crashes.onDigest(from, *digest, now());
-    return pumpCrashes();
+    return executeCrashActions();
   }
-  pumpMembership();
+  executeMembershipActions();
 }
 
-void GatewayNode::pumpMembership() {
+void GatewayNode::executeMembershipActions() {
   for (const OutgoingGossip& outgoing : process_->membership->takeOutgoing()) {
     std::visit([&](const auto& message) { sendDatagram(outgoing.address, message); }, outgoing.message);
   }
@@ -201,7 +201,7 @@
   }
   arm(process_->membership_timer, process_->membership->nextTimer(), [this] {
     process_->membership->onTimer(now());
-    pumpMembership();
+    executeMembershipActions();
   });
 }
 
--- a/sim/gateway_world/gateway_node_traffic.cc
+++ b/sim/gateway_world/gateway_node_traffic.cc
@@ -41,15 +41,15 @@
   channel->onClosed(sim::Side::Server, [this, id] {
     if (process_->clients.erase(id) == 0) return;
     process_->traffic.onClientDisconnected(id, now());
-    pump();
+    executeActions();
   });
   const std::string body = fmt::format("body {}", request.body);
   process_->traffic.onRequest(id, makeIncomingRequest(request, body), now());
-  pump();
+  executeActions();
 }
 
-void GatewayNode::pump() {
-  if (std::exchange(process_->pumping, true)) return;
+void GatewayNode::executeActions() {
+  if (std::exchange(process_->executing_actions, true)) return;
   while (true) {
     const std::vector<gateway::GatewayAction> actions = process_->traffic.takeActions();
     if (actions.empty()) break;
@@ -57,17 +57,17 @@
       std::visit([this](const auto& chosen) { execute(chosen); }, action);
     }
   }
-  process_->pumping = false;
+  process_->executing_actions = false;
   arm(process_->traffic_timer, process_->traffic.nextTimer().value_or(TimePoint::max()), [this] {
     process_->traffic.onTimer(now());
-    pump();
+    executeActions();
   });
   if (!process_->traffic.hasCrashUpdate() || std::exchange(process_->crash_update_waiting, true)) return;
   arm(process_->crash_update_timer, now() + gateway::kCrashUpdateDelay, [this] {
     process_->crash_update_waiting = false;
     host_.post(kThreadDelay, [this, update = process_->traffic.takeCrashUpdate()] {
       process_->crashes.onOwnUpdate(update, otherMembers(), now());
-      pumpCrashes();
+      executeCrashActions();
     });
   });
 }
@@ -145,7 +145,7 @@
   response.not_run = head.not_run;
   response.wrong_backend = head.wrong_engine;
   process_->traffic.onHead(id, head.status, response, now());
-  pump();
+  executeActions();
 }
 
 void GatewayNode::onEngineBytes(gateway::ExchangeId id, const std::string& bytes) {
@@ -156,7 +156,7 @@
     return;
   }
   process_->traffic.onBytes(id, bytes, now());
-  pump();
+  executeActions();
 }
 
 void GatewayNode::onEngineEnd(gateway::ExchangeId id) {
@@ -164,7 +164,7 @@
   if (found == process_->exchanges.end()) return;
   const sim::ChannelPointer channel = found->second.channel;
   process_->traffic.onEnd(id, now());
-  pump();
+  executeActions();
   process_->exchanges.erase(id);
   channel->onClosed(sim::Side::Client, {});
   channel->close(sim::Side::Client);
@@ -173,7 +173,7 @@
 void GatewayNode::onLost(gateway::ExchangeId id, bool sent) {
   if (process_->exchanges.erase(id) == 0) return;
   process_->traffic.onLost(id, sent, now());
-  pump();
+  executeActions();
 }
 
 void GatewayNode::execute(const gateway::CancelExchange& action) {
@@ -222,7 +222,7 @@
 void GatewayNode::execute(const gateway::ProbeBackend& action) {
   const auto on_result = [this, probe = action.probe](bool responded) {
     process_->traffic.onProbeResult(probe, responded, now());
-    pump();
+    executeActions();
   };
   EngineProcess& engine = world_.engineAt(action.address);
   context_.network.connect(
--- a/sim/gateway_world/gateway_process_state.h
+++ b/sim/gateway_world/gateway_process_state.h
@@ -18,7 +18,7 @@
   std::map<gateway::ClientId, Client> clients;
   std::map<gateway::ExchangeId, Exchange> exchanges;
   gateway::ClientId next_client = 1;
-  bool pumping = false;
+  bool executing_actions = false;
   Timer traffic_timer;
   Timer crash_update_timer;
   bool crash_update_waiting = false;
--- a/sim/world/engine_node.cc
+++ b/sim/world/engine_node.cc
@@ -17,7 +17,7 @@
   const standin::StreamId stream = addStream(channel, std::move(handler));
   recordArrival(stream, request, sender);
   model_.submit(stream, request, context_.queue.now());
-  pump();
+  processOutputs();
 }
 
 standin::StreamId EngineNode::addStream(const ChannelPointer& channel, StreamHandler handler) {
@@ -26,7 +26,7 @@
   channel->onClosed(Side::Server, [this, stream] {
     streams_.erase(stream);
     model_.onStreamClosed(stream, context_.queue.now());
-    pump();
+    processOutputs();
   });
   return stream;
 }
@@ -34,7 +34,7 @@
 void EngineNode::resume(const ChannelPointer& channel, const standin::ResumeRequest& request,
                         StreamHandler handler) {
   model_.resume(addStream(channel, std::move(handler)), request, context_.queue.now());
-  pump();
+  processOutputs();
 }
 
 void EngineNode::recordArrival(standin::StreamId stream, const standin::CompletionRequest& request,
@@ -56,7 +56,7 @@
 
 void EngineNode::cancel(const std::string& request_id, std::uint32_t attempt) {
   model_.cancel(request_id, attempt, context_.queue.now());
-  pump();
+  processOutputs();
 }
 
 ErrorCode EngineNode::order(standin::EngineOrder order) {
@@ -72,13 +72,13 @@
     context_.records.orders.push_back({host_.name(), model_.incarnation(), token,
                                        context_.records.loading_weights.size(), context_.queue.now()});
   }
-  pump();
+  processOutputs();
   return code;
 }
 
 standin::CacheDigest EngineNode::cacheDigest() {
   standin::CacheDigest digest = model_.cacheDigest(context_.queue.now());
-  pump();
+  processOutputs();
   return digest;
 }
 
@@ -97,7 +97,7 @@
   if (host_.up()) return;
   host_.start();
   context_.trace.note(host_.name(), "restart, incarnation {}", model_.incarnation());
-  pump();
+  processOutputs();
 }
 
 void EngineNode::freeze() {
@@ -118,10 +118,10 @@
 void EngineNode::startLeaving() {
   context_.trace.note(host_.name(), "says that it leaves");
   model_.startLeaving(context_.queue.now());
-  pump();
+  processOutputs();
 }
 
-void EngineNode::pump() {
+void EngineNode::processOutputs() {
   recordLoadedWeights();
   for (const standin::EngineOutput& output : model_.takeOutputs()) {
     if (const auto* stream = std::get_if<standin::StreamOutput>(&output)) forwardStreamOutput(*stream);
@@ -130,7 +130,7 @@
       const standin::ImportQuery copy = *query;
       host_.post(Duration(0), [this, copy] {
         model_.onImportResponse(copy.request_id, copy.attempt, 0, 0, context_.queue.now());
-        pump();
+        processOutputs();
       });
     }
   }
@@ -174,7 +174,7 @@
       host_, query.model, query.weights_version, [this, query](std::optional<WeightsTransfer> transfer) {
         const auto time = transfer ? std::optional(transfer->duration) : std::nullopt;
         model_.onWeightsResponse(query.model, query.weights_version, time, context_.queue.now());
-        pump();
+        processOutputs();
       });
 }
 
@@ -185,7 +185,7 @@
   host_.post(std::max(*next - context_.queue.now(), Duration(0)), [this, generation] {
     if (generation != timer_generation_) return;
     model_.onTimer(context_.queue.now());
-    pump();
+    processOutputs();
   });
 }
 
--- a/sim/world/engine_node.h
+++ b/sim/world/engine_node.h
@@ -52,7 +52,7 @@
     ChannelPointer channel;
     StreamHandler handler;
   };
-  void pump();
+  void processOutputs();
   void recordLoadedWeights();
   void forwardStreamOutput(const standin::StreamOutput& output);
   void queryWeightStore(const standin::WeightsQuery& query);
--- a/sim/world/router_claims.cc
+++ b/sim/world/router_claims.cc
@@ -38,11 +38,11 @@
   }
   process_->claim_group->setRouters(std::move(routers), rank);
   process_->claim_group->tick(now());
-  pumpClaimGroup();
+  executeClaimGroupActions();
   host_.post(kClaimGroupTickInterval, [this] { tickClaimGroup(); });
 }
 
-void RouterNode::pumpClaimGroup() {
+void RouterNode::executeClaimGroupActions() {
   for (const ClaimGroupAction& action : process_->claim_group->takeActions()) executeClaimGroupAction(action);
   if (process_->claim_group->inForce() != process_->claims_by_group) publish();
 }
@@ -54,7 +54,7 @@
   } else if (std::holds_alternative<ReadGroupRow>(action)) {
     platform.readRow(host_, kClaimGroupRowKey, [this](const std::optional<TableRow>& row) {
       process_->claim_group->onRowRead(row ? std::optional(decodeClaimGroupRow(*row)) : std::nullopt, now());
-      pumpClaimGroup();
+      executeClaimGroupActions();
     });
   } else if (const auto* swap = std::get_if<SwapGroupRow>(&action)) {
     context_.trace.note(host_.name(), "swaps to claim epoch {}", swap->row.epoch);
@@ -62,7 +62,7 @@
                       [this](const std::optional<WriteResponse>& response) {
                         process_->claim_group->onRowSwapped(
                             response ? std::optional(response->committed) : std::nullopt, now());
-                        pumpClaimGroup();
+                        executeClaimGroupActions();
                       });
   } else if (const auto* put = std::get_if<PutClaimRow>(&action)) {
     putClaimRow(*put);
@@ -70,7 +70,7 @@
     context_.trace.note(host_.name(), "claim {}: the group decides {}", decided->claim,
                         static_cast<int>(decided->decision.kind));
     process_->requests->onGroupClaim(decided->claim, decided->decision, now());
-    pump();
+    executeActions();
   }
 }
 
@@ -89,7 +89,7 @@
         std::optional<ClaimRow> present;
         if (response) present = decodeClaimRow(response->row);
         process_->claim_group->onClaimPut(key, present, now());
-        pumpClaimGroup();
+        executeClaimGroupActions();
       });
 }
 
@@ -99,7 +99,7 @@
   } else {
     process_->claim_group->record(std::get<ClaimRecord>(action.notice), now());
   }
-  pumpClaimGroup();
+  executeClaimGroupActions();
 }
 
 void RouterNode::onClaimMessage(const Message& message, const std::string& from) {
@@ -108,7 +108,7 @@
     if (context_.without(Mechanism::ClaimMajority)) reply->granted = true;
   }
   process_->claim_group->onMessage(received, from, now());
-  pumpClaimGroup();
+  executeClaimGroupActions();
 }
 
 }  // namespace crankspur::sim
--- a/sim/world/router_control.cc
+++ b/sim/world/router_control.cc
@@ -70,12 +70,12 @@
       routers.push_back(std::move(record));
     }
     process_->membership->seed(routers, now());
-    pumpMembership();
-    pumpEngineTable();
+    executeMembershipActions();
+    executeEngineTableActions();
   });
 }
 
-void RouterNode::pumpEngineTable() {
+void RouterNode::executeEngineTableActions() {
   for (const BackendPoll& poll : process_->engines->duePolls(now())) {
     if (poll.kind == BackendPoll::Kind::RunnerInfo) {
       pollRunner(poll.name);
@@ -88,7 +88,7 @@
   }
   const std::vector<EngineRecord> urgent = process_->engines->takeUrgentAnnouncements();
   for (const EngineRecord& record : urgent) process_->membership->announceEngineDirectly(record, now());
-  if (!urgent.empty()) pumpMembership();
+  if (!urgent.empty()) executeMembershipActions();
   traceBackendChanges();
   if (process_->engines->takeUrgentChange(now())) publish();
   armEngineTimer();
@@ -108,7 +108,7 @@
   host_.postAt(std::max(next, now() + kMinTimerDelay), [this, generation] {
     if (generation != process_->engine_timer_generation) return;
     process_->engine_timer = TimePoint::max();
-    pumpEngineTable();
+    executeEngineTableActions();
   });
 }
 
@@ -127,7 +127,7 @@
         } else {
           process_->engines->onLoad(name, poll->load.incarnation, toLoad(poll->load, now()), now());
         }
-        pumpEngineTable();
+        executeEngineTableActions();
       });
 }
 
@@ -147,7 +147,7 @@
         } else {
           process_->engines->onPollFailed(name, PollFailure::TimedOut, now());
         }
-        pumpEngineTable();
+        executeEngineTableActions();
       });
 }
 
@@ -214,14 +214,14 @@
   snapshot->claims_by_group = process_->claims_by_group;
   process_->snapshot = snapshot;
   process_->requests->onSnapshot(std::move(snapshot), now());
-  pump();
+  executeActions();
 }
 
 void RouterNode::publishLoads() {
   if (process_->engines->takeLoadsChanged()) publish();
 }
 
-void RouterNode::pumpMembership() {
+void RouterNode::executeMembershipActions() {
   for (const OutgoingGossip& outgoing : process_->membership->takeOutgoing()) {
     RouterNode* peer = context_.directory.router(outgoing.address);
     if (peer == nullptr) continue;
@@ -238,7 +238,7 @@
   for (const EngineRecord& record : process_->membership->takeEngineChanges()) {
     process_->engines->onGossip(record, now());
   }
-  pumpEngineTable();
+  executeEngineTableActions();
   armMembershipTimer();
 }
 
@@ -251,7 +251,7 @@
     if (generation != process_->membership_timer_generation) return;
     process_->membership_timer = TimePoint::max();
     process_->membership->onTimer(now());
-    pumpMembership();
+    executeMembershipActions();
   });
 }
 
@@ -259,14 +259,14 @@
   Ping received = ping;
   if (context_.without(Mechanism::LeavingMarks)) received.engines.clear();
   process_->membership->onPing(received, from, now());
-  pumpMembership();
+  executeMembershipActions();
 }
 
 void RouterNode::onPingAck(const PingAck& ack) {
   PingAck received = ack;
   if (context_.without(Mechanism::LeavingMarks)) received.engines.clear();
   process_->membership->onAck(received, now());
-  pumpMembership();
+  executeMembershipActions();
 }
 
 void RouterNode::pullBundle() {
--- a/sim/world/router_dispatch.cc
+++ b/sim/world/router_dispatch.cc
@@ -51,7 +51,7 @@
         process_->requests->onDispatchSent(dispatch, now());
         send(channel);
         armIdleTimeout(dispatch, found->second.activity);
-        pump();
+        executeActions();
       },
       [this, dispatch] { backendEvent(dispatch, BackendLost{false}); });
 }
@@ -147,7 +147,7 @@
     process_->dispatches.erase(found);
   }
   process_->requests->onBackend(dispatch, event, now());
-  pump();
+  executeActions();
 }
 
 void RouterNode::reportOutcome(const Dispatch& entry, const BackendEvent& event) {
--- a/sim/world/router_node.cc
+++ b/sim/world/router_node.cc
@@ -62,10 +62,10 @@
   schedulePeriodic(kBundleRowInterval, [this] { pollBundleRow(); });
   schedulePeriodic(kBundlePullInterval, [this] { pullBundle(); });
   schedulePeriodic(kPublishInterval, [this] { publishLoads(); });
-  schedulePeriodic(kLeaseInterval, [this] { pumpLease(); });
+  schedulePeriodic(kLeaseInterval, [this] { executeLeaseAction(); });
   schedulePeriodic(kOrderInterval, [this] { sendOrders(); });
   tickClaimGroup();
-  pumpMembership();
+  executeMembershipActions();
 }
 
 /// Runs `task` now and then at `interval` with jitter, which avoids a thundering herd of nodes in lockstep.
@@ -95,8 +95,8 @@
   }
   process_->requests->drain(now());
   process_->membership->leave(now());
-  pumpMembership();
-  pump();
+  executeMembershipActions();
+  executeActions();
   awaitDrained();
 }
 
@@ -164,7 +164,7 @@
   process_->sidecar_ids.erase(found->second.channel.get());
   process_->sidecars.erase(found);
   process_->requests->onSidecarLost(sidecar, now());
-  pump();
+  executeActions();
 }
 
 void RouterNode::sendToSidecar(SidecarId sidecar, Message message) {
@@ -185,7 +185,7 @@
     submit(sidecar, *request);
   } else if (const auto* cancel = std::get_if<Cancel>(&message)) {
     process_->requests->onCancel(sidecar, *cancel, now());
-    pump();
+    executeActions();
   } else if (const auto* ping = std::get_if<Ping>(&message)) {
     PingAck ack;
     ack.sequence = ping->sequence;
--- a/sim/world/router_node.h
+++ b/sim/world/router_node.h
@@ -90,7 +90,7 @@
 
   // Requests (router_requests.cc).
   void submit(SidecarId sidecar, SubmitRequest request);
-  void pump();
+  void executeActions();
   void armRequestTimer();
   void executeAction(const RouterAction& action);
   void executeSend(const SendToSidecar& action);
@@ -101,7 +101,7 @@
   // Claim group (router_claims.cc).
   void configureClaimGroup();
   void tickClaimGroup();
-  void pumpClaimGroup();
+  void executeClaimGroupActions();
   void executeClaimGroupAction(const ClaimGroupAction& action);
   void sendClaimMessage(const SendClaimMessage& action);
   void putClaimRow(const PutClaimRow& action);
@@ -121,7 +121,7 @@
 
   // Control (router_control.cc).
   void listMachines();
-  void pumpEngineTable();
+  void executeEngineTableActions();
   void traceBackendChanges();
   void armEngineTimer();
   void pollEngine(const std::string& name, BackendPoll::Kind kind);
@@ -132,7 +132,7 @@
   void fetchDigest(const std::string& engine, EngineSlot slot);
   void publish();
   void publishLoads();
-  void pumpMembership();
+  void executeMembershipActions();
   void armMembershipTimer();
   void pullBundle();
   void pollBundleRow();
@@ -140,7 +140,7 @@
   void applyBundle(const BundleBody& body);
 
   // Orders (router_orders.cc).
-  void pumpLease();
+  void executeLeaseAction();
   void onLeaseResponse(const LeaseAction& action, const std::optional<TableRow>& read,
                        const std::optional<WriteResponse>& written);
   void sendOrders();
--- a/sim/world/router_orders.cc
+++ b/sim/world/router_orders.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void RouterNode::pumpLease() {
+void RouterNode::executeLeaseAction() {
   const std::optional<LeaseAction> action = process_->lease->poll(now());
   if (!action) return;
   PlatformNode& platform = context_.directory.platform();
@@ -40,7 +40,7 @@
   } else {
     process_->lease->onFailed(now());
   }
-  pumpLease();
+  executeLeaseAction();
 }
 
 void RouterNode::sendOrders() {
--- a/sim/world/router_requests.cc
+++ b/sim/world/router_requests.cc
@@ -14,10 +14,10 @@
   }
   context_.trace.note(host_.name(), "submit {} attempt {}", request.request_id, request.attempt);
   process_->requests->onSubmit(sidecar, request, now());
-  pump();
+  executeActions();
 }
 
-void RouterNode::pump() {
+void RouterNode::executeActions() {
   while (true) {
     const std::vector<RouterAction> actions = process_->requests->takeActions();
     if (actions.empty()) break;
@@ -35,7 +35,7 @@
     if (generation != process_->request_timer_generation) return;
     process_->request_timer = TimePoint::max();
     process_->requests->onTimer(now());
-    pump();
+    executeActions();
   });
 }
 
@@ -47,7 +47,7 @@
   if (const auto* claim = std::get_if<ClaimTableCall>(&action)) executeClaimCall(*claim);
   if (const auto* call = std::get_if<GroupClaimCall>(&action)) {
     process_->claim_group->begin(call->request, now());
-    pumpClaimGroup();
+    executeClaimGroupActions();
   }
   if (const auto* notice = std::get_if<GroupClaimNotice>(&action)) applyClaimNotice(*notice);
 }
@@ -75,7 +75,7 @@
       } else {
         process_->requests->onClaimWritten(claim, true, now(), 1);
       }
-      pump();
+      executeActions();
     });
     return;
   }
@@ -113,7 +113,7 @@
   } else {
     process_->requests->onClaimFailed(claim, now());
   }
-  pump();
+  executeActions();
 }
 
 }  // namespace crankspur::sim
--- a/sim/world/sidecar_node.cc
+++ b/sim/world/sidecar_node.cc
@@ -119,7 +119,7 @@
     const auto found = process_->open_requests.find(id);
     if (found == process_->open_requests.end()) continue;
     found->second.request->onRouterLost(router, true, now());
-    pump(id);
+    executeActions(id);
   }
 }
 
--- a/sim/world/sidecar_node.h
+++ b/sim/world/sidecar_node.h
@@ -51,7 +51,7 @@
     std::uint32_t attempt = 0;
     TimePoint timer = TimePoint::max();
     std::uint64_t timer_generation = 0;
-    bool pumping = false;
+    bool executing_actions = false;
   };
   struct Process;
 
@@ -71,7 +71,7 @@
   void onResponse(const std::string& request_id, Message message);
   void handleResponse(const std::string& request_id, Message message);
   void bypassRemovedChecks(OpenRequest& open, Message& message);
-  void pump(const std::string& request_id);
+  void executeActions(const std::string& request_id);
   void executeAction(OpenRequest& open, const CallerAction& action);
   void armTimer(const std::string& request_id, OpenRequest& open);
   void deliverText(CallerRecord& record, std::uint64_t offset, std::uint32_t count, const std::string& text);
--- a/sim/world/sidecar_requests.cc
+++ b/sim/world/sidecar_requests.cc
@@ -22,7 +22,7 @@
   open.request =
       makeCallerRequest(record.request, *process_->selector, kMaxAttempts, context_.random.bits(), now());
   process_->latest_request = id;
-  pump(id);
+  executeActions(id);
 }
 
 void SidecarNode::onResponse(const std::string& request_id, Message message) {
@@ -64,7 +64,7 @@
     open.request->onEnd(*end, now());
   }
   if (const auto* refusal = std::get_if<Refusal>(&message)) open.request->onRefusal(*refusal, now());
-  pump(id);
+  executeActions(id);
 }
 
 /// Disables checks of CallerRequest by altering messages so that they pass.
@@ -81,16 +81,16 @@
   if (auto* refusal = std::get_if<Refusal>(&message)) adapt(*refusal);
 }
 
-void SidecarNode::pump(const std::string& request_id) {
+void SidecarNode::executeActions(const std::string& request_id) {
   auto found = process_->open_requests.find(request_id);
   // A failed submit adds events from within an action; the outer call processes the resulting actions.
-  if (found == process_->open_requests.end() || found->second.pumping) return;
+  if (found == process_->open_requests.end() || found->second.executing_actions) return;
   OpenRequest& open = found->second;
-  open.pumping = true;
+  open.executing_actions = true;
   for (auto actions = open.request->takeActions(); !actions.empty(); actions = open.request->takeActions()) {
     for (const CallerAction& action : actions) executeAction(open, action);
   }
-  open.pumping = false;
+  open.executing_actions = false;
   if (!open.request->finished()) {
     armTimer(request_id, open);
     return;
@@ -155,7 +155,7 @@
     if (found == process_->open_requests.end() || found->second.timer_generation != generation) return;
     found->second.timer = TimePoint::max();
     found->second.request->onTimer(now());
-    pump(request_id);
+    executeActions(request_id);
   });
 }
 
--- a/src/http/half_open_detector.h
+++ b/src/http/half_open_detector.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file Detection of half-open kept-alive connections. Established connections may fall silent permanently,
-/// without a reset, while new ones work; only a missing response shows it. Without detection each idle
-/// connection costs one more exchange its full timeout: five idle connections failed five exchanges in a row,
-/// now one. Decision logic only, without I/O.
+/// without a reset, while new ones work; only a missing response shows it. Without detection, each idle
+/// half-open connection costs another exchange its full timeout: five of them fail five exchanges in a row.
+/// With detection, only the first exchange fails. Decision logic only, without I/O.
 
 #include <chrono>
 #include <cstddef>
--- a/src/operator/command.cc
+++ b/src/operator/command.cc
@@ -184,7 +184,7 @@
       [--author_keys=KEY,...]            refuse unless one of these authors signed
   bundle roll FILE --platform=IP:PORT  accept the version; it must be the accepted one plus one
       --author_keys=KEY,... --approver_keys=KEY,...   public keys that the nodes trust
-      [--operator=NAME]                  who rolls, as told to others
+      [--operator=NAME]                  name recorded as the operator of the roll; default: $USER
   bundle status --platform=IP:PORT     print the accepted version and the one that each node holds
       [--routers=IP:ADMINPORT,...] [--wait_s=SECONDS]   wait until every node holds it
   status --nodes=IP:ADMINPORT,...      print a line for each router or sidecar
--- a/src/sidecar/caller_request.cc
+++ b/src/sidecar/caller_request.cc
@@ -52,7 +52,7 @@
   }
 }
 
-/// @return whether the caller should be told when to retry.
+/// @return whether the caller receives a retry delay with this error, by default kDefaultRetryAfter.
 bool isRetryableByCaller(ErrorCode code) {
   switch (code) {
     case ErrorCode::InvalidRequest:
--- a/standins/fault_proxy/proxied_connection.cc
+++ b/standins/fault_proxy/proxied_connection.cc
@@ -29,14 +29,14 @@
     self->client_.set_option(tcp::no_delay(true), ignored);
     self->server_.set_option(tcp::no_delay(true), ignored);
     self->connected_ = true;
-    for (Flow& flow : self->flows_) self->pump(flow);
+    for (Flow& flow : self->flows_) self->relay(flow);
   });
 }
 
 void ProxiedConnection::settingsChanged() {
   bytes_until_cut_ = route_->settings.cut_after_bytes;
   if (!connected_) return;
-  for (Flow& flow : flows_) pump(flow);
+  for (Flow& flow : flows_) relay(flow);
 }
 
 void ProxiedConnection::silence() {
@@ -63,7 +63,7 @@
 }
 
 /// Starts the reads and writes that the flow is ready for.
-void ProxiedConnection::pump(Flow& flow) {
+void ProxiedConnection::relay(Flow& flow) {
   if (closed_ || silent_ || route_->settings.freeze) return;
   if (!flow.reading && !flow.source_ended && flow.queued_bytes < kMaxQueuedBytes) read(flow);
   if (!flow.writing && !flow.queue.empty()) write(flow);
@@ -89,7 +89,7 @@
     if (drop_response || route_->random.chance(settings.cut_chance)) return cut();
     enqueue(flow, std::string(flow.chunk.data(), bytes));
   }
-  pump(flow);
+  relay(flow);
 }
 
 void ProxiedConnection::enqueue(Flow& flow, std::string bytes) {
@@ -125,7 +125,7 @@
   flow.timer.expires_at(flow.queue.front().due);
   flow.timer.async_wait([self = shared_from_this(), &flow](boost::system::error_code) {
     flow.writing = false;
-    self->pump(flow);
+    self->relay(flow);
   });
 }
 
@@ -142,7 +142,7 @@
       return close();  // A graceful close, so that the bytes before the cut are delivered.
     }
   }
-  pump(flow);
+  relay(flow);
 }
 
 /// Shuts down the sink's sending direction after the source has ended and all its bytes were written.
--- a/standins/fault_proxy/proxied_connection.h
+++ b/standins/fault_proxy/proxied_connection.h
@@ -69,7 +69,7 @@
   };
 
   bool toClient(const Flow& flow) const { return &flow == &flows_[1]; }
-  void pump(Flow& flow);
+  void relay(Flow& flow);
   void read(Flow& flow);
   void onRead(Flow& flow, boost::system::error_code error, std::size_t bytes);
   void enqueue(Flow& flow, std::string bytes);
--- a/tests/integration/router/claim_group_test.cc
+++ b/tests/integration/router/claim_group_test.cc
@@ -34,7 +34,7 @@
       const std::string admin = fmt::format("127.0.0.1:{}", sidecar.port("admin"));
       REQUIRE(eventually([&] { return get(admin, "/healthz").status == 200; }));
     }
-    // The group can confirm that a key is unclaimed once it has existed for longer than a claim lives.
+    // The group can confirm that a key is unclaimed once it has existed for longer than a claim's lifetime.
     const auto covered = [&] {
       for (int index = 0; index < kRouters; ++index) {
         if (claims(index).at("covered_seconds").to_number<double>() < kCoveredSeconds) return false;
--- a/tools/soak/soak.py
+++ b/tools/soak/soak.py
@@ -360,9 +360,9 @@
         runner = generator.choice(self.engines + self.runners)
         failure = generator.choice(["errors", "silent", "lost"])
         self.log_event(f"{runner.id} ({runner.route}): {failure}")
-        runner.trouble = failure
+        runner.failure_mode = failure
         await asyncio.sleep(generator.uniform(0.5, 3.0))
-        runner.trouble = ""
+        runner.failure_mode = ""
 
     async def interrupt_store(self, generator):
         mode = generator.choice(["down", "reset", "silent"])
