--- a/tests/unit/bundle/bundle_delta_test.cc
+++ b/tests/unit/bundle/bundle_delta_test.cc
@@ -176,7 +176,8 @@
 
 }  // namespace
 
-TEST_CASE("a recent peer receives updates; a new peer or one far behind receives full bodies", "[bundle]") {
+TEST_CASE("a recent peer receives updates and a new peer or one far behind receives full bodies",
+          "[bundle]") {
   const Signers signers;
   SharingNode ahead(signers);
   SharingNode behind(signers);
--- a/tests/unit/bundle/signing_test.cc
+++ b/tests/unit/bundle/signing_test.cc
@@ -44,7 +44,7 @@
   }
 }
 
-TEST_CASE("a bundle with both signatures verifies; a modified bundle or swapped signatures do not",
+TEST_CASE("a bundle with both signatures verifies and a modified bundle or swapped signatures do not",
           "[bundle]") {
   const Signers signers;
   const BundleBody good = signers.sign(2, readDocument(2));
--- a/tests/unit/gateway_control/crash_record_test.cc
+++ b/tests/unit/gateway_control/crash_record_test.cc
@@ -131,7 +131,7 @@
   CHECK(after.exchange.quarantined(after.now).crashes.size() == 6);
 }
 
-TEST_CASE("reading the record is retried until the store responds; callers wait at most a second",
+TEST_CASE("reading the record is retried until the store responds and callers wait at most a second",
           "[gateway_control][crash_suspects]") {
   Store store;
   store.reachable = false;
--- a/tests/unit/http/bad_input_test.cc
+++ b/tests/unit/http/bad_input_test.cc
@@ -159,7 +159,7 @@
   CHECK(fixture.run({"POST", "/", {}, "again"}).response.body == "again");
 }
 
-TEST_CASE("pipelined requests get their responses in order; 100-continue and HTTP/1.0 are supported",
+TEST_CASE("pipelined requests get their responses in order, 100-continue and HTTP/1.0 are supported",
           "[http]") {
   HttpFixture fixture(&echoBody);
   const std::string first = "POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\na";
--- a/tests/unit/internal_protocol/connection_test.cc
+++ b/tests/unit/internal_protocol/connection_test.cc
@@ -122,7 +122,7 @@
   CHECK(std::get<Cancel>(fixture.server.messages[0]).attempt == 7);
 }
 
-TEST_CASE("peers with a common version connect; without one both close with VersionMismatch",
+TEST_CASE("peers with a common version connect, without one both close with VersionMismatch",
           "[internal_protocol]") {
   Fixture fixture(makeHello("server", 2, 4));
   SECTION("common") {
--- a/tests/unit/platform/header_dialect_test.cc
+++ b/tests/unit/platform/header_dialect_test.cc
@@ -43,7 +43,7 @@
   CHECK_FALSE(read->resume_after);
 }
 
-TEST_CASE("a head without an id is malformed; malformed hints only leave the prompt unknown",
+TEST_CASE("a head without an id is malformed, malformed hints only leave the prompt unknown",
           "[header_dialect]") {
   const HeaderDialect dialect;
   http::Request request = clientRequest();
--- a/tests/unit/router/engine_table_test.cc
+++ b/tests/unit/router/engine_table_test.cc
@@ -221,7 +221,7 @@
   CHECK(fleet.view("a", reinstated + 5s).state == EngineState::Live);
 }
 
-TEST_CASE("a single slow engine of a pool is ejected; a uniformly slow pool is not", "[engine_table]") {
+TEST_CASE("a single slow engine of a pool is ejected, a uniformly slow pool is not", "[engine_table]") {
   Fleet fleet;
   const auto respond = [&](const std::string& name, Duration lateness) {
     for (int count = 0; count < 10; ++count) {
--- a/tests/unit/router/fleet_orders_test.cc
+++ b/tests/unit/router/fleet_orders_test.cc
@@ -87,7 +87,7 @@
 }
 
 TEST_CASE(
-    "engines without models load those of their pool; engines of other pools and dead engines receive no "
+    "engines without models load those of their pool, engines of other pools and dead engines receive no "
     "orders",
     "[fleet_orders]") {
   auto engines = enginesOf(3, "w2");
--- a/tests/unit/sidecar/router_directory_test.cc
+++ b/tests/unit/sidecar/router_directory_test.cc
@@ -44,7 +44,7 @@
   CHECK(contains(directory.targetAddresses(now + std::chrono::seconds(5)), "a:1"));
 }
 
-TEST_CASE("a leaving router gets no new requests; a restarted router gets them immediately", "[sidecar]") {
+TEST_CASE("a leaving router gets no new requests, a restarted router gets them immediately", "[sidecar]") {
   RouterDirectory directory("s", "annex", "creek", 1);
   directory.addSeed("a:1");
   REQUIRE(directory.onHello("a:1", hello("r1", "annex", 5)));
--- a/tests/unit/standin_platform/platform_model_test.cc
+++ b/tests/unit/standin_platform/platform_model_test.cc
@@ -50,7 +50,7 @@
             .version == 2);
 }
 
-TEST_CASE("a call with a lost response takes effect; a refused call does not", "[standin_platform]") {
+TEST_CASE("a call with a lost response takes effect, a refused call does not", "[standin_platform]") {
   PlatformModel model({}, 1);
   model.setBehaviour(PlatformService::Table, {ServiceMode::LoseResponses, 0s, 1, 1.0});
   CHECK(model.call(writeRow("a", 0, "1"), kStart).lost);
